--- a/crates/dispatch/src/gossip_message.rs
+++ b/crates/dispatch/src/gossip_message.rs
@@ -1,4 +1,4 @@
-//! What routers tell each other directly, often, and without care for losses.
+//! Messages that routers exchange directly and often. Lost ones are not resent.
 
 use fulmargate_admission::QuotaReport;
 use fulmargate_names::HostName;
@@ -13,87 +13,91 @@
 
 use crate::Backlog;
 
-/// A start of a server in messages and books: names are long, and a server that starts again may keep
-/// its name. What is still said of an earlier start then meets no server and changes nothing.
+/// Identifies one incarnation of a server in messages and tables. It is shorter than the name, and
+/// messages about an earlier incarnation match no server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ServerKey(pub u64);
 
 impl ServerKey {
-    /// Stands for the store of cached prompts.
+    /// The store of cached prompts.
     pub const STORE: ServerKey = ServerKey(0);
 
-    /// The key of a start of the server with this name.
+    /// The key of one incarnation of the named server.
     pub fn of(name: &ServerName, incarnation: Option<Incarnation>) -> ServerKey {
         let seed = incarnation.map_or(0, |incarnation| incarnation.0);
         ServerKey(xxh3_64_with_seed(name.as_str().as_bytes(), seed))
     }
 }
 
-/// One message. Each replaces what the sender said before, but for the prompts.
+/// A gossip message. Loads replace those of the sender's previous message; prompts, cache updates
+/// and quotas add to earlier ones.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct GossipMessage {
-    /// The sender's host; none in a message that was not filled in.
+    /// Host of the sender; `None` until the message is filled in.
     pub host: Option<HostName>,
-    /// Its availability zone.
+    /// Availability zone of the sender.
     pub zone: Option<ZoneName>,
-    /// The sender's requests under way, by server.
+    /// The sender's requests in progress, by server.
     pub loads: Vec<PeerLoad>,
-    /// Engines that the sender has ordered to load, if it holds the lease.
+    /// Engines that the sender has ordered to load weights, if it holds the lease.
     pub loading: Vec<LoadingNotice>,
-    /// Prompts that the sender has sent since its last message.
+    /// Prompts sent to engines since the sender's last message.
     pub prompts: Vec<PromptNotice>,
-    /// The newest weights that the sender knows of and how long it has, if it saw them named.
+    /// The newest weights known to the sender, and for how long they have been wanted, if it saw
+    /// them announced.
     pub weights: Vec<WeightsAge>,
-    /// What engines and the store have said of their caches to the sender.
+    /// Cache updates that the sender received from engines and from the store.
     pub caches: Vec<CacheNotice>,
-    /// What the sender's link carries, in kbit/s. It goes behind the message, where routers that do not
-    /// know it leave it; of those it is not known.
+    /// Bandwidth of the sender's link, in kbit/s. Encoded after the message, where routers of
+    /// earlier versions ignore it; `None` for their messages.
     #[serde(skip)]
     pub link_kbps: Option<u32>,
-    /// The sender wants to hear what others say from the router that this goes to. Behind the message, too.
+    /// Asks the receiver to forward other routers' messages to the sender. Encoded after the
+    /// message as well.
     #[serde(skip)]
     pub subscribes: bool,
-    /// What the sender has admitted of teams' quotas since its last message. Behind the message, too.
+    /// Requests admitted against team quotas since the sender's last message. Encoded after the
+    /// message as well.
     #[serde(skip)]
     pub quotas: Option<QuotaReport>,
 }
 
-/// How long ago a version was named.
+/// How long ago a version of the weights was announced.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WeightsAge {
     /// The model.
     pub model: ModelName,
     /// The version.
     pub version: WeightsVersion,
-    /// Milliseconds since it was named.
+    /// Milliseconds since the version was announced.
     pub age_ms: u64,
 }
 
-/// What an engine or the store says of its cache.
+/// A cache update of an engine or of the store.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheNotice {
-    /// The engine or the store.
+    /// The engine or the store of cached prompts.
     pub server: ServerKey,
-    /// What was believed before is void: it has started anew, or events were lost.
+    /// Discards all earlier updates: the server has restarted, or events were lost.
     pub is_reset: bool,
-    /// Parts by the key they are remembered under, and the tokens stored now.
+    /// Cached prompt parts by key, with the number of tokens now stored.
     pub parts: Vec<(u64, u32)>,
 }
 
-/// A sender's requests at one server.
+/// The sender's requests at one server.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PeerLoad {
     /// The server.
     pub server: ServerKey,
-    /// Requests under way.
+    /// Requests in progress.
     pub open: u32,
-    /// Those of them that are chats.
+    /// Chat requests among them.
     pub chats: u32,
-    /// Prompt tokens whose first event is awaited.
+    /// Prompt tokens of requests that wait for their first event.
     pub backlog: Backlog,
 }
 
-/// An engine that loads weights, or is about to, and turns requests away meanwhile.
+/// An engine that loads weights, or is about to, and rejects requests meanwhile.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LoadingNotice {
     /// The engine.
@@ -102,23 +106,23 @@
     pub model: ModelName,
     /// The weights.
     pub version: WeightsVersion,
-    /// How far it is.
+    /// Progress of the load.
     pub stage: LoadingStage,
 }
 
-/// How far an engine is with new weights.
+/// Progress of an engine with new weights.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LoadingStage {
-    /// It turns requests away, or will soon.
+    /// It rejects requests, or will soon.
     Loading,
-    /// The weights are in place.
+    /// The weights are loaded.
     InPlace,
-    /// It could not be brought up and keeps what it has. Unsaid, all routers left such engines alone
-    /// for seconds, and the rest got all the requests.
+    /// The load failed and the engine keeps its previous weights. Without this notice routers would
+    /// avoid the engine for seconds and overload the others.
     GivenUp,
 }
 
-/// A prompt's shared parts that an engine has now.
+/// Shared parts of a prompt that an engine now has in its cache.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PromptNotice {
     /// The engine.
@@ -127,14 +131,14 @@
     pub scope: u64,
     /// Hashes of the shared parts in order.
     pub parts: Vec<u64>,
-    /// Tokens that were new to the engine.
+    /// Prompt tokens that the engine had not cached.
     pub taken_tokens: u32,
-    /// Milliseconds after which the engine is expected to have read them.
+    /// Expected time until the engine has processed them, in milliseconds.
     pub ready_ms: u32,
-    /// They are in the store of cached prompts, too.
+    /// The parts are in the store of cached prompts as well.
     pub is_stored: bool,
-    /// Where the engine fetches the rest from.
+    /// The server from which the engine fetches the other parts.
     pub source: Option<ServerKey>,
-    /// Time that the fetch takes on the source's link, in milliseconds.
+    /// Time that the fetch occupies the source's link, in milliseconds.
     pub transfer_ms: u32,
 }
--- a/crates/dispatch/src/gossip_topology.rs
+++ b/crates/dispatch/src/gossip_topology.rs
@@ -1,9 +1,10 @@
-//! Which routers a word goes to, and who passes it on.
+//! Topology of the gossip between routers: who sends to whom, and who relays.
 //!
-//! Answers fleets of hundreds: words from all to all grow with the square of the hosts, so that each host
-//! must say less the more there are, and choices rest on what others had under way half a second ago. Instead
-//! the hosts of a zone with the widest links pass on the words of their zone, to all of it and to their like
-//! in other zones. Each other host sends a word to these and hears one of them.
+//! Traffic grows with the square of the fleet if every router sends to every other, so that
+//! messages must be sent less often. In large fleets the hosts with the widest links in each zone
+//! act as relays instead: they forward the messages of their zone to the rest of it and to the
+//! relays of other zones. Every other host sends to the relays of its zone and subscribes to one of
+//! them.
 
 use std::cmp::Reverse;
 use std::time::Duration;
@@ -16,68 +17,70 @@
 
 use crate::gossip_interval;
 
-/// Pause between two words of a host, for each host that there is: all words together take the same share of a
-/// link at any size.
-const PACE_PER_HOST: Duration = Duration::from_millis(1);
-/// Relays pass words on about as often.
-const LEAST_PACE: Duration = Duration::from_millis(50);
-/// Beyond, hosts would take each other for gone between two words.
-const LONGEST_PACE: Duration = Duration::from_millis(600);
-/// A word names some ten servers, and a prompt and some parts of caches now and then.
+/// Interval between two messages of a host, per host in the fleet. The total traffic then takes the
+/// same share of a link at any fleet size.
+const INTERVAL_PER_HOST: Duration = Duration::from_millis(1);
+/// Lower bound of the interval; relays forward about as often.
+const MIN_INTERVAL: Duration = Duration::from_millis(50);
+/// Upper bound of the interval. With a longer one, hosts would consider each other gone between two
+/// messages.
+const MAX_INTERVAL: Duration = Duration::from_millis(600);
+/// Typical size of a message: the loads of some ten servers, and now and then a prompt and cache
+/// updates.
 const MESSAGE_BYTES: f64 = 300.0;
-/// The share of a host's link for words that it passes on; its callers' answers go over the same link.
-const RELAY_SHARE: f64 = 0.25;
-/// One may fail, and the others of its zone hear the next one at once.
-const LEAST_RELAYS: usize = 2;
-/// Where more of a zone's hosts than this share were needed, words go from all to all.
-const MOST_RELAYS: f64 = 0.25;
-/// A relay says something at least each 120 ms. One that has been silent for so long is frozen or cut off. A
-/// word counts for 1.2 s: its listeners hear the next word of each host by another relay before that.
-const RELAY_SILENCE: Duration = Duration::from_millis(450);
-/// A relay that was silent is left alone for so long. It may come back and be the widest again.
-const SILENT_PAUSE: Duration = Duration::from_secs(5);
+/// Share of a relay's link that forwarded messages may use; answers to callers use the same link.
+const RELAY_LINK_SHARE: f64 = 0.25;
+/// With two relays, messages still reach a zone after one fails.
+const MIN_RELAYS: usize = 2;
+/// If more than this fraction of a zone's hosts would have to relay, all hosts send to all instead.
+const MAX_RELAY_FRACTION: f64 = 0.25;
+/// A relay that forwards nothing for this long is considered failed. Subscribers must get messages
+/// through another relay before the last ones expire after 1.2 s.
+const RELAY_TIMEOUT: Duration = Duration::from_millis(450);
+/// How long a failed relay is avoided.
+const FAILED_RELAY_COOLDOWN: Duration = Duration::from_secs(5);
 
-/// A host that is there.
+/// A host of the fleet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FleetHost {
     /// Its name.
     pub host: HostName,
     /// Its availability zone.
     pub zone: ZoneName,
-    /// What its link carries, in kbit/s; zero while it has not said so.
+    /// Bandwidth of its link, in kbit/s; zero while unknown.
     pub link_kbps: u32,
 }
 
-/// How a word came to a router.
+/// How a message reached a router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GossipPath {
-    /// From the router that said it.
+    /// From its origin.
     Direct,
-    /// Passed on by another one.
+    /// Forwarded by a relay.
     Relayed,
 }
 
-/// A router that a word goes to.
+/// A router to which a host sends its messages.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GossipTarget {
     /// Its host.
     pub host: HostName,
-    /// It is asked to pass on what others say.
+    /// The target is asked to forward the messages of others.
     pub subscribes: bool,
 }
 
-/// How words go in a fleet. Hosts that know the same others come to the same route.
+/// Gossip topology of a fleet. Hosts with the same view of the fleet compute the same topology.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GossipTopology {
-    /// The pause between two words of a host.
+    /// Interval between two messages of a host.
     pub pace: Duration,
-    /// The hosts of each zone that pass words on, the widest first; none where words go from all to all.
+    /// Relays of each zone, the widest links first; `None` if all hosts send to all.
     pub relays: Option<IndexMap<ZoneName, Vec<HostName>>>,
 }
 
 impl GossipTopology {
-    /// The route for these hosts, all that there are. Up to `direct_hosts` speak to all others themselves, and
-    /// so do those whose links are too narrow to pass words on.
+    /// Computes the topology of a fleet. Fleets of up to `direct_hosts` hosts, and those whose
+    /// links are too narrow for relays, send from all to all.
     pub fn new(hosts: &[FleetHost], direct_hosts: usize) -> GossipTopology {
         let direct =
             GossipTopology { pace: gossip_interval(hosts.len().saturating_sub(1)), relays: None };
@@ -85,20 +88,20 @@
             return direct;
         }
         let zones = hosts_by_zone(hosts);
-        let pace = PACE_PER_HOST.saturating_mul(hosts.len() as u32);
-        let mut pace = pace.clamp(LEAST_PACE, LONGEST_PACE);
+        let interval = INTERVAL_PER_HOST.saturating_mul(hosts.len() as u32);
+        let mut interval = interval.clamp(MIN_INTERVAL, MAX_INTERVAL);
         loop {
-            if let Some(relays) = all_relays(&zones, hosts.len(), pace) {
-                return GossipTopology { pace, relays: Some(relays) };
+            if let Some(relays) = relays_by_zone(&zones, hosts.len(), interval) {
+                return GossipTopology { pace: interval, relays: Some(relays) };
             }
-            if LONGEST_PACE <= pace {
+            if MAX_INTERVAL <= interval {
                 return direct;
             }
-            pace = (pace * 2).min(LONGEST_PACE);
+            interval = (interval * 2).min(MAX_INTERVAL);
         }
     }
 
-    /// Where a host's own words go; none where they go to all.
+    /// Targets of a host's own messages; `None` if they go to all hosts.
     pub fn targets(
         &self,
         own: &FleetHost,
@@ -106,91 +109,93 @@
         now: Instant,
     ) -> Option<Vec<GossipTarget>> {
         let relays = self.relays.as_ref()?;
-        let near = relays.get(&own.zone).map_or(&[][..], Vec::as_slice);
-        let is_relay = near.contains(&own.host);
-        choice.forget_others(|zone| (*zone != own.zone) == is_relay);
-        let near_choice = match is_relay {
-            // What the others of its zone say comes to it by itself.
+        let local_relays = relays.get(&own.zone).map_or(&[][..], Vec::as_slice);
+        let is_relay = local_relays.contains(&own.host);
+        choice.retain_zones(|zone| (*zone != own.zone) == is_relay);
+        let subscribed = match is_relay {
+            // The other hosts of its zone send to it anyway.
             true => None,
-            false => choice.choose(&own.zone, near, &own.host, now),
+            false => choice.choose_relay(&own.zone, local_relays, &own.host, now),
         };
-        let near = near.iter().filter(|relay| **relay != own.host).map(|relay| GossipTarget {
-            host: relay.clone(),
-            subscribes: near_choice.as_ref() == Some(relay),
+        let local_targets = local_relays.iter().filter(|relay| **relay != own.host).map(|relay| {
+            GossipTarget { host: relay.clone(), subscribes: subscribed.as_ref() == Some(relay) }
         });
-        let mut targets: Vec<GossipTarget> = near.collect();
+        let mut targets: Vec<GossipTarget> = local_targets.collect();
         if is_relay {
-            for (zone, far) in relays.iter().filter(|(zone, _)| **zone != own.zone) {
-                let far = choice.choose(zone, far, &own.host, now);
-                targets.extend(far.map(|host| GossipTarget { host, subscribes: true }));
+            for (zone, remote_relays) in relays.iter().filter(|(zone, _)| **zone != own.zone) {
+                let remote_relay = choice.choose_relay(zone, remote_relays, &own.host, now);
+                targets.extend(remote_relay.map(|host| GossipTarget { host, subscribes: true }));
             }
         }
         Some(targets)
     }
 }
 
-/// Whether a router passes a word on. What its own zone says comes to it directly, what others say by one of
-/// their relays; passed on in any other case, a word would go round.
-pub fn is_passed_on(way: GossipPath, origin: &ZoneName, own: &ZoneName) -> bool {
-    match way {
+/// Whether a router forwards a message. Messages of its own zone reach it directly, those of other
+/// zones through their relays. Forwarding in any other case would create loops.
+pub fn is_passed_on(path: GossipPath, origin: &ZoneName, own: &ZoneName) -> bool {
+    match path {
         GossipPath::Direct => origin == own,
         GossipPath::Relayed => origin != own,
     }
 }
 
-/// Whether a router takes in a word. A relay of another zone sends its own to ask for words; it comes by its
-/// zone's relays as well, and what is told once would count twice.
-pub fn is_taken_in(way: GossipPath, subscribes: bool, origin: &ZoneName, own: &ZoneName) -> bool {
-    way == GossipPath::Relayed || !subscribes || origin == own
+/// Whether a router applies a message. A relay of another zone sends its own messages along with
+/// its subscription, and they also arrive through the relays of this zone; increments would count
+/// twice.
+pub fn is_taken_in(path: GossipPath, subscribes: bool, origin: &ZoneName, own: &ZoneName) -> bool {
+    path == GossipPath::Relayed || !subscribes || origin == own
 }
 
-/// The relay of each zone that a host hears.
+/// The relay of each zone to which a host is subscribed.
 #[derive(Debug, Default)]
 pub struct RelayChoice {
-    /// By zone, and since when.
+    /// By zone, with the time of the subscription.
     chosen: IndexMap<ZoneName, (HostName, Instant)>,
-    /// When each relay last passed something on.
-    heard: IndexMap<HostName, Instant>,
-    /// Relays that were silent, and when that was found.
-    silent: IndexMap<HostName, Instant>,
+    /// When each relay last forwarded messages.
+    last_received: IndexMap<HostName, Instant>,
+    /// Failed relays, with the time of detection.
+    timed_out: IndexMap<HostName, Instant>,
 }
 
 impl RelayChoice {
-    /// A relay has passed words on.
+    /// Records that a relay has forwarded messages.
     pub fn heard(&mut self, relay: &HostName, now: Instant) {
-        self.silent.swap_remove(relay);
-        self.heard.insert(relay.clone(), now);
+        self.timed_out.swap_remove(relay);
+        self.last_received.insert(relay.clone(), now);
     }
 
-    /// A relay's words have ended: its process has, or this host asks it no more.
+    /// Records that a relay's stream has ended: its process has ended, or the subscription was
+    /// cancelled.
     pub fn ended(&mut self, relay: &HostName, now: Instant) {
         if self.chosen.values().any(|(chosen, _)| chosen == relay) {
             self.chosen.retain(|_, (chosen, _)| chosen != relay);
-            self.silent.insert(relay.clone(), now);
+            self.timed_out.insert(relay.clone(), now);
         }
     }
 
-    /// Whether a host was asked for words lately and gave none.
+    /// Whether a relay failed recently.
     pub fn is_silent(&self, host: &HostName, now: Instant) -> bool {
-        let silent = self.silent.get(host);
-        silent.is_some_and(|at| now.saturating_duration_since(*at) < SILENT_PAUSE)
+        let timed_out = self.timed_out.get(host);
+        timed_out.is_some_and(|at| now.saturating_duration_since(*at) < FAILED_RELAY_COOLDOWN)
     }
 
-    /// Whether a relay was chosen that has not passed anything on yet. It knows of its listener by a word only,
-    /// and the first word may be lost with the opening of a link.
+    /// Whether a chosen relay has not forwarded anything yet. The subscription travels in a
+    /// message, and the first one may be lost while the link opens.
     pub fn is_awaiting(&self) -> bool {
-        let has_begun = |(relay, since): &(HostName, Instant)| {
-            self.heard.get(relay).is_some_and(|heard| since <= heard)
+        let has_forwarded = |(relay, since): &(HostName, Instant)| {
+            self.last_received.get(relay).is_some_and(|received| since <= received)
         };
-        !self.chosen.values().all(has_begun)
+        !self.chosen.values().all(has_forwarded)
     }
 
-    /// The words of other zones are no longer asked for: that they end says nothing of their relays.
-    fn forget_others(&mut self, is_asked: impl Fn(&ZoneName) -> bool) {
-        self.chosen.retain(|zone, _| is_asked(zone));
+    /// Drops the relays of zones that are no longer subscribed to. The end of their streams is not
+    /// a failure.
+    fn retain_zones(&mut self, is_wanted: impl Fn(&ZoneName) -> bool) {
+        self.chosen.retain(|zone, _| is_wanted(zone));
     }
 
-    fn choose(
+    fn choose_relay(
         &mut self,
         zone: &ZoneName,
         relays: &[HostName],
@@ -198,27 +203,28 @@
         now: Instant,
     ) -> Option<HostName> {
         if let Some((relay, since)) = self.chosen.get(zone).cloned() {
-            let heard = self.heard.get(&relay).copied().unwrap_or(since).max(since);
-            if now.saturating_duration_since(heard) < RELAY_SILENCE {
+            let last_activity = self.last_received.get(&relay).copied().unwrap_or(since).max(since);
+            if now.saturating_duration_since(last_activity) < RELAY_TIMEOUT {
                 if relays.contains(&relay) {
                     return Some(relay);
                 }
             } else {
-                self.silent.insert(relay, now);
+                self.timed_out.insert(relay, now);
             }
         }
-        let speaking = relays.iter().filter(|relay| !self.is_silent(relay, now));
-        let speaking: Vec<&HostName> = speaking.collect();
+        let responsive = relays.iter().filter(|relay| !self.is_silent(relay, now));
+        let responsive: Vec<&HostName> = responsive.collect();
         let all: Vec<&HostName> = relays.iter().collect();
-        let among = if speaking.is_empty() { all } else { speaking };
-        // Spread over the relays by name.
-        let relay = among.get(hash_of(own) as usize % among.len().max(1)).copied()?.clone();
+        let candidates = if responsive.is_empty() { all } else { responsive };
+        // Distributes subscribers over the relays by a hash of the name.
+        let relay =
+            candidates.get(hash_of(own) as usize % candidates.len().max(1)).copied()?.clone();
         self.chosen.insert(zone.clone(), (relay.clone(), now));
         Some(relay)
     }
 }
 
-/// The hosts of each zone, the widest first and of equal ones in an order drawn by their names.
+/// Groups hosts by zone, the widest links first and ties ordered by a hash of the name.
 fn hosts_by_zone(hosts: &[FleetHost]) -> IndexMap<ZoneName, Vec<&FleetHost>> {
     let mut zones: IndexMap<ZoneName, Vec<&FleetHost>> = IndexMap::new();
     for host in hosts {
@@ -230,27 +236,31 @@
     zones
 }
 
-fn all_relays(
+fn relays_by_zone(
     zones: &IndexMap<ZoneName, Vec<&FleetHost>>,
-    fleet: usize,
-    pace: Duration,
+    fleet_size: usize,
+    interval: Duration,
 ) -> Option<IndexMap<ZoneName, Vec<HostName>>> {
     let relays = |(zone, hosts): (&ZoneName, &Vec<&FleetHost>)| {
-        Some((zone.clone(), zone_relays(hosts, fleet, pace)?))
+        Some((zone.clone(), zone_relays(hosts, fleet_size, interval)?))
     };
     zones.iter().map(relays).collect()
 }
 
-/// As many of the widest hosts as can pass all words on to the rest of their zone.
-fn zone_relays(hosts: &[&FleetHost], fleet: usize, pace: Duration) -> Option<Vec<HostName>> {
-    let listener_bytes_per_s = fleet as f64 * MESSAGE_BYTES / pace.as_secs_f64();
-    let most = ((hosts.len() as f64 * MOST_RELAYS) as usize).max(LEAST_RELAYS);
-    let mut room = 0.0;
-    for (index, host) in hosts.iter().enumerate().take(most) {
-        room += f64::from(host.link_kbps) * 1_000.0 / 8.0 * RELAY_SHARE;
-        let listeners = hosts.len() - index - 1;
-        let is_enough = LEAST_RELAYS <= index + 1 || listeners == 0;
-        if is_enough && listeners as f64 * listener_bytes_per_s <= room {
+/// The smallest number of the widest hosts that can forward all messages to the rest of their zone.
+fn zone_relays(
+    hosts: &[&FleetHost],
+    fleet_size: usize,
+    interval: Duration,
+) -> Option<Vec<HostName>> {
+    let bytes_per_s_per_subscriber = fleet_size as f64 * MESSAGE_BYTES / interval.as_secs_f64();
+    let max_relays = ((hosts.len() as f64 * MAX_RELAY_FRACTION) as usize).max(MIN_RELAYS);
+    let mut capacity_bytes_per_s = 0.0;
+    for (index, host) in hosts.iter().enumerate().take(max_relays) {
+        capacity_bytes_per_s += f64::from(host.link_kbps) * 1_000.0 / 8.0 * RELAY_LINK_SHARE;
+        let subscribers = hosts.len() - index - 1;
+        let is_enough = MIN_RELAYS <= index + 1 || subscribers == 0;
+        if is_enough && subscribers as f64 * bytes_per_s_per_subscriber <= capacity_bytes_per_s {
             return Some(hosts[..=index].iter().map(|host| host.host.clone()).collect());
         }
     }
--- a/crates/dispatch/src/pending_updates.rs
+++ b/crates/dispatch/src/pending_updates.rs
@@ -1,6 +1,6 @@
-//! What caches have said and the other routers have not been told yet.
+//! Cache updates that have not been published to the other routers yet.
 //!
-//! Answers loads at which a router has much to tell: its words go to all others, and would fill its link.
+//! Updates go to all routers and would saturate the link of a router that has many.
 
 use std::time::Duration;
 
@@ -9,42 +9,42 @@
 use crate::CacheNotice;
 use crate::ServerKey;
 
-/// The share of a link for what is told of caches.
+/// Share of a link for cache updates.
 const LINK_SHARE: f64 = 0.25;
-/// A part in a message: 9 bytes of its key and up to 3 of its tokens.
+/// Encoded size of a part: 9 bytes for its key and up to 3 for its tokens.
 const PART_BYTES: f64 = 12.0;
-/// A message of more, 12 KB, comes near the 16 KB that may wait in a link.
-const MOST_PARTS: usize = 1_024;
-/// A router tells some even on a link that is too small for its fleet: the others would never learn them.
-const LEAST_PARTS: usize = 16;
-/// Parts that wait to be told, some 500 KB. Of more the oldest are left out.
-const MOST_WAITING: usize = 16_384;
+/// Upper bound of the parts in a message, 12 KB; a link buffers 16 KB.
+const MAX_PARTS: usize = 1_024;
+/// Lower bound of the parts in a message, also on a link that is too narrow for the fleet.
+/// Otherwise the others would never get any updates.
+const MIN_PARTS: usize = 16;
+/// Maximum number of pending parts, about 500 KB; the oldest are dropped first.
+const MAX_PENDING_PARTS: usize = 16_384;
 
-/// How many parts a message to so many routers takes, so long after the last one, on a link that carries so
-/// much.
-pub fn published_parts(link_bytes_per_s: f64, peers: usize, since: Duration) -> usize {
-    let bytes = link_bytes_per_s * LINK_SHARE * since.as_secs_f64() / peers.max(1) as f64;
-    ((bytes / PART_BYTES) as usize).clamp(LEAST_PARTS, MOST_PARTS)
+/// Number of parts for a message to all peers that follows the last one after `elapsed`.
+pub fn published_parts(link_bytes_per_s: f64, peers: usize, elapsed: Duration) -> usize {
+    let bytes = link_bytes_per_s * LINK_SHARE * elapsed.as_secs_f64() / peers.max(1) as f64;
+    ((bytes / PART_BYTES) as usize).clamp(MIN_PARTS, MAX_PARTS)
 }
 
-/// The newest word on each part, by server.
+/// The newest update of each part, by server.
 ///
-/// What is new goes before what is older: behind all that an engine has kept it would come seconds late.
-/// As each part is there once, with its newest word, no older one follows.
+/// The newest updates are published first, so that a large backlog does not delay them. Each part
+/// occurs only once, so that an older update never follows a newer one.
 #[derive(Debug, Default)]
 pub(crate) struct PendingUpdates {
-    servers: IndexMap<ServerKey, UntoldServer>,
+    servers: IndexMap<ServerKey, ServerUpdates>,
 }
 
 #[derive(Debug, Default)]
-struct UntoldServer {
+struct ServerUpdates {
     is_reset: bool,
-    /// The newest at the end.
+    /// The newest is last.
     parts: IndexMap<u64, u32>,
 }
 
 impl PendingUpdates {
-    /// A cache has spoken.
+    /// Adds an update from a cache.
     pub(crate) fn push(&mut self, notice: CacheNotice) {
         let server = self.servers.entry(notice.server).or_default();
         if notice.is_reset {
@@ -58,31 +58,31 @@
         self.drop_oldest();
     }
 
-    /// The newest of each server, so many parts together at most. Servers with few are told whole, the others
-    /// share what room is left.
-    pub(crate) fn take(&mut self, most_parts: usize) -> Vec<CacheNotice> {
+    /// Takes up to `max_parts` of the newest updates. Servers with few are published completely,
+    /// the others share the rest.
+    pub(crate) fn take(&mut self, max_parts: usize) -> Vec<CacheNotice> {
         self.servers.sort_by(|_, one, _, other| one.parts.len().cmp(&other.parts.len()));
-        let mut left = self.servers.len();
-        let mut room = most_parts;
-        let mut taken = Vec::new();
+        let mut remaining_servers = self.servers.len();
+        let mut available = max_parts;
+        let mut notices = Vec::new();
         for (key, server) in &mut self.servers {
-            let parts = server.take_newest(room.div_ceil(left));
-            left -= 1;
-            room -= parts.len();
+            let parts = server.take_newest(available.div_ceil(remaining_servers));
+            remaining_servers -= 1;
+            available -= parts.len();
             let is_reset = std::mem::take(&mut server.is_reset);
             if is_reset || !parts.is_empty() {
-                taken.push(CacheNotice { server: *key, is_reset, parts });
+                notices.push(CacheNotice { server: *key, is_reset, parts });
             }
         }
         self.servers.retain(|_, server| !server.parts.is_empty());
-        taken
+        notices
     }
 
-    /// A router that can tell less than it hears would need ever more memory. The server with the most parts
-    /// loses its oldest; a reset is told all the same.
+    /// Limits memory on a router that receives updates faster than it can publish them: the server
+    /// with the most parts loses its oldest. Resets are never dropped.
     fn drop_oldest(&mut self) {
-        let waiting: usize = self.servers.values().map(|server| server.parts.len()).sum();
-        let excess = waiting.saturating_sub(MOST_WAITING);
+        let pending: usize = self.servers.values().map(|server| server.parts.len()).sum();
+        let excess = pending.saturating_sub(MAX_PENDING_PARTS);
         if excess == 0 {
             return;
         }
@@ -93,9 +93,9 @@
     }
 }
 
-impl UntoldServer {
-    fn take_newest(&mut self, most: usize) -> Vec<(u64, u32)> {
-        let kept = self.parts.len().saturating_sub(most);
+impl ServerUpdates {
+    fn take_newest(&mut self, max_parts: usize) -> Vec<(u64, u32)> {
+        let kept = self.parts.len().saturating_sub(max_parts);
         self.parts.split_off(kept).into_iter().collect()
     }
 }
