--- a/crates/dispatch/src/config_proof.rs
+++ b/crates/dispatch/src/config_proof.rs
@@ -1,4 +1,4 @@
-//! How old the newest proof is that the configuration in force is the newest.
+//! Age of the newest read that proved the active configuration to be the latest.
 
 use std::time::Duration;
 
@@ -7,119 +7,120 @@
 
 use crate::BootTime;
 
-/// After the store has come back from a copy, operators write again what it has lost within this time: the
-/// entries of servers, which are written again in the same way, are back within about two seconds.
-const WRITTEN_AGAIN: Duration = Duration::from_millis(2_000);
+/// Time that operators are given to rewrite what a restored store has lost. Server entries, which
+/// are rewritten in the same way, are back within about two seconds.
+const RESTORE_GRACE_PERIOD: Duration = Duration::from_millis(2_000);
 
-/// Until when requests with a key may be admitted.
+/// Decides whether requests with an API key may be admitted, by the age of the configuration.
 ///
-/// A key that was taken away must stop even on a host that the store turns away. A read that the
-/// store has answered proves that nothing was newer at the moment the read was sent; the answer's
-/// arrival proves less, since it may have been on its way for long.
+/// A revoked key must stop working even on a host that cannot reach the store. An answered read
+/// proves that there was nothing newer when the read was sent, not when the answer arrived.
 ///
-/// A store that has come back from a copy may have lost the configuration that took a key away. Until
-/// operators have written it again, a read shows the one before as the newest and proves nothing.
+/// A store restored from a backup may have lost the configuration that revoked a key. Until
+/// operators have rewritten it, reads return an older configuration as the newest and prove
+/// nothing.
 #[derive(Clone, Copy, Debug)]
 pub struct ConfigProof {
-    sent: Option<BootTime>,
-    longest: Duration,
-    refusing: Duration,
-    /// Reads sent before this moment may have been answered by a store that lacks something.
-    doubted_until: Option<BootTime>,
-    /// The newest epoch in which reads were doubted.
-    doubted_epoch: Option<StoreEpoch>,
-    /// The newest of these reads. It counts once it is known that nothing was lacking.
-    held: Option<BootTime>,
+    newest_read: Option<BootTime>,
+    max_admit_age: Duration,
+    max_reject_age: Duration,
+    /// Reads sent before this time may have been answered from an incomplete store.
+    untrusted_until: Option<BootTime>,
+    /// The newest epoch whose reads were not trusted at first.
+    untrusted_epoch: Option<StoreEpoch>,
+    /// The newest untrusted read; it counts once the epoch is known to be complete.
+    pending_read: Option<BootTime>,
     in_force: ConfigVersion,
-    /// Some router has had this one in force.
-    known: ConfigVersion,
+    /// The newest configuration that any router has had in force.
+    newest_known: ConfigVersion,
 }
 
 impl ConfigProof {
-    /// No proof yet. `longest` is the age up to which a proof admits requests, `refusing` that up to which
-    /// a request may be refused because the configuration has no route or key for it.
-    pub fn new(longest: Duration, refusing: Duration) -> ConfigProof {
+    /// Starts without a proof. A proof younger than `max_admit_age` admits requests; one younger
+    /// than `max_reject_age` allows rejecting a request for which the configuration has no route or
+    /// key.
+    pub fn new(max_admit_age: Duration, max_reject_age: Duration) -> ConfigProof {
         ConfigProof {
-            sent: None,
-            longest,
-            refusing,
-            doubted_until: None,
-            doubted_epoch: None,
-            held: None,
+            newest_read: None,
+            max_admit_age,
+            max_reject_age,
+            untrusted_until: None,
+            untrusted_epoch: None,
+            pending_read: None,
             in_force: ConfigVersion(0),
-            known: ConfigVersion(0),
+            newest_known: ConfigVersion(0),
         }
     }
 
-    /// A read sent at this moment was answered and applied.
+    /// Records that a read sent at this time was answered and applied.
     pub fn renew(&mut self, sent: BootTime) {
-        match self.doubted_until {
-            Some(until) if sent < until => self.held = self.held.max(Some(sent)),
-            _ => self.sent = self.sent.max(Some(sent)),
+        match self.untrusted_until {
+            Some(until) if sent < until => self.pending_read = self.pending_read.max(Some(sent)),
+            _ => self.newest_read = self.newest_read.max(Some(sent)),
         }
     }
 
-    /// The store may lack what operators wrote last: it has come back from a copy with this epoch, or this
-    /// host has just started and does not know. Each reader of a topic says so; the first one counts.
+    /// Marks reads as untrusted for a grace period: the store was restored from a backup with this
+    /// epoch, or this host has just started and cannot tell. Each topic's reader reports it; only
+    /// the first report of an epoch counts.
     pub fn doubt(&mut self, epoch: StoreEpoch, now: BootTime) {
-        if self.doubted_epoch.is_some_and(|doubted| epoch <= doubted) {
+        if self.untrusted_epoch.is_some_and(|untrusted| epoch <= untrusted) {
             return;
         }
-        self.doubted_epoch = Some(epoch);
-        self.doubted_until = Some(now.after(WRITTEN_AGAIN));
-        self.held = None;
+        self.untrusted_epoch = Some(epoch);
+        self.untrusted_until = Some(now.after(RESTORE_GRACE_PERIOD));
+        self.pending_read = None;
     }
 
-    /// In this epoch of the store operators have written again, or nothing was lost when it began.
+    /// Trusts the reads of this epoch: operators have rewritten what was lost, or nothing was.
     pub fn settle(&mut self, epoch: StoreEpoch) {
-        if self.doubted_epoch.is_some_and(|doubted| epoch < doubted) {
+        if self.untrusted_epoch.is_some_and(|untrusted| epoch < untrusted) {
             return;
         }
-        self.doubted_until = None;
-        self.sent = self.sent.max(self.held.take());
+        self.untrusted_until = None;
+        self.newest_read = self.newest_read.max(self.pending_read.take());
     }
 
-    /// Whether reads sent now prove nothing.
+    /// Whether reads sent now are untrusted.
     pub fn is_doubted(&self, now: BootTime) -> bool {
-        self.doubted_until.is_some_and(|until| now < until)
+        self.untrusted_until.is_some_and(|until| now < until)
     }
 
-    /// This configuration is in force here.
+    /// Sets the configuration in force on this host.
     pub fn put_in_force(&mut self, version: ConfigVersion) {
         self.in_force = version;
     }
 
-    /// The configuration in force here; 0 before the first.
+    /// The configuration in force on this host; 0 before the first.
     pub fn in_force(&self) -> ConfigVersion {
         self.in_force
     }
 
-    /// A router has had this configuration in force. An older one admits nothing here: it may have keys
-    /// that were taken away.
+    /// Records that a router has had this configuration in force. While this host has an older one,
+    /// it admits nothing, since that one may contain revoked keys.
     pub fn note_known(&mut self, version: ConfigVersion) {
-        self.known = self.known.max(version);
+        self.newest_known = self.newest_known.max(version);
     }
 
-    /// The proof's age; none without a proof.
+    /// Time since the newest trusted read was sent; `None` before the first.
     pub fn age(&self, now: BootTime) -> Option<Duration> {
-        self.sent.map(|sent| now.since(sent))
+        self.newest_read.map(|sent| now.since(sent))
     }
 
-    /// Whether requests with a key may be admitted.
+    /// Whether requests with an API key may be admitted.
     pub fn admits(&self, now: BootTime) -> bool {
-        self.is_younger(self.longest, now)
+        self.is_fresh(self.max_admit_age, now)
     }
 
-    /// Whether a request may be refused for want of a route or key.
+    /// Whether a request may be rejected for lack of a route or key.
     ///
-    /// A host that stood still, or whose reads are late, may hold a configuration without the route that
-    /// the caller asks for. Callers do not come back after 404, so that one such answer loses the
-    /// request; after 503 they try another host.
+    /// A host that was suspended, or whose reads are late, may not have the route yet. Callers do
+    /// not retry after 404, but try another host after 503.
     pub fn refuses(&self, now: BootTime) -> bool {
-        self.is_younger(self.refusing, now)
+        self.is_fresh(self.max_reject_age, now)
     }
 
-    fn is_younger(&self, longest: Duration, now: BootTime) -> bool {
-        self.known <= self.in_force && self.age(now).is_some_and(|age| age < longest)
+    fn is_fresh(&self, max_age: Duration, now: BootTime) -> bool {
+        self.newest_known <= self.in_force && self.age(now).is_some_and(|age| age < max_age)
     }
 }
--- a/crates/dispatch/src/crash_tracker.rs
+++ b/crates/dispatch/src/crash_tracker.rs
@@ -1,4 +1,4 @@
-//! Requests that crash the servers that run them.
+//! Tracks requests that crash the servers that run them.
 
 use std::time::Duration;
 
@@ -8,16 +8,16 @@
 
 use crate::ServerKey;
 
-/// Requests remembered at most; the oldest go first.
-const MOST_PRINTS: usize = 4_096;
+/// Maximum number of tracked requests; the oldest are evicted first.
+const MAX_TRACKED_REQUESTS: usize = 4_096;
 
-/// When a request is refused.
+/// Limits of the crash tracker.
 #[derive(Clone, Copy, Debug)]
 pub struct CrashConf {
-    /// Servers that must have crashed. An innocent request that happened to run on a server that
-    /// crashed meets a second such server now and then, but hardly a third.
+    /// Crashed servers after which a request is rejected. An innocent request may happen to run on
+    /// two servers that crash, but hardly on three.
     pub convicting: usize,
-    /// A request that was not seen for so long is forgotten.
+    /// How long a request is tracked after its last crash.
     pub memory: Duration,
 }
 
@@ -27,60 +27,62 @@
     }
 }
 
-/// The starts of servers that each request was seen to crash, here or at other routers.
+/// The server incarnations that crashed while they ran each request, as seen by any router.
 ///
-/// Such a request comes again under new ids, at any router. If each router only counted its own,
-/// the request would take down a server for each router there is.
+/// A caller may retry such a request under new ids and at any router. If each router counted only
+/// its own crashes, the request could take down several servers at every router.
 #[derive(Debug)]
 pub struct CrashTracker {
     conf: CrashConf,
-    crashes: IndexMap<u128, CrashCase>,
+    records: IndexMap<u128, CrashRecord>,
 }
 
 #[derive(Debug)]
-struct CrashCase {
+struct CrashRecord {
     servers: IndexSet<ServerKey>,
-    seen: Instant,
+    last_seen: Instant,
 }
 
 impl CrashTracker {
-    /// Knows nothing yet.
+    /// Creates a tracker without crashes.
     pub fn new(conf: CrashConf) -> CrashTracker {
-        CrashTracker { conf, crashes: IndexMap::new() }
+        CrashTracker { conf, records: IndexMap::new() }
     }
 
-    /// The server crashed while it ran the request. Returns whether that is news.
-    pub fn note(&mut self, print: u128, server: ServerKey, now: Instant) -> bool {
-        self.forget(now);
-        let case = self
-            .crashes
-            .entry(print)
-            .or_insert_with(|| CrashCase { servers: IndexSet::new(), seen: now });
-        case.seen = now;
-        case.servers.insert(server)
+    /// Records that the server crashed while it ran the request. Returns whether this was not
+    /// known.
+    pub fn note(&mut self, fingerprint: u128, server: ServerKey, now: Instant) -> bool {
+        self.evict(now);
+        let record = self
+            .records
+            .entry(fingerprint)
+            .or_insert_with(|| CrashRecord { servers: IndexSet::new(), last_seen: now });
+        record.last_seen = now;
+        record.servers.insert(server)
     }
 
-    /// The server completed the request: it does not crash what runs it.
-    pub fn acquit(&mut self, print: u128) {
-        self.crashes.shift_remove(&print);
+    /// Clears the request: a server has completed it.
+    pub fn acquit(&mut self, fingerprint: u128) {
+        self.records.shift_remove(&fingerprint);
     }
 
-    /// Whether the request is refused.
-    pub fn is_convicted(&self, print: u128) -> bool {
-        let convicting = self.conf.convicting;
-        self.crashes.get(&print).is_some_and(|case| convicting <= case.servers.len())
+    /// Whether the request must be rejected.
+    pub fn is_convicted(&self, fingerprint: u128) -> bool {
+        let min_crashes = self.conf.convicting;
+        self.records.get(&fingerprint).is_some_and(|record| min_crashes <= record.servers.len())
     }
 
-    /// Crashes held against the request.
-    pub fn count(&self, print: u128) -> usize {
-        self.crashes.get(&print).map_or(0, |case| case.servers.len())
+    /// Servers that crashed while they ran the request.
+    pub fn count(&self, fingerprint: u128) -> usize {
+        self.records.get(&fingerprint).map_or(0, |record| record.servers.len())
     }
 
-    fn forget(&mut self, now: Instant) {
-        let memory = self.conf.memory;
-        while MOST_PRINTS <= self.crashes.len() {
-            self.crashes.shift_remove_index(0);
+    fn evict(&mut self, now: Instant) {
+        let retention = self.conf.memory;
+        while MAX_TRACKED_REQUESTS <= self.records.len() {
+            self.records.shift_remove_index(0);
         }
-        self.crashes.retain(|_, case| now.saturating_duration_since(case.seen) < memory);
+        self.records
+            .retain(|_, record| now.saturating_duration_since(record.last_seen) < retention);
     }
 }
--- a/crates/dispatch/src/fleet_record.rs
+++ b/crates/dispatch/src/fleet_record.rs
@@ -1,4 +1,4 @@
-//! What routers tell each other through the store.
+//! Records that routers share through the store.
 
 use std::net::SocketAddr;
 
@@ -13,36 +13,36 @@
 
 use crate::ServerKey;
 
-/// Crashes are kept under so many keys. A host that starts reads all that are kept, and a new one takes the
-/// place of an old one; a request that crashes servers comes again within seconds.
-const CRASH_KEYS: u128 = 256;
+/// Number of keys for crash records. A starting host reads all records that are kept, so older
+/// crashes are overwritten; a request that crashes servers is retried within seconds.
+const MAX_CRASH_KEYS: u128 = 256;
 
-/// A record of the routers' own topic, of which the store keeps the newest under each key.
+/// A record of the fleet topic. The store keeps the newest record under each key.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum FleetRecord {
     /// A router has started.
     Joined {
         /// Its host.
         host: HostName,
-        /// This start.
+        /// Incarnation of the router.
         incarnation: Incarnation,
-        /// Where it listens for other routers.
+        /// The address at which it listens for other routers.
         address: SocketAddr,
         /// Its availability zone.
         zone: ZoneName,
-        /// What its link carries, in kbit/s.
+        /// Bandwidth of its link, in kbit/s.
         link_kbps: u32,
-        /// The store's epoch when it was written first.
+        /// The store epoch in which the record was first written.
         epoch: StoreEpoch,
     },
-    /// A router takes or keeps the lease on orders to engines. The record's position is the fencing
-    /// number, so that it rises with every holder and is never shared.
+    /// A router takes or renews the lease on orders to engines. The fencing number is derived from
+    /// the record's position, so that it is unique and rises with every holder.
     Lease {
-        /// The holder's host.
+        /// Host of the lease holder.
         host: HostName,
-        /// The holder's start.
+        /// Incarnation of the lease holder.
         incarnation: Incarnation,
-        /// The store's epoch for which it was written.
+        /// The store epoch for which the lease was taken.
         epoch: StoreEpoch,
     },
     /// A server crashed while it ran a request.
@@ -51,27 +51,27 @@
         print: u128,
         /// The server.
         server: ServerName,
-        /// Which start of it.
+        /// Key of its incarnation.
         start: ServerKey,
     },
-    /// A router that lived before the store came back from a copy says what was in force then.
+    /// The store was restored from a backup; a router that ran before reports what it knew.
     Restored {
-        /// The epoch that began.
+        /// The epoch that began with the restore.
         epoch: StoreEpoch,
-        /// The newest configuration that it knows.
+        /// The newest configuration known to the router.
         config: ConfigVersion,
-        /// Operators have had time to write again what was lost.
+        /// Operators have had time to rewrite what was lost.
         is_settled: bool,
     },
 }
 
 impl FleetRecord {
-    /// The key under which the store keeps it.
+    /// The key under which the store keeps the record.
     pub fn key(&self) -> String {
         match self {
             FleetRecord::Joined { host, .. } => format!("host/{host}"),
             FleetRecord::Lease { .. } => "lease".to_owned(),
-            FleetRecord::Crash { print, .. } => format!("crash/{}", print % CRASH_KEYS),
+            FleetRecord::Crash { print, .. } => format!("crash/{}", print % MAX_CRASH_KEYS),
             FleetRecord::Restored { .. } => "restored".to_owned(),
         }
     }
--- a/crates/dispatch/src/forward_budget.rs
+++ b/crates/dispatch/src/forward_budget.rs
@@ -1,75 +1,80 @@
-//! How many bytes of records a router may hand on to others.
+//! Bandwidth budget for the records that a router forwards to others.
 
 use tokio::time::Instant;
 
 use crate::SubscriberStore;
 
-/// Share of the host's link that may be used over time. With 91 hosts, callers' answers and words between
-/// routers take 14% of a link of 10 Mbit/s at the median and 28% at 95 in 100 hosts.
+/// Long-term share of the host's link. Answers to callers and gossip need the rest.
 const LINK_SHARE: f64 = 0.25;
-/// Bytes that may go at once, as seconds of the link. What is sent next waits behind them, and with what
-/// is lent to small answers it must stay below the shortest wait for a connection, 150 ms.
-const BURST_S: f64 = 0.05;
-/// Small answers may take so much more in advance, in seconds of the link: 14 hosts that ask for the same
-/// 8 KB at the same moment get it on a link of 10 Mbit/s.
-const LENT_S: f64 = 0.05;
-/// Answers of this size are small. The changes of 90 servers' list within 0.7 s, its usual page, have up
-/// to 16 KB.
-const SMALL_BYTES: usize = 16 * 1024;
+/// Burst size, in seconds of the link's bandwidth. Together with the overdraft for small answers it
+/// must stay below the shortest connection timeout, 150 ms, since other traffic queues behind it.
+const BURST_SECONDS: f64 = 0.05;
+/// Overdraft for small answers, in seconds of the link's bandwidth. It lets all hosts of a large
+/// zone fetch the same small update at once over a link of 10 Mbit/s.
+const OVERDRAFT_SECONDS: f64 = 0.05;
+/// Largest small answer. A usual page of changes to the server list stays below this.
+const MAX_SMALL_ANSWER_BYTES: usize = 16 * 1024;
 
-/// A share of the host's link for records that others ask for.
+/// Token bucket for the records that other hosts request.
 ///
-/// A large configuration is asked for by all hosts of a zone at the moment when its reader has it. Given to
-/// all of them it fills the reader's link for seconds: callers' answers stop, and no server can be reached.
-/// Who gets nothing reads the store, whose link is far wider, so that nothing waits for this budget: over
-/// any time no more goes out than the share of that time, the burst and what is lent. One that cannot
-/// reach the store would never get what is larger than the burst; it does when the budget owes nothing, one
-/// answer at a time, whose excess is then made up for. Small answers go to it at any time, or it would not
-/// learn meanwhile that a server drains: at 14 hosts, 0.7 s and some kilobytes they stay below the share.
+/// All hosts of a zone request a new configuration from their reader at once. Without a limit a
+/// large one would saturate the reader's link for seconds, blocking answers to callers and
+/// connections to servers. A host that is refused reads the store directly.
+///
+/// A host that cannot reach the store has no alternative. It gets a large answer whenever the
+/// budget is not overdrawn, and later answers wait until the excess is refilled. It gets small
+/// answers at any time, so that it learns of draining servers.
 #[derive(Debug)]
 pub struct ForwardBudget {
     link_bytes_per_s: f64,
-    /// Bytes that may go now; less than nothing when some were taken in advance.
-    left: f64,
-    filled: Instant,
+    /// Negative while overdrawn.
+    available_bytes: f64,
+    refilled_at: Instant,
 }
 
 impl ForwardBudget {
-    /// The full budget of a host with this link.
+    /// Creates a full budget for a host with this link bandwidth.
     pub fn new(link_bytes_per_s: f64, now: Instant) -> ForwardBudget {
-        ForwardBudget { link_bytes_per_s, left: link_bytes_per_s * BURST_S, filled: now }
+        ForwardBudget {
+            link_bytes_per_s,
+            available_bytes: link_bytes_per_s * BURST_SECONDS,
+            refilled_at: now,
+        }
     }
 
-    /// Takes the bytes of an answer if they may go now. An answer without records, which proves that
-    /// there are none, always may.
+    /// Takes the bytes of an answer if it may be sent now. An answer without records, which
+    /// confirms that there is nothing new, always may.
     pub fn try_take(&mut self, bytes: usize, store: SubscriberStore, now: Instant) -> bool {
         self.refill(now);
-        let may_go = bytes == 0 || self.may_go(bytes, store);
-        if may_go {
-            self.left -= bytes as f64;
+        let is_allowed = bytes == 0 || self.is_allowed(bytes, store);
+        if is_allowed {
+            self.available_bytes -= bytes as f64;
         }
-        may_go
+        is_allowed
     }
 
-    /// Bytes that may go now; less than nothing when some were taken in advance.
+    /// Bytes that may be sent now; negative while overdrawn.
     pub fn left(&self) -> i64 {
-        self.left as i64
+        self.available_bytes as i64
     }
 
-    fn may_go(&self, bytes: usize, store: SubscriberStore) -> bool {
-        let is_small = bytes <= SMALL_BYTES;
-        let rest = self.left - bytes as f64;
+    fn is_allowed(&self, bytes: usize, store: SubscriberStore) -> bool {
+        let is_small = bytes <= MAX_SMALL_ANSWER_BYTES;
+        let remaining = self.available_bytes - bytes as f64;
         match store {
-            SubscriberStore::InReach if is_small => -self.link_bytes_per_s * LENT_S <= rest,
-            SubscriberStore::InReach => 0.0 <= rest,
-            SubscriberStore::OutOfReach => is_small || 0.0 <= self.left,
+            SubscriberStore::InReach if is_small => {
+                -self.link_bytes_per_s * OVERDRAFT_SECONDS <= remaining
+            }
+            SubscriberStore::InReach => 0.0 <= remaining,
+            SubscriberStore::OutOfReach => is_small || 0.0 <= self.available_bytes,
         }
     }
 
     fn refill(&mut self, now: Instant) {
-        let passed = now.saturating_duration_since(self.filled).as_secs_f64();
-        let most = self.link_bytes_per_s * BURST_S;
-        self.left = (self.left + self.link_bytes_per_s * LINK_SHARE * passed).min(most);
-        self.filled = self.filled.max(now);
+        let elapsed = now.saturating_duration_since(self.refilled_at).as_secs_f64();
+        let max_bytes = self.link_bytes_per_s * BURST_SECONDS;
+        self.available_bytes =
+            (self.available_bytes + self.link_bytes_per_s * LINK_SHARE * elapsed).min(max_bytes);
+        self.refilled_at = self.refilled_at.max(now);
     }
 }
--- a/crates/dispatch/src/last_seen.rs
+++ b/crates/dispatch/src/last_seen.rs
@@ -1,45 +1,44 @@
-//! When a router that has just started knows who else is there.
+//! Startup delay until a router knows which other routers exist.
 //!
-//! Answers starts on small links: work that is shared out among the routers heard falls whole to one that
-//! has heard nobody yet.
+//! Work that is divided among the known routers would otherwise all fall to one that has just
+//! started and knows no other yet, and would saturate a small link.
 
 use std::time::Duration;
 
 use fulmargate_names::HostName;
 use tokio::time::Instant;
 
-/// From the moment at which the routers' topic shows this one to the others until it has heard them. Those
-/// that failed to reach it while it was away try again after 1 s, at their next word, which is up to 0.6 s
-/// later; the link opens within 0.2 s, and the word after that comes over it, 0.6 s later. Half a second
-/// more is for a busy host.
-const HEARING_TIME: Duration = Duration::from_millis(3_000);
-/// A router that the topic does not show by then goes on without: its record takes some tries of 0.8 s with
-/// a store that is slow, and a host that is alone for good has work to do as well.
-const LONGEST_JOIN: Duration = Duration::from_millis(5_000);
+/// Time from the router's appearance in the fleet topic until the others have reached it: up to 1 s
+/// to retry a failed connection, 0.6 s to the next message, 0.2 s to connect, 0.6 s to the message
+/// after that, and a reserve.
+const DISCOVERY_TIME: Duration = Duration::from_millis(3_000);
+/// A router that does not appear in the topic within this time goes on regardless. Writing its
+/// record may take several attempts of 0.8 s if the store is slow.
+const MAX_JOIN_TIME: Duration = Duration::from_millis(5_000);
 
-/// Follows whether a router that has started can have heard the others.
+/// Tracks whether a starting router has had time to receive messages from all others.
 #[derive(Clone, Copy, Debug)]
 pub struct LastSeen {
-    started: Instant,
-    joined: Option<Instant>,
+    started_at: Instant,
+    joined_at: Option<Instant>,
     is_over: bool,
 }
 
 impl LastSeen {
-    /// The process has just started.
+    /// Starts tracking at process start.
     pub fn new(now: Instant) -> LastSeen {
-        LastSeen { started: now, joined: None, is_over: false }
+        LastSeen { started_at: now, joined_at: None, is_over: false }
     }
 
-    /// Whether those that can be heard have been heard, so that what they do needs no doing here.
-    /// `members` are the hosts whose start was read from the routers' topic. That it names no others proves
-    /// nothing: their records expire.
+    /// Whether all reachable routers have had time to send a message, so that shared work can be
+    /// divided among them. `members` are the hosts in the fleet topic. A topic without other hosts
+    /// does not prove that there are none, since records expire.
     pub fn is_over(&mut self, own: &HostName, members: &[HostName], now: Instant) -> bool {
-        if self.joined.is_none() && members.contains(own) {
-            self.joined = Some(now);
+        if self.joined_at.is_none() && members.contains(own) {
+            self.joined_at = Some(now);
         }
-        let known = self.joined.unwrap_or(self.started + LONGEST_JOIN);
-        self.is_over |= HEARING_TIME <= now.saturating_duration_since(known);
+        let visible_since = self.joined_at.unwrap_or(self.started_at + MAX_JOIN_TIME);
+        self.is_over |= DISCOVERY_TIME <= now.saturating_duration_since(visible_since);
         self.is_over
     }
 }
--- a/crates/dispatch/src/lease_keeper.rs
+++ b/crates/dispatch/src/lease_keeper.rs
@@ -1,4 +1,4 @@
-//! Who gives orders to engines.
+//! Lease that allows one router to send orders to engines.
 
 use std::time::Duration;
 
@@ -12,46 +12,44 @@
 use crate::LinkRank;
 use crate::LogPosition;
 
-/// The holder stops this long before its lease ends: clocks of two hosts may drift, and an order is
-/// on its way for a while. A lost packet is sent again within 200 ms; the rest is allowance.
-const STOP_EARLY: Duration = Duration::from_millis(500);
-/// The last holder is let go first, so that the lease does not move with each piece of work. Its
-/// renewal takes one append, some 10 ms; the rest covers a busy host.
-const HOLDER_FIRST: Duration = Duration::from_millis(400);
+/// The holder stops this long before its lease ends. Clocks of two hosts may drift, and an order
+/// with a lost packet takes another 200 ms.
+const EXPIRY_MARGIN: Duration = Duration::from_millis(500);
+/// Head start of the last holder, so that the lease does not move with each piece of work. Its
+/// renewal takes one append, about 10 ms unless the host is busy.
+const LAST_HOLDER_HEAD_START: Duration = Duration::from_millis(400);
 
-/// Others try one after the other, within this time for each host there is. All at
-/// once each would call the store, and one could succeed.
-const TURN_PER_HOST: Duration = Duration::from_millis(20);
+/// Upper bound of the random delay, per host in the fleet. If all hosts appended at once, only one
+/// could succeed.
+const JITTER_PER_HOST: Duration = Duration::from_millis(20);
 
-/// Hosts with narrower links wait so long for the widest to try first. These try one after the other, six
-/// of them within 120 ms, and a record is read by all some 10 ms after it was appended; new weights have
-/// seconds to be in place.
-const WIDEST_FIRST: Duration = Duration::from_millis(100);
+/// Extra delay of hosts with narrower links, so that the hosts with the widest ones try first.
+const NARROW_LINK_DELAY: Duration = Duration::from_millis(100);
 
-/// What to do now about the lease.
+/// The next action of a router with regard to the lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaseStep {
-    /// Orders may be given; each asks for its number when it is sent.
+    /// Send orders; `usable_fence` must be called for each.
     Act,
-    /// Append a lease record, on condition that the topic still ends here.
+    /// Append a lease record, provided that the topic still ends here.
     Append {
-        /// The end that all decisions rest on.
+        /// The end of the topic on which the decision is based.
         at: LogPosition,
     },
-    /// Look again after this time at the latest.
+    /// Check again after this time at the latest.
     Wait(Duration),
 }
 
-/// This router's side of the lease.
+/// Acquires and renews the lease for one router.
 ///
-/// The store accepts a record only at the end that its writer has read to, so of two routers that
-/// want the lease one wins and the other reads the winner's record. A lease that was not renewed
-/// ends by time, counted on clocks that go on through suspensions: the holder counts from before
-/// its append was sent, all others from when they read the record, which is later.
+/// The store accepts a lease record only at the end to which its writer has read, so that of two
+/// routers one wins and the other reads the winner's record. A lease that is not renewed expires by
+/// time, on clocks that keep running during suspension: the holder counts from before it sent the
+/// append, all others from the later time at which they read the record.
 #[derive(Debug)]
 pub struct LeaseKeeper {
     host: HostName,
-    length: Duration,
+    duration: Duration,
     own: Option<OwnLease>,
 }
 
@@ -62,12 +60,12 @@
 }
 
 impl LeaseKeeper {
-    /// A router without a lease.
-    pub fn new(host: HostName, length: Duration) -> LeaseKeeper {
-        LeaseKeeper { host, length, own: None }
+    /// Creates a keeper that does not hold the lease.
+    pub fn new(host: HostName, duration: Duration) -> LeaseKeeper {
+        LeaseKeeper { host, duration, own: None }
     }
 
-    /// What to do when there has been work for the holder since `work_since`.
+    /// Returns the next action, given that there has been work for the holder since `work_since`.
     pub fn step(
         &self,
         fold: &FleetFold,
@@ -76,68 +74,73 @@
         now: BootTime,
     ) -> LeaseStep {
         let newest = fold.lease();
-        // A record of another's lease may be lost with others that the store had when it was copied. Its
-        // writer acts on until the lease ends, and nobody else may act before.
-        let lost_until = fold.lost_lease_since().map(|since| since.after(self.length));
+        // A restored store may have lost another router's lease record. That router keeps acting
+        // until its lease expires.
+        let lost_lease_expiry = fold.lost_lease_since().map(|since| since.after(self.duration));
         if let Some(own) = self.own.filter(|own| self.is_newest(newest, own.fence)) {
             let age = now.since(own.sent);
-            if age < self.length / 2 {
+            if age < self.duration / 2 {
                 return LeaseStep::Act;
             }
-            // Renewed by a record with a higher number: nobody else has acted in between.
-            if age < self.length || lost_until.is_none_or(|until| until <= now) {
+            // The renewal has a higher fencing number, and nobody else has acted in between.
+            if age < self.duration || lost_lease_expiry.is_none_or(|until| until <= now) {
                 return LeaseStep::Append { at: fold.end() };
             }
         }
-        // Turns begin when the last lease ends, where there was work before: all hosts would try at once.
-        let begin = match newest {
+        // Delays start when the last lease expires, even if work was already waiting. Otherwise all
+        // hosts would try at once.
+        let earliest = match newest {
             None => Some(work_since),
-            // The last holder's host is the same holder also after a restart: nobody acted in between.
+            // After a restart the last holder may continue: nobody else acted in between.
             Some(lease) if lease.host == self.host => None,
-            Some(lease) => Some(lease.seen.after(self.length).max(work_since.after(HOLDER_FIRST))),
+            Some(lease) => {
+                Some(lease.seen.after(self.duration).max(work_since.after(LAST_HOLDER_HEAD_START)))
+            }
         };
-        let begin = begin.max(lost_until);
-        let from = begin.map_or(now, |begin| begin.after(self.turn(fold, rank)));
-        if now < from {
-            return LeaseStep::Wait(from.since(now));
+        let earliest = earliest.max(lost_lease_expiry);
+        let acquire_at =
+            earliest.map_or(now, |earliest| earliest.after(self.acquire_delay(fold, rank)));
+        if now < acquire_at {
+            return LeaseStep::Wait(acquire_at.since(now));
         }
         LeaseStep::Append { at: fold.end() }
     }
 
-    /// How long this host waits for others to try first. Drawn anew for each record of the topic.
+    /// Random delay before this host tries to take the lease, drawn again for each record in the
+    /// topic.
     ///
-    /// The holder tells all others of each engine's load. On a narrow link that takes much of it, and the
-    /// others learn late which engines to leave alone. So the widest links come first; where these
-    /// hosts do not try, the others are late by no more than the wait for them.
-    fn turn(&self, fold: &FleetFold, rank: LinkRank) -> Duration {
-        let draw = xxh3_64(format!("{}/{}", self.host, fold.end().offset).as_bytes());
-        let share = (draw >> 11) as f64 / (1_u64 << 53) as f64;
-        let turn = |hosts: usize| (TURN_PER_HOST * hosts as u32).mul_f64(share);
+    /// The holder publishes the load of each engine to all routers, which takes much of a narrow
+    /// link and delays these updates. Hosts with the widest links therefore try first.
+    fn acquire_delay(&self, fold: &FleetFold, rank: LinkRank) -> Duration {
+        let hash = xxh3_64(format!("{}/{}", self.host, fold.end().offset).as_bytes());
+        let fraction = (hash >> 11) as f64 / (1_u64 << 53) as f64;
+        let jitter = |hosts: usize| (JITTER_PER_HOST * hosts as u32).mul_f64(fraction);
         match rank {
-            LinkRank::Equal => turn(fold.hosts()),
-            LinkRank::Widest { hosts } => turn(hosts.min(fold.hosts())),
-            LinkRank::Narrower => WIDEST_FIRST + turn(fold.hosts()),
+            LinkRank::Equal => jitter(fold.hosts()),
+            LinkRank::Widest { hosts } => jitter(hosts.min(fold.hosts())),
+            LinkRank::Narrower => NARROW_LINK_DELAY + jitter(fold.hosts()),
         }
     }
 
-    /// The append that was sent at `sent` was accepted at this offset.
+    /// Records that the append sent at `sent` was accepted, with its fencing number.
     pub fn appended(&mut self, fence: FencingNumber, sent: BootTime) {
         self.own = Some(OwnLease { fence, sent });
     }
 
-    /// An engine has seen a higher number: somebody else holds the lease, whatever was read.
+    /// Drops the lease: an engine has seen a higher fencing number, so that another router holds
+    /// it.
     pub fn refused(&mut self) {
         self.own = None;
     }
 
-    /// The number for an order that is sent at this moment; none without the lease. To be asked
-    /// right before each: the process may have been suspended since the last step.
+    /// The fencing number for an order sent now; `None` without a valid lease. It must be requested
+    /// right before each order, since the process may have been suspended.
     pub fn usable_fence(&self, now: BootTime) -> Option<FencingNumber> {
-        let own = self.own.filter(|own| now.since(own.sent) + STOP_EARLY < self.length)?;
+        let own = self.own.filter(|own| now.since(own.sent) + EXPIRY_MARGIN < self.duration)?;
         Some(own.fence)
     }
 
-    /// Whether this router holds the lease as far as it knows.
+    /// Whether this router holds the lease to its own knowledge.
     pub fn is_holder(&self) -> bool {
         self.own.is_some()
     }
--- a/crates/dispatch/src/log_cache.rs
+++ b/crates/dispatch/src/log_cache.rs
@@ -1,4 +1,4 @@
-//! Records of a topic of the store that a router keeps for others.
+//! Cache of the store's newest records, from which a router serves other routers.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -14,77 +14,77 @@
 /// Topics of the store that routers follow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum LogTopic {
-    /// What operators write: the configuration and the weights wanted.
+    /// Written by operators: the configuration and the wanted weights.
     Operator,
     /// The list of backend servers.
     Servers,
-    /// What routers tell each other.
+    /// Records that routers share with each other.
     Fleet,
 }
 
-/// A router asks another for records.
+/// A request to another router for records.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogQuestion {
-    /// The topic.
+    /// The topic to read.
     pub topic: LogTopic,
-    /// The first record wanted.
+    /// Offset of the first record requested.
     pub from: LogOffset,
-    /// How long to wait for a record, in milliseconds.
+    /// How long to wait for a new record, in milliseconds.
     pub wait_ms: u64,
-    /// The store's epoch in which the asker has read so far. It comes last, where routers of an earlier
-    /// version leave it.
+    /// The store epoch in which the requester has read so far. It is the last field, since routers
+    /// of earlier versions ignore trailing bytes.
     pub epoch: StoreEpoch,
 }
 
 impl LogQuestion {
-    /// Where the asker reads on.
+    /// Position from which the requester reads on.
     pub fn position(&self) -> LogPosition {
         LogPosition { epoch: self.epoch, offset: self.from }
     }
 }
 
-/// The records, and how old they are.
+/// The records, with their age.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogAnswer {
-    /// The records from the one asked for on.
+    /// The records from the requested offset on.
     pub records: Vec<Vec<u8>>,
-    /// Milliseconds since the read was sent that proved that there were no more, at the answer.
+    /// Age of the records when the answer was sent: milliseconds since the newest read that reached
+    /// the end of the topic was sent to the store.
     pub age_ms: u64,
-    /// Milliseconds that the question waited for the answer.
+    /// Milliseconds for which the request was held before it was answered.
     pub held_ms: u64,
 }
 
 impl LogAnswer {
-    /// Bytes of the records.
+    /// Total size of the records.
     pub fn bytes(&self) -> usize {
         self.records.iter().map(Vec::len).sum()
     }
 
-    /// Since when the asker may take the records for all that there were. The way of question and
-    /// answer counts as age, since it is not known; the wait in between does not: counted as age too,
-    /// it made sound proofs too old, and hosts refused keys that held.
+    /// The time at which the records were known to be complete, on the requester's clock. The
+    /// unknown network delay counts as age, the time for which the request was held does not.
     pub fn proven(&self, asked: BootTime) -> BootTime {
         BootTime((asked.0 + self.held_ms).saturating_sub(self.age_ms))
     }
 }
 
-/// Bytes of records kept of one topic: 20 s of heartbeats of 1,000 servers at 300 bytes.
-const MOST_BYTES: usize = 6 << 20;
+/// Maximum size of the records kept of one topic: 20 s of heartbeats of 1,000 servers.
+const MAX_BYTES: usize = 6 << 20;
 
-/// The newest records of a topic, as read from the store.
+/// The newest records of a topic.
 #[derive(Debug, Default)]
 pub struct LogCache {
-    /// Where the first record here lies.
+    /// Position of the first cached record.
     start: LogPosition,
     records: VecDeque<Vec<u8>>,
     bytes: usize,
-    /// When the read was sent that proved that there are no more.
-    proven: Option<BootTime>,
+    /// When the newest read that reached the end of the topic was sent.
+    validated_at: Option<BootTime>,
 }
 
 impl LogCache {
-    /// Records that the store has given from a position on. A gap drops what was kept before, and so does
-    /// another epoch: to askers of the earlier one its records would look like those that follow.
+    /// Adds records that were read from a position. After a gap, or in another epoch, the earlier
+    /// records are dropped, since offsets are reused in a new epoch.
     pub fn add(&mut self, from: LogPosition, records: &[Vec<u8>]) {
         if from != self.end() {
             *self = LogCache { start: from, ..LogCache::default() };
@@ -93,40 +93,40 @@
             self.bytes += record.len();
             self.records.push_back(record.clone());
         }
-        while MOST_BYTES < self.bytes {
+        while MAX_BYTES < self.bytes {
             let Some(oldest) = self.records.pop_front() else { break };
             self.bytes -= oldest.len();
             self.start = self.start.after(1);
         }
     }
 
-    /// A read sent at this moment has shown that there are no more.
+    /// Records that a read sent at this time reached the end of the topic.
     pub fn prove(&mut self, sent: BootTime) {
-        self.proven = self.proven.max(Some(sent));
+        self.validated_at = self.validated_at.max(Some(sent));
     }
 
-    /// When the read was sent that proved that there are no more.
+    /// When the newest read that reached the end of the topic was sent.
     pub fn proven(&self) -> Option<BootTime> {
-        self.proven
+        self.validated_at
     }
 
-    /// Where the next record will be.
+    /// Position of the next record.
     pub fn end(&self) -> LogPosition {
         self.start.after(self.records.len())
     }
 
-    /// The records from a position on; none if they are not here or of another epoch, or if how old they are
-    /// is not known or over `longest`: whoever asks then reads for himself.
-    /// The question came at `arrived`.
+    /// The records from a position on. `None` if the cache does not hold them, or if their age is
+    /// unknown or exceeds `max_age`; the requester then reads from the store. The request was
+    /// received at `received`.
     pub fn answer(
         &self,
         from: LogPosition,
-        longest: Duration,
-        arrived: BootTime,
+        max_age: Duration,
+        received: BootTime,
         now: BootTime,
     ) -> Option<LogAnswer> {
-        let age = now.since(self.proven?);
-        if from.epoch != self.start.epoch || longest < age {
+        let age = now.since(self.validated_at?);
+        if from.epoch != self.start.epoch || max_age < age {
             return None;
         }
         if from < self.start || self.end() < from {
@@ -134,7 +134,7 @@
         }
         let skipped = (from.offset.0 - self.start.offset.0) as usize;
         let records = self.records.iter().skip(skipped).cloned().collect();
-        let held_ms = now.since(arrived).as_millis() as u64;
+        let held_ms = now.since(received).as_millis() as u64;
         Some(LogAnswer { records, age_ms: age.as_millis() as u64, held_ms })
     }
 }
--- a/crates/dispatch/src/log_position.rs
+++ b/crates/dispatch/src/log_position.rs
@@ -1,17 +1,17 @@
-//! Where to read on in a topic of the store.
+//! Positions in a topic of the store.
 
 use fulmargate_names::FencingNumber;
 use fulmargate_names::LogOffset;
 use fulmargate_names::StoreEpoch;
 
-/// Bits of a fencing number that hold an offset. Both parts together stay below 53 bits, up to which JSON
-/// readers keep whole numbers exact, for two million epochs of four thousand million records.
+/// Bits of a fencing number that hold the offset. Up to two million epochs, the number stays within
+/// the 53 bits that JSON readers represent exactly.
 const OFFSET_BITS: u32 = 32;
 
-/// An offset and the epoch in which the store gave it out.
+/// An offset and the epoch in which the store assigned it.
 ///
-/// A store that comes back from a copy has lost its newest records and gives their offsets out again. A
-/// reader that went on from an offset alone would miss the records that were put in their places.
+/// A store restored from a backup has lost its newest records and assigns their offsets again. A
+/// reader that resumed from the offset alone would miss the new records.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LogPosition {
     /// The store's epoch.
@@ -21,13 +21,14 @@
 }
 
 impl LogPosition {
-    /// The position after so many records.
+    /// The position after this many records.
     pub fn after(self, records: usize) -> LogPosition {
         LogPosition { offset: LogOffset(self.offset.0 + records as u64), ..self }
     }
 
-    /// The fencing number of a lease whose record lies here. It rises with the epoch too: the offset alone
-    /// would fall when the store has lost records, and engines would refuse the next holder or obey two.
+    /// The fencing number of a lease recorded at this position. It includes the epoch, since
+    /// offsets may be lower after a restore, and engines would then reject the next holder or obey
+    /// two.
     pub fn fence(self) -> FencingNumber {
         FencingNumber((self.epoch.0 << OFFSET_BITS) + self.offset.0)
     }
--- a/crates/dispatch/src/reader_choice.rs
+++ b/crates/dispatch/src/reader_choice.rs
@@ -1,4 +1,4 @@
-//! Who reads the store, and who asks those.
+//! Choice of the hosts that read the store for their availability zone.
 
 use std::cmp::Reverse;
 
@@ -7,34 +7,38 @@
 
 use crate::ZonePeer;
 
-/// Readers of an availability zone: one may fail, and its zone can be cut off from the others.
-const READERS: usize = 2;
+/// Two readers, since one may fail. Each zone has its own, since it may be cut off from the others.
+const READERS_PER_ZONE: usize = 2;
 
-/// Where a router gets the store's records from.
+/// Where a router gets the records of the store from.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RecordSource {
-    /// The store.
+    /// The store itself.
     Store,
-    /// The routers that read it, the one to be asked first in front.
+    /// Routers that read the store, the preferred one first.
     Routers(Vec<HostName>),
 }
 
-/// The source of a host. In a small fleet all read: it costs little and nothing depends on others. In
-/// a large one two hosts of each zone do, those with the widest links and of equal ones drawn by their
-/// names, and the others ask one of them. For a moment hosts may know different links, as they may know
-/// different hosts: who is asked and does not read says so, and the asker reads the store.
-pub fn record_source(own: &ZonePeer, zone_peers: &[ZonePeer], few_hosts: usize) -> RecordSource {
+/// Chooses the source of a host. In a zone of up to `max_direct_hosts` all hosts read the store. In
+/// a larger one the two hosts with the widest links do, ties broken by a hash of the name, and the
+/// others ask them. If hosts disagree for a moment on who reads, the one that is asked declines and
+/// the requester reads the store.
+pub fn record_source(
+    own: &ZonePeer,
+    zone_peers: &[ZonePeer],
+    max_direct_hosts: usize,
+) -> RecordSource {
     let mut hosts: Vec<&ZonePeer> = zone_peers.iter().chain([own]).collect();
-    if hosts.len() <= few_hosts {
+    if hosts.len() <= max_direct_hosts {
         return RecordSource::Store;
     }
     hosts.sort_unstable_by_key(|peer| (Reverse(peer.link_kbps), hash_of(&peer.host)));
-    hosts.truncate(READERS);
+    hosts.truncate(READERS_PER_ZONE);
     if hosts.contains(&own) {
         return RecordSource::Store;
     }
-    let turn = hash_of(&own.host) as usize % hosts.len();
-    hosts.rotate_left(turn);
+    let offset = hash_of(&own.host) as usize % hosts.len();
+    hosts.rotate_left(offset);
     RecordSource::Routers(hosts.into_iter().map(|peer| peer.host.clone()).collect())
 }
 
--- a/crates/dispatch/src/subscriber_store.rs
+++ b/crates/dispatch/src/subscriber_store.rs
@@ -1,10 +1,10 @@
-//! What a router that asks for records can do without them.
+//! Access of a requesting router to the store.
 
-/// Whether the router that asks can read the store itself.
+/// Whether a router that requests records can read the store itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SubscriberStore {
-    /// As far as it knows: refused here, it reads there.
+    /// It can, to its own knowledge, and does if its request is refused.
     InReach,
-    /// Its last read failed: refused here, it goes on without.
+    /// Its last read failed; if its request is refused, it gets no records.
     OutOfReach,
 }
--- a/crates/dispatch/src/zone_peer.rs
+++ b/crates/dispatch/src/zone_peer.rs
@@ -1,12 +1,12 @@
-//! A host of one's own availability zone.
+//! A host of the same availability zone.
 
 use fulmargate_names::HostName;
 
-/// What is known of a host of one's own availability zone.
+/// A host of the router's own availability zone.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ZonePeer {
     /// Its name.
     pub host: HostName,
-    /// What its link carries, in kbit/s; zero while it has not said so.
+    /// Bandwidth of its link, in kbit/s; zero while unknown.
     pub link_kbps: u32,
 }
