--- a/crates/dispatch/tests/configuration.rs
+++ b/crates/dispatch/tests/configuration.rs
@@ -1,4 +1,4 @@
-//! Lookups in a configuration, salts, and the age of its proof.
+//! Route lookups, cache salts, and the age of the configuration.
 
 mod support;
 
@@ -18,7 +18,7 @@
 use support::table;
 use support::team;
 
-fn named(name: &str, prefix: &str) -> RouteRule {
+fn route_with_prefix(name: &str, prefix: &str) -> RouteRule {
     let rule = route(RouteKind::Idempotent, DESK, 2);
     RouteRule { name: name.to_owned(), path_prefix: prefix.to_owned(), ..rule }
 }
@@ -29,7 +29,7 @@
     route: Option<&'static str>,
 }
 
-const ROUTES: &[RouteCase] = &[
+const ROUTE_CASES: &[RouteCase] = &[
     RouteCase { host: "shop.example", path: "/a/b/c", route: Some("long") },
     RouteCase { host: "SHOP.example", path: "/a/x", route: Some("short") },
     RouteCase { host: "shop.example", path: "/a", route: None },
@@ -39,30 +39,34 @@
 
 #[test]
 fn the_longest_prefix_wins() {
-    let table = table(vec![named("short", "/a/"), named("long", "/a/b/")], Vec::new());
-    for case in ROUTES {
+    let table = table(
+        vec![route_with_prefix("short", "/a/"), route_with_prefix("long", "/a/b/")],
+        Vec::new(),
+    );
+    for case in ROUTE_CASES {
         let found = table.route(case.host, case.path).map(|route| route.name.as_str());
         assert_eq!(found, case.route, "{}{}", case.host, case.path);
     }
 }
 
 #[test]
-fn keys_are_asked_for_where_there_are_teams() {
-    let anonymous = RouteRule { is_anonymous: true, ..named("open", "/open/") };
-    let with_teams =
-        table(vec![named("closed", "/a/"), anonymous], vec![team("red", &["k1", "k2"], false)]);
-    let closed = with_teams.route("shop.example", "/a/x").expect("a route");
-    let open = with_teams.route("shop.example", "/open/x").expect("a route");
+fn keys_are_required_where_teams_are_configured() {
+    let anonymous = RouteRule { is_anonymous: true, ..route_with_prefix("open", "/open/") };
+    let with_teams = table(
+        vec![route_with_prefix("closed", "/a/"), anonymous],
+        vec![team("red", &["k1", "k2"], false)],
+    );
+    let closed = with_teams.route("shop.example", "/a/x").expect("route not found");
+    let open = with_teams.route("shop.example", "/open/x").expect("route not found");
     assert!(with_teams.needs_key(closed));
     assert!(!with_teams.needs_key(open));
-    assert!(!table(vec![named("closed", "/a/")], Vec::new()).needs_key(closed));
+    assert!(!table(vec![route_with_prefix("closed", "/a/")], Vec::new()).needs_key(closed));
     assert_eq!(with_teams.team("k2").map(|team| team.name.clone()), Some(TeamName::new("red")));
     assert!(with_teams.team("k3").is_none());
 }
 
-/// A team that has just become isolated finds what others left in an engine's cache.
-/// The cache keeps parts under the salt they were made under; the common salt stayed the same.
-/// So the common salt changes with the set of isolated teams, on all routers alike.
+/// Guards against an isolated team sharing cached prompts with others. Caches are keyed by salt, so
+/// the common salt must change with the set of isolated teams, equally on all routers.
 #[test]
 fn salts_keep_teams_and_weights_apart() {
     let salt = |isolated: &[&str], team_name: &str, weights: u64| {
@@ -71,9 +75,13 @@
         let table = table(Vec::new(), teams.to_vec());
         table.salts().salt(Some(&TeamName::new(team_name)), &model(), WeightsVersion(weights))
     };
-    assert_eq!(salt(&[], "red", 1), salt(&[], "blue", 1), "teams share");
-    assert_ne!(salt(&[], "red", 1), salt(&[], "red", 2), "other weights");
-    assert_ne!(salt(&["red"], "red", 1), salt(&["red"], "blue", 1), "isolated");
+    assert_eq!(salt(&[], "red", 1), salt(&[], "blue", 1), "teams share a salt");
+    assert_ne!(salt(&[], "red", 1), salt(&[], "red", 2), "weights have their own salt");
+    assert_ne!(
+        salt(&["red"], "red", 1),
+        salt(&["red"], "blue", 1),
+        "an isolated team has its own salt"
+    );
     assert_ne!(salt(&["red"], "blue", 1), salt(&[], "blue", 1), "the common salt changes");
     assert_ne!(salt(&["red", "blue"], "red", 1), salt(&["red", "blue"], "blue", 1));
     assert_eq!(salt(&["red", "blue"], "green", 1), salt(&["blue", "red"], "green", 1));
@@ -81,46 +89,46 @@
 
 struct ProofCase {
     name: &'static str,
-    /// When the reads that were answered had been sent.
+    /// Send times of the answered reads.
     sent: &'static [u64],
     now: u64,
     admits: bool,
     refuses: bool,
 }
 
-const PROOFS: &[ProofCase] = &[
+const PROOF_CASES: &[ProofCase] = &[
     ProofCase {
-        name: "nothing was proved yet",
+        name: "no read was answered yet",
         sent: &[],
         now: 100,
         admits: false,
         refuses: false,
     },
-    ProofCase { name: "a young proof", sent: &[1_000], now: 2_899, admits: true, refuses: true },
+    ProofCase { name: "fresh proof", sent: &[1_000], now: 2_899, admits: true, refuses: true },
     ProofCase {
-        name: "a newer configuration may be in force elsewhere",
+        name: "too old to reject requests",
         sent: &[1_000],
         now: 2_900,
         admits: true,
         refuses: false,
     },
     ProofCase {
-        name: "just young enough",
+        name: "just fresh enough to admit requests",
         sent: &[1_000],
         now: 5_899,
         admits: true,
         refuses: false,
     },
-    ProofCase { name: "an old proof", sent: &[1_000], now: 5_900, admits: false, refuses: false },
+    ProofCase { name: "expired proof", sent: &[1_000], now: 5_900, admits: false, refuses: false },
     ProofCase {
-        name: "the newest counts",
+        name: "the newest read counts",
         sent: &[1_000, 6_500, 3_000],
         now: 8_000,
         admits: true,
         refuses: true,
     },
     ProofCase {
-        name: "a host that slept",
+        name: "host was suspended",
         sent: &[1_000],
         now: 60_000,
         admits: false,
@@ -128,18 +136,18 @@
     },
 ];
 
-/// What happens to a proof.
+/// An event that affects the proof.
 #[derive(Clone, Copy, Debug)]
 enum ProofStep {
-    /// A read was answered that was sent at this moment.
+    /// A read sent at this time was answered.
     Renew(u64),
-    /// The store was seen in this epoch first.
+    /// The store was first seen in this epoch at this time.
     Doubt(u64, u64),
-    /// Operators have written in this epoch.
+    /// Operators have rewritten the configuration in this epoch.
     Settle(u64),
     /// Another router has had this configuration in force.
     Known(u64),
-    /// This host has it in force.
+    /// This host has this configuration in force.
     InForce(u64),
 }
 
@@ -149,82 +157,81 @@
 use ProofStep::Renew;
 use ProofStep::Settle;
 
-struct DoubtCase {
+struct RestoreCase {
     name: &'static str,
     steps: &'static [ProofStep],
     now: u64,
     admits: bool,
 }
 
-const DOUBTS: &[DoubtCase] = &[
-    DoubtCase {
-        name: "a read of a restored store proves nothing",
+const RESTORE_CASES: &[RestoreCase] = &[
+    RestoreCase {
+        name: "a read of a restored store is not trusted",
         steps: &[Doubt(1, 1_000), Renew(1_500)],
         now: 1_600,
         admits: false,
     },
-    DoubtCase {
-        name: "what was proved before goes on to count",
+    RestoreCase {
+        name: "an earlier proof still counts",
         steps: &[Renew(900), Doubt(1, 1_000), Renew(1_500)],
         now: 5_700,
         admits: true,
     },
-    DoubtCase {
-        name: "and ages from then",
+    RestoreCase {
+        name: "an earlier proof expires",
         steps: &[Renew(900), Doubt(1, 1_000), Renew(1_500)],
         now: 5_800,
         admits: false,
     },
-    DoubtCase {
-        name: "operators have had time",
+    RestoreCase {
+        name: "the grace period is over",
         steps: &[Doubt(1, 1_000), Renew(3_000)],
         now: 3_100,
         admits: true,
     },
-    DoubtCase {
-        name: "operators have written",
+    RestoreCase {
+        name: "operators have rewritten",
         steps: &[Doubt(1, 1_000), Renew(1_500), Settle(1)],
         now: 1_600,
         admits: true,
     },
-    DoubtCase {
-        name: "what was written before the store came back settles nothing",
+    RestoreCase {
+        name: "operators wrote before the restore",
         steps: &[Doubt(1, 1_000), Renew(1_500), Settle(0)],
         now: 1_600,
         admits: false,
     },
-    DoubtCase {
-        name: "it comes back again",
+    RestoreCase {
+        name: "the store is restored again",
         steps: &[Doubt(1, 1_000), Renew(1_500), Doubt(2, 2_900), Renew(3_000), Settle(1)],
         now: 3_100,
         admits: false,
     },
-    DoubtCase {
-        name: "a late reader of the same epoch begins no new doubt",
+    RestoreCase {
+        name: "a late reader reports the same epoch again",
         steps: &[Doubt(1, 1_000), Settle(1), Doubt(1, 2_900), Renew(3_000)],
         now: 3_100,
         admits: true,
     },
-    DoubtCase {
-        name: "others know a newer configuration",
+    RestoreCase {
+        name: "another router has a newer configuration",
         steps: &[InForce(5), Known(7), Renew(3_000)],
         now: 3_100,
         admits: false,
     },
-    DoubtCase {
-        name: "it is here now",
+    RestoreCase {
+        name: "this host has caught up",
         steps: &[InForce(5), Known(7), Renew(3_000), InForce(7)],
         now: 3_100,
         admits: true,
     },
 ];
 
-/// A key that was taken away works again after the store has come back from a copy.
-/// The copy does not hold the configuration that took it, and a read shows the one before as the newest. Such
-/// a read counts only once operators have written again what was lost, or have had time to.
+/// Guards against admitting a revoked key after the store was restored from a backup without the
+/// configuration that revoked it. Reads count only once operators have rewritten it or had time to.
 #[test]
-fn a_restored_store_proves_nothing_at_first() {
-    for case in DOUBTS {
+fn reads_of_a_restored_store_are_not_trusted_at_first() {
+    for case in RESTORE_CASES {
         let mut proof =
             ConfigProof::new(Duration::from_millis(4_900), Duration::from_millis(1_900));
         for step in case.steps {
@@ -240,13 +247,12 @@
     }
 }
 
-/// A key was taken away, and a host that the store turns away goes on to serve it.
-/// Its last read was answered late: what the answer proves is the moment of sending.
-/// The age is counted from there, on a clock that goes on while the host sleeps. A caller whose route is
-/// new is refused for good long before that, by a host that has not read the configuration yet.
+/// Guards against admitting a revoked key on a host without the store. The proof must age from the
+/// time its read was sent, not answered, also during suspension. Requests without a known route
+/// must stop being rejected earlier than keys stop being admitted.
 #[test]
-fn a_proof_ages_from_its_sending() {
-    for case in PROOFS {
+fn a_proof_ages_from_the_time_its_read_was_sent() {
+    for case in PROOF_CASES {
         let mut proof =
             ConfigProof::new(Duration::from_millis(4_900), Duration::from_millis(1_900));
         for sent in case.sent {
--- a/crates/dispatch/tests/gossip_topologies.rs
+++ b/crates/dispatch/tests/gossip_topologies.rs
@@ -1,4 +1,4 @@
-//! How words between routers go in fleets of any size.
+//! Gossip topologies of fleets of all sizes.
 
 use std::time::Duration;
 
@@ -16,33 +16,35 @@
 use tokio::time::Instant;
 
 const DIRECT_HOSTS: usize = 32;
-const NARROW: u32 = 20_000;
-const WIDE: u32 = 200_000;
-/// Turns of relays within which a word reaches all: its own relay's, and that of the hearer's zone.
-const RELAY_TURNS: usize = 2;
+const NARROW_KBPS: u32 = 20_000;
+const WIDE_KBPS: u32 = 200_000;
+/// Forwarding steps within which a message reaches all hosts: through a relay of its own zone and
+/// through one of the receiver's.
+const RELAY_HOPS: usize = 2;
 
-/// Hosts of some zones; the first ones of each have wide links.
+/// Zones of equal size; the first `wide` hosts of each have wide links.
 fn fleet(zones: usize, hosts: usize, wide: usize) -> Vec<FleetHost> {
     let host = |zone: usize, number: usize| FleetHost {
         host: HostName::new(&format!("host-{zone}-{number}")),
         zone: ZoneName::new(&format!("zone-{zone}")),
-        link_kbps: if number < wide { WIDE } else { NARROW },
+        link_kbps: if number < wide { WIDE_KBPS } else { NARROW_KBPS },
     };
     (0..zones).flat_map(|zone| (0..hosts).map(move |number| host(zone, number))).collect()
 }
 
-/// Hosts with their choices of relays, and what each relay has to pass on.
+/// Simulated hosts with their choices of relays.
 struct TestFleet {
     hosts: Vec<FleetHost>,
     choices: Vec<RelayChoice>,
-    /// Hosts that are dead or frozen.
-    silent: IndexSet<HostName>,
-    /// The words heard, by hearer and speaker.
-    heard: IndexMap<(usize, usize), usize>,
-    /// Who wants the words of a relay.
-    listeners: IndexMap<usize, IndexSet<usize>>,
-    waiting: IndexMap<usize, Vec<usize>>,
-    /// Messages sent by each host.
+    /// Hosts that have crashed or are frozen.
+    failed: IndexSet<HostName>,
+    /// Number of messages received, by receiver and origin.
+    received: IndexMap<(usize, usize), usize>,
+    /// Subscribers of each relay.
+    subscribers: IndexMap<usize, IndexSet<usize>>,
+    /// Origins of the messages that each host has yet to forward.
+    pending: IndexMap<usize, Vec<usize>>,
+    /// Number of messages sent by each host.
     sent: Vec<usize>,
 }
 
@@ -53,88 +55,90 @@
         TestFleet {
             hosts,
             choices,
-            silent: IndexSet::new(),
-            heard: IndexMap::new(),
-            listeners: IndexMap::new(),
-            waiting: IndexMap::new(),
+            failed: IndexSet::new(),
+            received: IndexMap::new(),
+            subscribers: IndexMap::new(),
+            pending: IndexMap::new(),
             sent,
         }
     }
 
     fn index(&self, host: &HostName) -> usize {
-        self.hosts.iter().position(|other| other.host == *host).expect("a host of the fleet")
+        self.hosts.iter().position(|other| other.host == *host).expect("host is not in the fleet")
     }
 
-    /// All speak once, and relays pass on what they have heard.
+    /// Every host sends once, and relays forward what they have received.
     fn round(&mut self, now: Instant) {
-        self.heard.clear();
-        self.listeners.clear();
-        let route = GossipTopology::new(&self.hosts, DIRECT_HOSTS);
-        for speaker in 0..self.hosts.len() {
-            if !self.silent.contains(&self.hosts[speaker].host) {
-                self.speak(&route, speaker, now);
+        self.received.clear();
+        self.subscribers.clear();
+        let topology = GossipTopology::new(&self.hosts, DIRECT_HOSTS);
+        for sender in 0..self.hosts.len() {
+            if !self.failed.contains(&self.hosts[sender].host) {
+                self.send(&topology, sender, now);
             }
         }
-        for _ in 0..RELAY_TURNS {
-            self.pass_on(now);
+        for _ in 0..RELAY_HOPS {
+            self.forward(now);
         }
     }
 
-    fn speak(&mut self, route: &GossipTopology, speaker: usize, now: Instant) {
-        let own = self.hosts[speaker].clone();
-        let targets = route.targets(&own, &mut self.choices[speaker], now).expect("relays");
-        self.sent[speaker] += targets.len();
-        self.waiting.entry(speaker).or_default().push(speaker);
+    fn send(&mut self, topology: &GossipTopology, sender: usize, now: Instant) {
+        let own = self.hosts[sender].clone();
+        let targets =
+            topology.targets(&own, &mut self.choices[sender], now).expect("topology has no relays");
+        self.sent[sender] += targets.len();
+        self.pending.entry(sender).or_default().push(sender);
         for GossipTarget { host, subscribes } in targets {
-            let hearer = self.index(&host);
-            if self.silent.contains(&host) {
+            let receiver = self.index(&host);
+            if self.failed.contains(&host) {
                 continue;
             }
-            let zone = &self.hosts[hearer].zone;
+            let zone = &self.hosts[receiver].zone;
             if is_taken_in(GossipPath::Direct, subscribes, &own.zone, zone) {
-                *self.heard.entry((hearer, speaker)).or_default() += 1;
+                *self.received.entry((receiver, sender)).or_default() += 1;
             }
             if subscribes {
-                self.listeners.entry(hearer).or_default().insert(speaker);
+                self.subscribers.entry(receiver).or_default().insert(sender);
             }
-            if is_passed_on(GossipPath::Direct, &own.zone, &self.hosts[hearer].zone) {
-                self.waiting.entry(hearer).or_default().push(speaker);
+            if is_passed_on(GossipPath::Direct, &own.zone, &self.hosts[receiver].zone) {
+                self.pending.entry(receiver).or_default().push(sender);
             }
         }
     }
 
-    fn pass_on(&mut self, now: Instant) {
-        for (relay, words) in std::mem::take(&mut self.waiting) {
+    fn forward(&mut self, now: Instant) {
+        for (relay, origins) in std::mem::take(&mut self.pending) {
             let zone = self.hosts[relay].zone.clone();
-            for listener in self.listeners.get(&relay).cloned().unwrap_or_default() {
+            for subscriber in self.subscribers.get(&relay).cloned().unwrap_or_default() {
                 let relay_host = self.hosts[relay].host.clone();
-                self.choices[listener].heard(&relay_host, now);
+                self.choices[subscriber].heard(&relay_host, now);
                 self.sent[relay] += 1;
-                let is_near = self.hosts[listener].zone == zone;
-                for speaker in words.iter().copied().filter(|speaker| *speaker != listener) {
-                    if !is_near && self.hosts[speaker].zone != zone {
+                let is_same_zone = self.hosts[subscriber].zone == zone;
+                for sender in origins.iter().copied().filter(|sender| *sender != subscriber) {
+                    if !is_same_zone && self.hosts[sender].zone != zone {
                         continue;
                     }
-                    *self.heard.entry((listener, speaker)).or_default() += 1;
-                    let (origin, own) = (&self.hosts[speaker].zone, &self.hosts[listener].zone);
+                    *self.received.entry((subscriber, sender)).or_default() += 1;
+                    let (origin, own) = (&self.hosts[sender].zone, &self.hosts[subscriber].zone);
                     if is_passed_on(GossipPath::Relayed, origin, own) {
-                        self.waiting.entry(listener).or_default().push(speaker);
+                        self.pending.entry(subscriber).or_default().push(sender);
                     }
                 }
             }
         }
     }
 
-    /// Hearers and speakers of whom no word came, and of whom more than one came.
-    fn faults(&self) -> (usize, usize) {
-        let speaking = |index: &usize| !self.silent.contains(&self.hosts[*index].host);
-        let all: Vec<usize> = (0..self.hosts.len()).filter(speaking).collect();
+    /// Number of pairs of hosts of which one did not receive the other's message, and of those with
+    /// duplicates.
+    fn lost_and_duplicates(&self) -> (usize, usize) {
+        let is_running = |index: &usize| !self.failed.contains(&self.hosts[*index].host);
+        let all: Vec<usize> = (0..self.hosts.len()).filter(is_running).collect();
         let pairs = all.iter().flat_map(|one| all.iter().map(move |other| (*one, *other)));
         let pairs: Vec<(usize, usize)> = pairs.filter(|(one, other)| one != other).collect();
-        let count = |pair: &(usize, usize)| self.heard.get(pair).copied().unwrap_or_default();
+        let count = |pair: &(usize, usize)| self.received.get(pair).copied().unwrap_or_default();
         let lost = pairs.iter().filter(|pair| count(pair) == 0).count();
-        let twice = pairs.iter().filter(|pair| 1 < count(pair)).count();
-        (lost, twice)
+        let duplicate = pairs.iter().filter(|pair| 1 < count(pair)).count();
+        (lost, duplicate)
     }
 }
 
@@ -143,126 +147,172 @@
     zones: usize,
     hosts: usize,
     wide: usize,
-    /// Messages of a host that passes nothing on, and of the busiest relay, in a turn.
-    most_sent: usize,
-    most_relayed: usize,
+    /// Maximum number of messages that a host which is no relay, and a relay, send in a round.
+    max_sent: usize,
+    max_relayed: usize,
 }
 
-const FLEETS: &[FleetCase] = &[
+const FLEET_CASES: &[FleetCase] = &[
     FleetCase {
         name: "90 hosts in four zones",
         zones: 4,
         hosts: 23,
         wide: 2,
-        most_sent: 2,
-        most_relayed: 60,
+        max_sent: 2,
+        max_relayed: 60,
     },
     FleetCase {
         name: "195 hosts in five zones",
         zones: 5,
         hosts: 39,
         wide: 3,
-        most_sent: 2,
-        most_relayed: 100,
+        max_sent: 2,
+        max_relayed: 100,
     },
     FleetCase {
         name: "740 hosts in ten zones",
         zones: 10,
         hosts: 74,
         wide: 6,
-        most_sent: 6,
-        most_relayed: 200,
-    },
-    FleetCase {
-        name: "no wide links",
-        zones: 5,
-        hosts: 39,
-        wide: 0,
-        most_sent: 9,
-        most_relayed: 60,
+        max_sent: 6,
+        max_relayed: 200,
     },
+    FleetCase { name: "no wide links", zones: 5, hosts: 39, wide: 0, max_sent: 9, max_relayed: 60 },
 ];
 
-/// Routers choose by what others had under way half a second ago, and each sends hundreds of messages a second.
-/// Words went from all to all. Through relays each host hears each other one's word exactly once, and sends a
-/// few messages at any size.
+/// Guards against traffic that grows with the square of the fleet. Through relays each host must
+/// receive each other one's message exactly once, and send a few messages at any fleet size.
 #[test]
-fn each_word_reaches_each_host_once() {
-    for case in FLEETS {
+fn each_message_reaches_each_host_once() {
+    for case in FLEET_CASES {
         let mut fleet = TestFleet::new(fleet(case.zones, case.hosts, case.wide));
         let start = Instant::now();
         fleet.round(start);
         fleet.sent.fill(0);
         fleet.round(start + Duration::from_millis(200));
-        assert_eq!(fleet.faults(), (0, 0), "{}: words lost, words heard twice", case.name);
-        let route = GossipTopology::new(&fleet.hosts, DIRECT_HOSTS);
+        assert_eq!(
+            fleet.lost_and_duplicates(),
+            (0, 0),
+            "{}: messages lost, messages duplicated",
+            case.name
+        );
+        let topology = GossipTopology::new(&fleet.hosts, DIRECT_HOSTS);
         let relays: IndexSet<HostName> =
-            route.relays.expect("relays").into_values().flatten().collect();
+            topology.relays.expect("topology has no relays").into_values().flatten().collect();
         for (host, sent) in fleet.hosts.iter().zip(&fleet.sent) {
             let is_relay = relays.contains(&host.host);
-            let most = if is_relay { case.most_relayed } else { case.most_sent };
-            assert!(*sent <= most, "{}: {} sent {sent}", case.name, host.host);
+            let max_sent = if is_relay { case.max_relayed } else { case.max_sent };
+            assert!(*sent <= max_sent, "{}: {} sent {sent} messages", case.name, host.host);
         }
     }
 }
 
-/// A whole zone chooses by old words for seconds.
-/// The host that passes words on to it is killed, frozen or cut off. Those that hear nothing of it for some
-/// hundred milliseconds turn to the next one, whatever else is known of it.
+/// Guards against a zone choosing by outdated loads for seconds after its relay has failed.
 #[test]
-fn a_silent_relay_is_left() {
+fn a_failed_relay_is_replaced() {
     let mut fleet = TestFleet::new(fleet(5, 39, 3));
     let start = Instant::now();
-    let pace = Duration::from_millis(195);
+    let interval = Duration::from_millis(195);
     let mut now = start;
     for _ in 0..3 {
         fleet.round(now);
-        now += pace;
+        now += interval;
     }
-    let route = GossipTopology::new(&fleet.hosts, DIRECT_HOSTS);
-    let relays = route.relays.expect("relays");
-    fleet.silent.insert(relays["zone-1"][0].clone());
-    let begun = now;
-    while fleet.faults() != (0, 0) || now == begun {
-        assert!(now - begun < Duration::from_secs(1), "{:?} after a second", fleet.faults());
+    let topology = GossipTopology::new(&fleet.hosts, DIRECT_HOSTS);
+    let relays = topology.relays.expect("topology has no relays");
+    fleet.failed.insert(relays["zone-1"][0].clone());
+    let failed_at = now;
+    while fleet.lost_and_duplicates() != (0, 0) || now == failed_at {
+        assert!(
+            now - failed_at < Duration::from_secs(1),
+            "{:?} lost and duplicate messages after a second",
+            fleet.lost_and_duplicates()
+        );
         fleet.round(now);
-        now += pace;
+        now += interval;
     }
 }
 
-struct PaceCase {
+struct IntervalCase {
     name: &'static str,
     zones: usize,
     hosts: usize,
     wide: usize,
-    /// The longest pause between two words, in milliseconds.
-    most_ms: u64,
+    /// Upper bound of the interval between two messages, in milliseconds.
+    max_interval_ms: u64,
     relays: Option<usize>,
 }
 
-const PACES: &[PaceCase] = &[
-    PaceCase { name: "8 hosts", zones: 2, hosts: 4, wide: 0, most_ms: 29, relays: None },
-    PaceCase { name: "32 hosts", zones: 4, hosts: 8, wide: 0, most_ms: 94, relays: None },
-    PaceCase { name: "92 hosts", zones: 4, hosts: 23, wide: 2, most_ms: 92, relays: Some(2) },
-    PaceCase { name: "195 hosts", zones: 5, hosts: 39, wide: 3, most_ms: 195, relays: Some(2) },
-    PaceCase { name: "740 hosts", zones: 10, hosts: 74, wide: 7, most_ms: 600, relays: Some(5) },
-    PaceCase { name: "narrow links", zones: 5, hosts: 39, wide: 0, most_ms: 600, relays: Some(8) },
+const INTERVAL_CASES: &[IntervalCase] = &[
+    IntervalCase {
+        name: "8 hosts",
+        zones: 2,
+        hosts: 4,
+        wide: 0,
+        max_interval_ms: 29,
+        relays: None,
+    },
+    IntervalCase {
+        name: "32 hosts",
+        zones: 4,
+        hosts: 8,
+        wide: 0,
+        max_interval_ms: 94,
+        relays: None,
+    },
+    IntervalCase {
+        name: "92 hosts",
+        zones: 4,
+        hosts: 23,
+        wide: 2,
+        max_interval_ms: 92,
+        relays: Some(2),
+    },
+    IntervalCase {
+        name: "195 hosts",
+        zones: 5,
+        hosts: 39,
+        wide: 3,
+        max_interval_ms: 195,
+        relays: Some(2),
+    },
+    IntervalCase {
+        name: "740 hosts",
+        zones: 10,
+        hosts: 74,
+        wide: 7,
+        max_interval_ms: 600,
+        relays: Some(5),
+    },
+    IntervalCase {
+        name: "narrow links",
+        zones: 5,
+        hosts: 39,
+        wide: 0,
+        max_interval_ms: 600,
+        relays: Some(8),
+    },
 ];
 
 #[test]
-fn paces_and_relays() {
-    for case in PACES {
+fn intervals_and_relay_counts() {
+    for case in INTERVAL_CASES {
         let hosts = fleet(case.zones, case.hosts, case.wide);
-        let route = GossipTopology::new(&hosts, DIRECT_HOSTS);
-        assert!(route.pace.as_millis() as u64 <= case.most_ms, "{}: {:?}", case.name, route.pace);
-        let relays = route.relays.map(|relays| relays["zone-0"].len());
+        let topology = GossipTopology::new(&hosts, DIRECT_HOSTS);
+        assert!(
+            topology.pace.as_millis() as u64 <= case.max_interval_ms,
+            "{}: {:?}",
+            case.name,
+            topology.pace
+        );
+        let relays = topology.relays.map(|relays| relays["zone-0"].len());
         assert_eq!(relays, case.relays, "{}", case.name);
     }
 }
 
-/// Hosts that have not said what their links carry are not trusted with others' words.
+/// Hosts whose bandwidth is unknown must not become relays.
 #[test]
-fn unknown_links_pass_nothing_on() {
+fn hosts_with_unknown_links_do_not_relay() {
     let mut hosts = fleet(5, 39, 0);
     hosts.iter_mut().for_each(|host| host.link_kbps = 0);
     assert_eq!(GossipTopology::new(&hosts, DIRECT_HOSTS).relays, None);
--- a/crates/dispatch/tests/hearing.rs
+++ b/crates/dispatch/tests/hearing.rs
@@ -1,4 +1,4 @@
-//! When a router that has just started takes its share of common work.
+//! Startup delay until a router takes its share of common work.
 
 use std::time::Duration;
 
@@ -6,67 +6,65 @@
 use fulmargate_names::HostName;
 use tokio::time::Instant;
 
-struct HearingCase {
+struct DiscoveryCase {
     name: &'static str,
-    /// Hosts in the routers' topic, by the time they are first seen there.
+    /// Hosts in the fleet topic, with the time in milliseconds at which each appears.
     members: &'static [(u64, &'static str)],
-    /// Milliseconds after the start, and whether the others can have been heard by then.
-    looks: &'static [(u64, bool)],
+    /// Times in milliseconds after the start, and whether discovery must be over by then.
+    checks: &'static [(u64, bool)],
 }
 
-const CASES: &[HearingCase] = &[
-    HearingCase {
-        name: "among others",
+const DISCOVERY_CASES: &[DiscoveryCase] = &[
+    DiscoveryCase {
+        name: "other hosts are in the topic",
         members: &[(0, "other"), (40, "own")],
-        looks: &[(0, false), (500, false), (2_400, false), (3_000, false), (3_100, true)],
+        checks: &[(0, false), (500, false), (2_400, false), (3_000, false), (3_100, true)],
     },
-    HearingCase {
-        name: "records of the others have expired",
+    DiscoveryCase {
+        name: "the records of other hosts have expired",
         members: &[(40, "own")],
-        looks: &[(0, false), (500, false), (2_400, false), (3_100, true)],
+        checks: &[(0, false), (500, false), (2_400, false), (3_100, true)],
     },
-    HearingCase {
-        name: "the others learn late that it is there",
+    DiscoveryCase {
+        name: "its own record appears late",
         members: &[(0, "other"), (2_000, "own")],
-        looks: &[(2_000, false), (3_100, false), (4_400, false), (5_100, true)],
+        checks: &[(2_000, false), (3_100, false), (4_400, false), (5_100, true)],
     },
-    HearingCase {
+    DiscoveryCase {
         name: "its own record cannot be written",
         members: &[],
-        looks: &[(3_100, false), (7_900, false), (8_000, true), (20_000, true)],
+        checks: &[(3_100, false), (7_900, false), (8_000, true), (20_000, true)],
     },
-    HearingCase {
-        name: "its own record is written after it went on without",
+    DiscoveryCase {
+        name: "its own record appears after the timeout",
         members: &[(9_000, "own")],
-        looks: &[(8_000, true), (9_000, true), (9_500, true)],
+        checks: &[(8_000, true), (9_000, true), (9_500, true)],
     },
 ];
 
-/// A host that has just started answers nobody for ten seconds: no connection to it or from it opens in
-/// time, and streams through it are cut.
-/// It had heard no other router yet, so took itself for the only one, and asked all engines at once for
-/// all that they had kept. Its link was full, and with that it went on hearing nobody.
-/// Others open their links to it, and speak, some seconds after they know that it is there.
+/// Guards against a starting router that knows no other yet and requests the cache contents of all
+/// engines, which saturates its link. Other routers need some seconds to connect to it.
 #[test]
-fn common_work_waits_until_others_can_have_been_heard() {
+fn shared_work_waits_until_other_routers_are_known() {
     let own = HostName::new("own");
-    for case in CASES {
+    for case in DISCOVERY_CASES {
         let start = Instant::now();
-        let mut hearing = LastSeen::new(start);
-        for (at, is_over) in looks_from_start(case) {
+        let mut discovery = LastSeen::new(start);
+        for (at, is_over) in checks_from_start(case) {
             let seen = case.members.iter().filter(|(from, _)| *from <= at);
             let members: Vec<HostName> = seen.map(|(_, host)| HostName::new(host)).collect();
-            let found = hearing.is_over(&own, &members, start + Duration::from_millis(at));
+            let actual = discovery.is_over(&own, &members, start + Duration::from_millis(at));
             if let Some(is_over) = is_over {
-                assert_eq!(found, is_over, "{} after {at} ms", case.name);
+                assert_eq!(actual, is_over, "{} after {at} ms", case.name);
             }
         }
     }
 }
 
-/// The list is looked at each 100 ms and at the moments that the case names.
-fn looks_from_start(case: &HearingCase) -> Vec<(u64, Option<bool>)> {
-    let last = case.looks.last().map_or(0, |(at, _)| *at);
-    let named = |at: u64| case.looks.iter().find(|(look, _)| *look == at).map(|(_, over)| *over);
-    (0..=last).step_by(100).map(|at| (at, named(at))).collect()
+/// Checks every 100 ms; only the times that the case names have an expected result.
+fn checks_from_start(case: &DiscoveryCase) -> Vec<(u64, Option<bool>)> {
+    let last = case.checks.last().map_or(0, |(at, _)| *at);
+    let expected_at =
+        |at: u64| case.checks.iter().find(|(check, _)| *check == at).map(|(_, over)| *over);
+    (0..=last).step_by(100).map(|at| (at, expected_at(at))).collect()
 }
--- a/crates/dispatch/tests/restarts.rs
+++ b/crates/dispatch/tests/restarts.rs
@@ -1,4 +1,4 @@
-//! Servers that start again under their old names.
+//! Servers that restart under the same name.
 
 mod support;
 
@@ -35,9 +35,9 @@
 use support::zone;
 use tokio::time::Instant;
 
-const RECORD: &[(u64, u32)] = &[(11, 2_500), (12, 3_800)];
+const PROMPT_PARTS: &[(u64, u32)] = &[(11, 2_500), (12, 3_800)];
 
-/// One engine.
+/// A router with one engine.
 struct RestartWorld {
     book: ServerBook,
     table: RouteTable,
@@ -74,23 +74,21 @@
     }
 
     fn send(&mut self, id: &str) -> EngineChoice {
-        let call = prompt_call(id, RECORD, self.now);
-        let choice = self.choose(&call, &[]).expect("an engine");
+        let call = prompt_call(id, PROMPT_PARTS, self.now);
+        let choice = self.choose(&call, &[]).expect("no engine was chosen");
         self.book.begin_prompt(&call, &choice, self.now);
         choice
     }
 }
 
-/// A caller waits for parts to be read that were thought to be cached.
-/// The engine crashes and starts again under its name with an empty memory; routers that were told
-/// before of prompts, of loads and of a load of weights there go on telling. None of it is about the new
-/// start, so that nothing may be believed of it until it is told of itself.
+/// Guards against believing a restarted engine to have the cache, load and weights of its earlier
+/// incarnation, including what other routers report late.
 #[test]
-fn a_new_start_under_an_old_name_knows_nothing() {
+fn state_of_an_earlier_incarnation_is_discarded() {
     let mut world = RestartWorld::new();
     let old = world.start_engine(6);
     let first = world.send("c1");
-    let open = world.book.begin(&prompt_call("c0", RECORD, world.now), old, world.now);
+    let open = world.book.begin(&prompt_call("c0", PROMPT_PARTS, world.now), old, world.now);
     world.book.unreachable(old, world.now);
     world.book.forget(old);
     let new = world.start_engine(7);
@@ -100,7 +98,7 @@
         backlog.add(Urgency::timely(0), 90_000.0);
         backlog
     };
-    let late_news = GossipMessage {
+    let late_message = GossipMessage {
         host: Some(HostName::new("other")),
         loads: vec![PeerLoad { server: old, open: 40, chats: 9, backlog }],
         loading: vec![LoadingNotice {
@@ -116,15 +114,27 @@
         }],
         ..GossipMessage::default()
     };
-    world.book.hear(&late_news, world.now);
-    let call = prompt_call("c2", RECORD, world.now);
-    let choice = world.choose(&call, &[old]).expect("the new start is open");
+    world.book.hear(&late_message, world.now);
+    let call = prompt_call("c2", PROMPT_PARTS, world.now);
+    let choice = world.choose(&call, &[old]).expect("the new incarnation was not chosen");
     assert_eq!(choice.server.key(), new);
-    assert_eq!(choice.reason, ChoiceReason::Home, "it is open: neither unreachable nor loading");
+    assert_eq!(
+        choice.reason,
+        ChoiceReason::Home,
+        "the new incarnation is neither unreachable nor loading"
+    );
     assert_eq!(choice.weights, WeightsVersion(1));
-    assert_eq!(choice.read_tokens, f64::from(call.prompt_tokens()), "nothing is cached there");
-    assert_eq!(world.book.open_at(new), 0, "nor is anything under way");
+    assert_eq!(
+        choice.read_tokens,
+        f64::from(call.prompt_tokens()),
+        "nothing is cached at the new incarnation"
+    );
+    assert_eq!(world.book.open_at(new), 0, "no requests are in progress at the new incarnation");
     world.book.begin(&call, new, world.now);
     world.book.left(&open);
-    assert_eq!(world.book.open_at(new), 1, "what leaves the old start does not leave the new one");
+    assert_eq!(
+        world.book.open_at(new),
+        1,
+        "the end of an old request does not affect the new incarnation"
+    );
 }
--- a/crates/dispatch/tests/restores.rs
+++ b/crates/dispatch/tests/restores.rs
@@ -1,4 +1,4 @@
-//! The lease on orders while the store goes back to copies of itself.
+//! The lease on orders to engines while the store is restored from backups.
 
 use std::time::Duration;
 
@@ -19,7 +19,7 @@
 use quickcheck::Gen;
 use quickcheck::QuickCheck;
 
-const LEASE: Duration = Duration::from_millis(3_000);
+const LEASE_DURATION: Duration = Duration::from_millis(3_000);
 const HOSTS: [&str; 3] = ["h0", "h1", "h2"];
 const SEED: u64 = 5;
 
@@ -27,36 +27,36 @@
     FleetRecord::Lease { host: HostName::new(host), incarnation: Incarnation(1), epoch }
 }
 
-fn joined(host: &str) -> FleetRecord {
+fn joined_record(host: &str) -> FleetRecord {
     FleetRecord::Joined {
         host: HostName::new(host),
         incarnation: Incarnation(1),
-        address: "127.0.0.1:1".parse().expect("an address"),
+        address: "127.0.0.1:1".parse().expect("valid address"),
         zone: ZoneName::new("north"),
         link_kbps: 20_000,
         epoch: StoreEpoch(0),
     }
 }
 
-/// The routers' topic, which may go back to a copy.
+/// The fleet topic of a store that may be restored from a backup.
 struct TestTopic {
     epoch: StoreEpoch,
     records: Vec<FleetRecord>,
-    copy: Vec<FleetRecord>,
+    backup: Vec<FleetRecord>,
 }
 
 impl TestTopic {
     fn new() -> TestTopic {
-        let records: Vec<FleetRecord> = HOSTS.into_iter().map(joined).collect();
-        TestTopic { epoch: StoreEpoch(0), copy: records.clone(), records }
+        let records: Vec<FleetRecord> = HOSTS.into_iter().map(joined_record).collect();
+        TestTopic { epoch: StoreEpoch(0), backup: records.clone(), records }
     }
 
     fn restore(&mut self) {
         self.epoch.0 += 1;
-        self.records = self.copy.clone();
+        self.records = self.backup.clone();
     }
 
-    /// Where the record lies; none where the topic has moved on.
+    /// Returns the position of the record; `None` if the topic does not end at `at`.
     fn append(&mut self, at: LogPosition, record: FleetRecord) -> Option<LogPosition> {
         if at.offset.0 != self.records.len() as u64 {
             return None;
@@ -69,16 +69,16 @@
 struct TestRouter {
     host: &'static str,
     fold: FleetFold,
-    desk: LeaseKeeper,
+    keeper: LeaseKeeper,
 }
 
 impl TestRouter {
     fn new(host: &'static str) -> TestRouter {
-        let desk = LeaseKeeper::new(HostName::new(host), LEASE);
-        TestRouter { host, fold: FleetFold::default(), desk }
+        let keeper = LeaseKeeper::new(HostName::new(host), LEASE_DURATION);
+        TestRouter { host, fold: FleetFold::default(), keeper }
     }
 
-    /// In another epoch than before the topic is read from its beginning.
+    /// Reads the topic, from its beginning if the epoch has changed.
     fn read(&mut self, topic: &TestTopic, now: BootTime) {
         self.fold.begin_epoch(topic.epoch, now);
         let from = self.fold.end().offset.0 as usize;
@@ -87,21 +87,22 @@
         }
     }
 
-    fn decide(&mut self, topic: &mut TestTopic, is_answered: bool, now: BootTime) {
+    fn decide(&mut self, topic: &mut TestTopic, is_acknowledged: bool, now: BootTime) {
         if !self.fold.is_read() {
             return;
         }
-        let step = self.desk.step(&self.fold, BootTime(0), LinkRank::Equal, now);
+        let step = self.keeper.step(&self.fold, BootTime(0), LinkRank::Equal, now);
         let LeaseStep::Append { at } = step else { return };
         let Some(position) = topic.append(at, lease_record(self.host, at.epoch)) else { return };
-        // An append that went into another epoch than it rested on is no lease.
-        if is_answered && position.epoch == at.epoch {
-            self.desk.appended(position.fence(), now);
+        // A record that was appended in a later epoch than it was based on does not grant the
+        // lease.
+        if is_acknowledged && position.epoch == at.epoch {
+            self.keeper.appended(position.fence(), now);
         }
     }
 }
 
-/// An order that left a router.
+/// An order that a router has sent.
 #[derive(Clone, Copy, Debug)]
 struct SentOrder {
     host: &'static str,
@@ -109,23 +110,24 @@
     at: BootTime,
 }
 
-/// Plays steps of random routers and of the store. Returns the orders and how often the store went back.
+/// Runs random steps of random routers and of the store. Returns the orders and the number of
+/// restores.
 fn play(steps: Vec<(u8, u8, u16)>) -> (Vec<SentOrder>, u64) {
     let mut routers: Vec<TestRouter> = HOSTS.into_iter().map(TestRouter::new).collect();
     let mut topic = TestTopic::new();
     let mut orders = Vec::new();
     let mut now = BootTime(10_000);
-    for (who, what, pause) in steps {
+    for (router_index, action, pause) in steps {
         now = now.after(Duration::from_millis(u64::from(pause) % 900));
-        let router = &mut routers[usize::from(who) % HOSTS.len()];
-        match what % 16 {
+        let router = &mut routers[usize::from(router_index) % HOSTS.len()];
+        match action % 16 {
             0..=4 => router.read(&topic, now),
-            5..=9 => router.decide(&mut topic, what % 2 == 1, now),
-            10 => topic.copy = topic.records.clone(),
+            5..=9 => router.decide(&mut topic, action % 2 == 1, now),
+            10 => topic.backup = topic.records.clone(),
             11 => topic.restore(),
-            12 if what % 64 == 12 => *router = TestRouter::new(router.host),
+            12 if action % 64 == 12 => *router = TestRouter::new(router.host),
             _ => {
-                if let Some(fence) = router.desk.usable_fence(now) {
+                if let Some(fence) = router.keeper.usable_fence(now) {
                     orders.push(SentOrder { host: router.host, fence, at: now });
                 }
             }
@@ -134,11 +136,10 @@
     (orders, topic.epoch.0)
 }
 
-/// Two routers order the same engines by turns, or an engine refuses each order of the next holder.
-/// The store has lost the record of a lease, and another router, that finds none, takes it while the first
-/// one acts on; or the offset that is its number was given out before.
+/// Guards against two holders at once after the store has lost a lease record, and against fencing
+/// numbers that are reused or fall.
 #[test]
-fn holders_do_not_overlap_when_the_store_goes_back() {
+fn holders_do_not_overlap_when_the_store_is_restored() {
     fn property(steps: Vec<(u8, u8, u16)>) -> bool {
         let (orders, _) = play(steps);
         orders.windows(2).all(|pair| {
@@ -156,135 +157,153 @@
 }
 
 #[test]
-fn the_histories_have_restores_and_several_holders() {
-    let mut source = Gen::from_size_and_seed(200, SEED);
-    let (mut moves, mut restores) = (0, 0);
+fn histories_contain_restores_and_several_holders() {
+    let mut generator = Gen::from_size_and_seed(200, SEED);
+    let (mut holder_changes, mut restores) = (0, 0);
     for _ in 0..500 {
-        let steps: Vec<(u8, u8, u16)> = quickcheck::Arbitrary::arbitrary(&mut source);
-        let (orders, epochs) = play(steps);
-        moves += orders.windows(2).filter(|pair| pair[0].host != pair[1].host).count();
-        restores += epochs;
+        let steps: Vec<(u8, u8, u16)> = quickcheck::Arbitrary::arbitrary(&mut generator);
+        let (orders, restore_count) = play(steps);
+        holder_changes += orders.windows(2).filter(|pair| pair[0].host != pair[1].host).count();
+        restores += restore_count;
     }
-    assert!(50 < moves && 500 < restores, "{moves} holders followed others, {restores} restores");
+    assert!(
+        50 < holder_changes && 500 < restores,
+        "{holder_changes} changes of holder, {restores} restores"
+    );
 }
 
 struct LostLeaseCase {
     name: &'static str,
-    /// Records of the epoch that has begun, with the epoch for which each was written.
+    /// Host of a lease record read after the restore, and the epoch for which it was written.
     lease: Option<(&'static str, u64)>,
-    /// Milliseconds from the new epoch on.
-    after_ms: u64,
-    tries: bool,
+    /// Milliseconds since the new epoch began.
+    elapsed_ms: u64,
+    appends: bool,
 }
 
-const LOST_LEASES: &[LostLeaseCase] = &[
-    LostLeaseCase { name: "a lost lease may be held", lease: None, after_ms: 2_999, tries: false },
-    LostLeaseCase { name: "it has ended", lease: None, after_ms: 3_000, tries: true },
+const LOST_LEASE_CASES: &[LostLeaseCase] = &[
     LostLeaseCase {
-        name: "an own record of before may have been followed by another's",
+        name: "a lost lease may still be valid",
+        lease: None,
+        elapsed_ms: 2_999,
+        appends: false,
+    },
+    LostLeaseCase {
+        name: "a lost lease has expired",
+        lease: None,
+        elapsed_ms: 3_000,
+        appends: true,
+    },
+    LostLeaseCase {
+        name: "the own record is of an earlier epoch",
         lease: Some(("h0", 0)),
-        after_ms: 2_999,
-        tries: false,
+        elapsed_ms: 2_999,
+        appends: false,
     },
     LostLeaseCase {
-        name: "an own record of this epoch was followed by none",
+        name: "the own record is of this epoch",
         lease: Some(("h0", 1)),
-        after_ms: 1,
-        tries: true,
+        elapsed_ms: 1,
+        appends: true,
     },
 ];
 
-/// Two hosts give orders at once.
-/// The first took the lease just before the store went away, and the copy does not show it.
+/// Guards against two holders at once: a host may have taken the lease just before the restore,
+/// which lost its record.
 #[test]
-fn a_lost_lease_is_waited_for() {
-    for case in LOST_LEASES {
+fn a_lost_lease_is_waited_out() {
+    for case in LOST_LEASE_CASES {
         let mut fold = FleetFold::default();
         fold.begin_epoch(StoreEpoch(0), BootTime(1_000));
         fold.begin_epoch(StoreEpoch(1), BootTime(20_000));
         if let Some((host, epoch)) = case.lease {
             fold.apply(LogOffset(0), &lease_record(host, StoreEpoch(epoch)), BootTime(20_000));
         }
-        let desk = LeaseKeeper::new(HostName::new("h0"), LEASE);
-        let now = BootTime(20_000 + case.after_ms);
-        let step = desk.step(&fold, BootTime(0), LinkRank::Equal, now);
-        assert_eq!(matches!(step, LeaseStep::Append { .. }), case.tries, "{}", case.name);
+        let keeper = LeaseKeeper::new(HostName::new("h0"), LEASE_DURATION);
+        let now = BootTime(20_000 + case.elapsed_ms);
+        let step = keeper.step(&fold, BootTime(0), LinkRank::Equal, now);
+        assert_eq!(matches!(step, LeaseStep::Append { .. }), case.appends, "{}", case.name);
     }
 }
 
-struct NoteCase {
+struct RestoreNoteCase {
     name: &'static str,
-    /// Eras of notes, the configurations that they name, and whether they say that all is settled.
+    /// Epochs of the reports, their configurations, and whether they say that lost records have
+    /// been rewritten.
     notes: &'static [(u64, u64, bool)],
-    known: Option<u64>,
-    is_lately: bool,
+    expected_config: Option<u64>,
+    is_recent: bool,
 }
 
-const NOTES: &[NoteCase] = &[
-    NoteCase { name: "nobody has said anything", notes: &[], known: None, is_lately: true },
-    NoteCase { name: "one knows", notes: &[(1, 7, false)], known: Some(7), is_lately: true },
-    NoteCase {
-        name: "the newest counts",
+const RESTORE_NOTE_CASES: &[RestoreNoteCase] = &[
+    RestoreNoteCase { name: "no reports", notes: &[], expected_config: None, is_recent: true },
+    RestoreNoteCase {
+        name: "one report",
+        notes: &[(1, 7, false)],
+        expected_config: Some(7),
+        is_recent: true,
+    },
+    RestoreNoteCase {
+        name: "the newest configuration counts",
         notes: &[(1, 7, false), (1, 5, false)],
-        known: Some(7),
-        is_lately: true,
+        expected_config: Some(7),
+        is_recent: true,
     },
-    NoteCase {
-        name: "it is long ago",
+    RestoreNoteCase {
+        name: "lost records have been rewritten",
         notes: &[(1, 7, false), (1, 7, true)],
-        known: Some(7),
-        is_lately: false,
+        expected_config: Some(7),
+        is_recent: false,
     },
-    NoteCase {
-        name: "a copied note of an earlier epoch",
+    RestoreNoteCase {
+        name: "a report of an earlier epoch",
         notes: &[(0, 9, true)],
-        known: None,
-        is_lately: true,
+        expected_config: None,
+        is_recent: true,
     },
 ];
 
-/// A host that starts serves keys that were taken away.
-/// It finds an older configuration in a store that has come back from a copy, and cannot tell that it has.
-/// Records of earlier epochs show that the store came back, and other hosts note what they know.
+/// Guards against a starting host admitting revoked keys from the older configuration of a restored
+/// store. It must detect the restore from records of earlier epochs, and learn the newest
+/// configuration from other hosts.
 #[test]
-fn what_hosts_note_of_a_new_epoch() {
-    for case in NOTES {
+fn hosts_report_the_newest_configuration_after_a_restore() {
+    for case in RESTORE_NOTE_CASES {
         let mut fold = FleetFold::default();
         fold.begin_epoch(StoreEpoch(1), BootTime(1_000));
-        fold.apply(LogOffset(0), &joined("h0"), BootTime(1_000));
+        fold.apply(LogOffset(0), &joined_record("h0"), BootTime(1_000));
         for (offset, (epoch, config, is_settled)) in (1..).zip(case.notes) {
             let (epoch, config) = (StoreEpoch(*epoch), ConfigVersion(*config));
             let note = FleetRecord::Restored { epoch, config, is_settled: *is_settled };
             fold.apply(LogOffset(offset), &note, BootTime(1_000));
         }
-        let known = fold.restore_note().map(|note| note.config.0);
-        assert_eq!(known, case.known, "{}", case.name);
-        assert_eq!(fold.is_restored_lately(), case.is_lately, "{}", case.name);
+        let config = fold.restore_note().map(|note| note.config.0);
+        assert_eq!(config, case.expected_config, "{}", case.name);
+        assert_eq!(fold.is_restored_lately(), case.is_recent, "{}", case.name);
     }
 }
 
-/// Where nothing was ever lost, hosts that start wait for nothing.
+/// Guards against starting hosts waiting although the store was never restored.
 #[test]
-fn a_first_epoch_is_not_doubted() {
+fn the_first_epoch_is_trusted() {
     let mut fold = FleetFold::default();
     fold.begin_epoch(StoreEpoch(0), BootTime(1_000));
-    fold.apply(LogOffset(0), &joined("h0"), BootTime(1_000));
+    fold.apply(LogOffset(0), &joined_record("h0"), BootTime(1_000));
     assert!(!fold.is_restored_lately());
     assert_eq!(fold.lost_lease_since(), None);
 }
 
-/// Two hosts give orders at once.
-/// The first one's lease has ended, another took it, and the store has lost that record; the first finds its
-/// own as the newest.
+/// Guards against two holders at once: the own lease has expired, another host took it, and the
+/// restore lost that host's record.
 #[test]
-fn an_own_lease_that_has_ended_is_waited_for_too() {
+fn a_lost_lease_is_waited_out_after_the_own_has_expired() {
     let mut fold = FleetFold::default();
     fold.begin_epoch(StoreEpoch(0), BootTime(1_000));
-    let mut desk = LeaseKeeper::new(HostName::new("h0"), LEASE);
-    desk.appended(FencingNumber(0), BootTime(1_000));
+    let mut keeper = LeaseKeeper::new(HostName::new("h0"), LEASE_DURATION);
+    keeper.appended(FencingNumber(0), BootTime(1_000));
     fold.begin_epoch(StoreEpoch(1), BootTime(4_500));
     fold.apply(LogOffset(0), &lease_record("h0", StoreEpoch(0)), BootTime(4_500));
-    let step = |now| desk.step(&fold, BootTime(0), LinkRank::Equal, BootTime(now));
-    assert!(matches!(step(4_600), LeaseStep::Wait(_)), "another may act now");
+    let step = |now| keeper.step(&fold, BootTime(0), LinkRank::Equal, BootTime(now));
+    assert!(matches!(step(4_600), LeaseStep::Wait(_)), "another host may hold the lease");
     assert!(matches!(step(7_500), LeaseStep::Append { .. }));
 }
