--- a/crates/dispatch/src/server_book.rs
+++ b/crates/dispatch/src/server_book.rs
@@ -1,8 +1,8 @@
-//! All backend servers as this router sees them, and the choice among them.
+//! This router's view of all backend servers, and the selection among them.
 
 mod choices;
-mod news;
-mod reach;
+mod connectivity;
+mod gossip;
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -31,17 +31,18 @@
 use crate::pending_updates::PendingUpdates;
 use crate::stall_meter::StallMeter;
 
-/// A server that is full takes requests again after about this time; one request of it has ended.
-const FULL_PAUSE: Duration = Duration::from_millis(60);
-/// An engine under an order turns requests away for about this time: the load and what it finishes
-/// before.
-const LOADING_PAUSE: Duration = Duration::from_millis(350);
+/// How long a server that rejected a request as full is skipped: about the time in which one of its
+/// running requests ends.
+const FULL_BACKOFF: Duration = Duration::from_millis(60);
+/// How long an engine that rejected a prompt while loading weights is skipped. Covers the load and the
+/// requests that finish before it.
+const LOADING_BACKOFF: Duration = Duration::from_millis(350);
 
-/// A prompt has been read by so many times its estimate: routers hear of each other late, and prompts that
-/// were not heard of are read before it.
+/// Factor on the estimated time to the first event after which a prompt counts as cached. The estimate
+/// is too low when other routers have sent prompts that this router has not learned of yet.
 const READY_FACTOR: f64 = 2.0;
 
-/// A request that is under way at a server.
+/// A request in flight at a server.
 #[derive(Clone, Debug)]
 pub struct SendTicket {
     /// The server.
@@ -49,45 +50,46 @@
     tokens: f64,
     urgency: Urgency,
     shape: CallShape,
-    is_awaited: bool,
-    sent: Instant,
+    /// Whether its prompt tokens are still counted in the server's backlog.
+    is_queued: bool,
+    sent_at: Instant,
 }
 
-/// Beliefs about all servers of the list.
+/// Registry of all listed servers with their estimated state.
 #[derive(Debug, Default)]
 pub struct ServerBook {
     servers: IndexMap<ServerKey, ServerState>,
-    /// What the store of cached prompts has been told to keep.
-    kept: PartMemory,
-    /// The store's link to the engines.
+    /// Estimated contents of the prompt store.
+    store_cache: PartMemory,
+    /// Load on the link between the prompt store and the engines.
     store_link: LinkMeter,
-    /// What the other routers have under way.
+    /// Requests in flight from the other routers.
     peers: PeerBoard,
-    /// The pause between two words of a router, once it is known.
+    /// Interval between two gossip messages of a router, once configured.
     gossip_interval: Option<Duration>,
-    /// How often callers of all routers ask for parts.
+    /// Request rate of each prompt part, over all routers.
     demand: DemandMeter,
-    /// How chats bear long prompts beside them.
+    /// How much chat streams stall when long prompts run on the same engine.
     stalls: StallMeter,
-    /// Prompts sent since the others were last told.
-    untold: Vec<PromptNotice>,
-    /// And what caches have said since.
-    untold_caches: PendingUpdates,
-    /// Servers whose address another server answered at.
-    gone: IndexSet<ServerKey>,
-    /// What connections say of this host.
-    reach: OwnReach,
+    /// Prompts sent since the last gossip message.
+    pending_prompts: Vec<PromptNotice>,
+    /// Cache updates received since the last gossip message.
+    pending_cache_updates: PendingUpdates,
+    /// Servers whose address now belongs to another server. Ignored until the list drops them.
+    replaced: IndexSet<ServerKey>,
+    /// Recent connection attempts, from which a local network fault is detected.
+    connectivity: OwnReach,
 }
 
 impl ServerBook {
-    /// Takes over the list's servers; those that are no longer in it are forgotten.
+    /// Adds and updates the servers of the list, and removes all others.
     pub fn sync(&mut self, entries: &[Arc<ServerEntry>], now: Instant) {
-        let listed: IndexSet<ServerKey> = entries.iter().map(|entry| entry.key()).collect();
-        self.servers.retain(|key, _| listed.contains(key));
-        self.gone.retain(|key| listed.contains(key));
+        let listed_keys: IndexSet<ServerKey> = entries.iter().map(|entry| entry.key()).collect();
+        self.servers.retain(|key, _| listed_keys.contains(key));
+        self.replaced.retain(|key| listed_keys.contains(key));
         for entry in entries {
             let key = entry.key();
-            if self.gone.contains(&key) {
+            if self.replaced.contains(&key) {
                 continue;
             }
             match self.servers.get_mut(&key) {
@@ -99,23 +101,23 @@
         }
     }
 
-    /// One server.
+    /// State of a listed server.
     pub fn state(&self, server: ServerKey) -> Option<&ServerState> {
         self.servers.get(&server)
     }
 
-    /// Requests of all routers at a server.
+    /// Requests in flight from all routers at a server.
     pub fn open_at(&self, server: ServerKey) -> u32 {
         let Some(state) = self.state(server) else { return 0 };
         state.open + self.peers.sum(server).open
     }
 
-    /// All servers.
+    /// States of all listed servers.
     pub fn states(&self) -> impl Iterator<Item = &ServerState> {
         self.servers.values()
     }
 
-    /// The call goes to the server.
+    /// Counts a plain call as sent to the server.
     pub fn begin(&mut self, call: &CallFacts, server: ServerKey, now: Instant) -> SendTicket {
         let tokens = f64::from(call.prompt_tokens());
         let urgency = Urgency::timely(call.priority);
@@ -123,10 +125,17 @@
             state.open += 1;
             state.backlog.add(urgency, tokens);
         }
-        SendTicket { server, tokens, urgency, shape: CallShape::Plain, is_awaited: true, sent: now }
+        SendTicket {
+            server,
+            tokens,
+            urgency,
+            shape: CallShape::Plain,
+            is_queued: true,
+            sent_at: now,
+        }
     }
 
-    /// The call's prompt goes to the chosen engine.
+    /// Counts a prompt as sent to the chosen engine and queues it for the next gossip message.
     pub fn begin_prompt(
         &mut self,
         call: &CallFacts,
@@ -143,9 +152,9 @@
             source: choice.fetch.map(|fetch| fetch.source),
             transfer_ms: choice.fetch.map_or(0, |fetch| fetch.transfer_ms as u32),
         };
-        self.note_prompt(&notice, now);
-        if self.untold.len() < news::MOST_UNTOLD {
-            self.untold.push(notice);
+        self.apply_prompt_notice(&notice, now);
+        if self.pending_prompts.len() < gossip::MAX_PENDING_PROMPTS {
+            self.pending_prompts.push(notice);
         }
         if let Some(state) = self.state_mut(choice.server.key()) {
             state.open += 1;
@@ -157,8 +166,8 @@
             tokens: choice.read_tokens,
             urgency: choice.urgency,
             shape: choice.shape,
-            is_awaited: true,
-            sent: now,
+            is_queued: true,
+            sent_at: now,
         }
     }
 
@@ -166,59 +175,60 @@
         self.servers.get_mut(&server)
     }
 
-    /// The first of the answer has come.
+    /// Records the first part of a response.
     pub fn answered(&mut self, ticket: &mut SendTicket, load: Option<LoadReport>, now: Instant) {
         if let Some(state) = self.state_mut(ticket.server) {
-            if ticket.is_awaited {
+            if ticket.is_queued {
                 state.backlog.take(ticket.urgency, ticket.tokens);
             }
-            state.heard(load, now);
+            state.record_response(load, now);
         }
-        ticket.is_awaited = false;
+        ticket.is_queued = false;
     }
 
-    /// The request has left the server, whatever became of it.
+    /// Removes a request that ended, successfully or not, from the server's counts.
     pub fn left(&mut self, ticket: &SendTicket) {
         if let Some(state) = self.state_mut(ticket.server) {
             state.open = state.open.saturating_sub(1);
             let chats = u32::from(ticket.shape == CallShape::Chat);
             state.chats = state.chats.saturating_sub(chats);
-            if ticket.is_awaited {
+            if ticket.is_queued {
                 state.backlog.take(ticket.urgency, ticket.tokens);
             }
         }
     }
 
-    /// The whole answer came and was good.
+    /// Records a complete, successful response.
     pub fn succeeded(&mut self, ticket: &SendTicket, now: Instant) {
-        let took = now.saturating_duration_since(ticket.sent);
+        let latency = now.saturating_duration_since(ticket.sent_at);
         if let Some(state) = self.state_mut(ticket.server) {
-            state.succeeded(took, now);
+            state.succeeded(latency, now);
         }
     }
 
-    /// A stream has ended; its longest pause was this share of what its caller is content with.
+    /// Records the longest gap of a finished stream, as a share of the gap that its route accepts.
     pub fn paused(&mut self, ticket: &SendTicket, share: f64, now: Instant) {
         if ticket.shape == CallShape::Chat {
             self.stalls.note(share, now);
         }
     }
 
-    /// The server failed the request.
+    /// Records a failed request.
     pub fn failed(&mut self, server: ServerKey, now: Instant) {
         if let Some(state) = self.state_mut(server) {
             state.failed(now);
         }
     }
 
-    /// The server turned a plain request away.
+    /// Records that the server rejected a plain request as full.
     pub fn turned_away(&mut self, server: ServerKey, now: Instant) {
         if let Some(state) = self.state_mut(server) {
-            state.full(FULL_PAUSE, now);
+            state.mark_full(FULL_BACKOFF, now);
         }
     }
 
-    /// An engine turned a prompt away. If newer weights are wanted, it is most likely loading them.
+    /// Records that an engine rejected a prompt. If the engine runs older weights than the target version,
+    /// it is assumed to be loading that version.
     pub fn turned_away_prompt(
         &mut self,
         server: ServerKey,
@@ -227,19 +237,20 @@
         now: Instant,
     ) {
         let Some(state) = self.state_mut(server) else { return };
-        let is_behind = wanted
+        let is_outdated = wanted
             .is_some_and(|wanted| state.weights(model).is_some_and(|weights| weights < wanted));
-        if !is_behind {
-            state.full(FULL_PAUSE, now);
+        if !is_outdated {
+            state.mark_full(FULL_BACKOFF, now);
             return;
         }
-        state.full(LOADING_PAUSE, now);
+        state.mark_full(LOADING_BACKOFF, now);
         if let Some(wanted) = wanted {
             state.assume_weights(model, wanted);
         }
     }
 
-    /// The engine runs other weights than expected: the newest, unless these were expected.
+    /// Records that an engine rejected a request because it runs other weights than expected. It is assumed
+    /// to run the target version, unless that is what was expected.
     pub fn misjudged_weights(
         &mut self,
         server: ServerKey,
@@ -250,41 +261,41 @@
         let Some(state) = self.state_mut(server) else { return };
         match wanted {
             Some(wanted) if sent < wanted => state.assume_weights(model, wanted),
-            _ => state.drop_assumption(),
+            _ => state.clear_assumed_weights(),
         }
     }
 
-    /// An answer names the weights in use.
+    /// Records the weights version named in a response.
     pub fn learn_weights(&mut self, server: ServerKey, model: &ModelName, seen: WeightsVersion) {
         if let Some(state) = self.state_mut(server) {
             state.learn_weights(model, seen);
         }
     }
 
-    /// This router, which holds the lease, has an engine load weights.
+    /// Records that this router, as the lease holder, ordered the engine to load weights.
     pub fn order_given(&mut self, server: ServerKey, now: Instant) {
         if let Some(state) = self.state_mut(server) {
-            state.loads(now);
+            state.mark_loading(now);
         }
     }
 
-    /// The engine could not be brought up and keeps the weights it has.
+    /// Records that the load order failed and the engine keeps its weights.
     pub fn order_given_up(&mut self, server: ServerKey) {
         if let Some(state) = self.state_mut(server) {
-            state.loads_no_more();
+            state.clear_loading();
         }
     }
 
-    /// The engine has the weights by its own word.
+    /// Records that the engine confirmed the load.
     pub fn order_done(&mut self, server: ServerKey, model: &ModelName, seen: WeightsVersion) {
         if let Some(state) = self.state_mut(server) {
-            state.loaded(model, seen);
+            state.mark_loaded(model, seen);
         }
     }
 
-    /// Another server answered at the address: this one is gone from there.
+    /// Removes a server because another one answered at its address.
     pub fn forget(&mut self, server: ServerKey) {
         self.servers.swap_remove(&server);
-        self.gone.insert(server);
+        self.replaced.insert(server);
     }
 }
--- a/crates/dispatch/src/server_book/choices.rs
+++ b/crates/dispatch/src/server_book/choices.rs
@@ -1,4 +1,4 @@
-//! Which server a call goes to.
+//! Selects the server for a call.
 
 use std::cmp::Reverse;
 use std::net::SocketAddr;
@@ -33,22 +33,22 @@
 use crate::gossip_interval;
 use crate::prompt_source::PromptSource;
 
-/// What a way to another zone costs a plain call, as time.
-const ZONE_MS: f64 = 2.0;
-/// What a failure of a plain call costs, as time.
+/// Cost of sending a plain call to another availability zone.
+const CROSS_ZONE_MS: f64 = 2.0;
+/// Cost of a failed plain call.
 const FAILURE_MS: f64 = 150.0;
-/// What a server that is still slow after its start costs, as time.
-const COLD_MS: f64 = 30.0;
-/// What is left of one request's count after 6 s.
-const ASKED_LATELY: f64 = 0.2;
-/// A prompt's shared parts are this many times its own: the store is hardly filled with what nobody else
-/// asks for.
-const OWN_TO_SHARED: u32 = 2;
-/// A shorter shared beginning is read in less time than a fetch takes.
-const LEAST_SAVED_TOKENS: u32 = 1_000;
+/// Cost of a server with at least one second of warm-up left.
+const WARM_UP_MS: f64 = 30.0;
+/// Lower bound on the decaying request count of parts to save: one request within the last 6 s.
+const MIN_RECENT_REQUESTS: f64 = 0.2;
+/// Minimum ratio of shared to unshared tokens at which a prompt is saved on first use. It keeps prompts
+/// that nobody else requests from filling the store.
+const MIN_SHARED_RATIO: u32 = 2;
+/// Shorter shared prefixes are computed faster than they are fetched.
+const MIN_SAVED_TOKENS: u32 = 1_000;
 
 impl ServerBook {
-    /// The server of a plain service that is expected to answer first.
+    /// Selects the server of a plain service with the lowest expected latency.
     pub fn choose_plain(
         &self,
         service: &ServiceName,
@@ -63,38 +63,42 @@
             let slots = f64::from(state.entry.slots.max(1));
             let open = state.occupancy(now).max(state.open + self.peers.sum(state.key()).open);
             let load = 1.0 + f64::from(open) / slots;
-            let away = if state.entry.zone == *zone { 0.0 } else { ZONE_MS };
-            let cold = state.entry.warm_up.as_secs_f64().min(1.0) * COLD_MS;
-            state.latency_ms(now) * load + state.failure_share(now) * FAILURE_MS + away + cold
+            let cross_zone = if state.entry.zone == *zone { 0.0 } else { CROSS_ZONE_MS };
+            let warm_up = state.entry.warm_up.as_secs_f64().min(1.0) * WARM_UP_MS;
+            state.latency_ms(now) * load
+                + state.failure_share(now) * FAILURE_MS
+                + cross_zone
+                + warm_up
         };
-        let least = |states: Vec<&ServerState>| {
+        let cheapest = |states: Vec<&ServerState>| {
             let best = states.into_iter().min_by(|a, b| cost(a).total_cmp(&cost(b)));
             best.map(|state| state.entry.clone())
         };
         let open = self.servers.values().filter(of_service).filter(|state| state.is_open(now));
-        least(open.collect()).or_else(|| least(self.servers.values().filter(of_service).collect()))
+        cheapest(open.collect())
+            .or_else(|| cheapest(self.servers.values().filter(of_service).collect()))
     }
 
-    /// Takes the engine that suits the prompt best, if it has room.
-    pub fn place(&mut self, wish: &PlacementRequest, view: ChoiceView<'_>) -> Placing {
-        let choice = self.choose_engine(&wish.request(view, &wish.excluded));
-        // Those already tried only if there is no other.
-        let choice = choice.or_else(|| self.choose_engine(&wish.request(view, &[])));
+    /// Sends a prompt to the engine with the lowest cost, if its queue has room.
+    pub fn place(&mut self, placement: &PlacementRequest, view: ChoiceView<'_>) -> Placing {
+        let choice = self.choose_engine(&placement.request(view, &placement.excluded));
+        // Falls back to servers that this prompt has already been sent to.
+        let choice = choice.or_else(|| self.choose_engine(&placement.request(view, &[])));
         let Some(choice) = choice else { return Placing::Nowhere };
-        if !has_room(wish, &choice, self.interval_in_force(view.now)) {
+        if !has_room(placement, &choice, self.current_gossip_interval(view.now)) {
             return Placing::Wait(choice.read_tokens);
         }
-        let ticket = self.begin_prompt(&wish.call, &choice, view.now);
+        let ticket = self.begin_prompt(&placement.call, &choice, view.now);
         Placing::Taken(Box::new(TakenEngine { choice, ticket }))
     }
 
-    /// The pause between two gossip messages of a router: the one that was set, or that of direct messages.
-    fn interval_in_force(&self, now: Instant) -> Duration {
+    /// The configured gossip interval, or by default that of direct messages between all routers.
+    fn current_gossip_interval(&self, now: Instant) -> Duration {
         self.gossip_interval.unwrap_or_else(|| gossip_interval(self.peers.hosts(now).count()))
     }
 
-    /// The engine that costs least, by waiting, by what it would read anew, and by its weights. If
-    /// it could not answer in time, the request goes behind those that can be.
+    /// Selects the engine with the lowest cost in waiting time, recomputed tokens and outdated weights. If none
+    /// can respond within the target latency, selects again with the urgency of a late request.
     pub fn choose_engine(&self, request: &EngineRequest<'_>) -> Option<EngineChoice> {
         let priority = request.call.priority;
         if is_short(request.call) && is_on(Mechanism::ShortFirst) {
@@ -113,19 +117,19 @@
         urgency: Urgency,
     ) -> Option<EngineChoice> {
         let shape = CallShape::of(request.call, request.engine_rule()?);
-        let allowed = self.allowed_engines(request);
-        let sources = self.sources_by_weights(request, &allowed);
+        let eligible = self.eligible_engines(request);
+        let sources = self.sources_by_weights(request, &eligible);
         let routers = self.peers.hosts(request.now).count();
         let gossip_interval_ms = match routers {
             0 => 0.0,
-            _ => self.interval_in_force(request.now).as_secs_f64() * 1_000.0,
+            _ => self.current_gossip_interval(request.now).as_secs_f64() * 1_000.0,
         };
-        let around = |engine: &AllowedEngine<'_>| Surroundings {
+        let context = |engine: &EligibleEngine<'_>| Surroundings {
             is_home: engine.is_home,
             urgency,
             shape,
             chat_rank: engine.chat_rank,
-            engines: allowed.len(),
+            engines: eligible.len(),
             routers,
             gossip_interval_ms,
             others: self.peers.sum(engine.state.key()),
@@ -133,12 +137,13 @@
             demand: &self.demand,
             stall: self.stalls.strength(request.now),
         };
-        let draws = |engine: &AllowedEngine<'_>| request.draws(engine.state, &around(engine));
-        let (engines, is_open) = looked_at(&allowed, request.now, draws);
-        let rate = |engine: &AllowedEngine<'a>| {
-            request.candidate(engine.state, engine.weights, &around(engine))
+        let is_sampled =
+            |engine: &EligibleEngine<'_>| request.draws(engine.state, &context(engine));
+        let (engines, is_open) = engines_to_rate(&eligible, request.now, is_sampled);
+        let evaluate = |engine: &EligibleEngine<'a>| {
+            request.candidate(engine.state, engine.weights, &context(engine))
         };
-        let best = engines.into_iter().map(rate).min_by(|a, b| a.cost.total_cmp(&b.cost))?;
+        let best = engines.into_iter().map(evaluate).min_by(|a, b| a.cost.total_cmp(&b.cost))?;
         let reason = match (is_open, best.is_home) {
             (false, _) => ChoiceReason::LastResort,
             (true, true) => ChoiceReason::Home,
@@ -161,39 +166,40 @@
         })
     }
 
-    /// The engines that may begin the call, with their places in the orders that all routers share.
-    fn allowed_engines(&self, request: &EngineRequest<'_>) -> Vec<AllowedEngine<'_>> {
-        let allow = |state| {
+    /// Engines that may start the call. Their chat ranks and the home engine are the same on all routers.
+    fn eligible_engines(&self, request: &EngineRequest<'_>) -> Vec<EligibleEngine<'_>> {
+        let eligible = |state| {
             let weights = request.allows(state)?;
-            Some(AllowedEngine { state, weights, is_home: false, chat_rank: 0 })
+            Some(EligibleEngine { state, weights, is_home: false, chat_rank: 0 })
         };
-        let mut allowed: Vec<AllowedEngine<'_>> = self.servers.values().filter_map(allow).collect();
-        allowed.sort_by_cached_key(|engine| Reverse(request.chat_score(engine.state)));
-        for (rank, engine) in allowed.iter_mut().enumerate() {
+        let mut eligible: Vec<EligibleEngine<'_>> =
+            self.servers.values().filter_map(eligible).collect();
+        eligible.sort_by_cached_key(|engine| Reverse(request.chat_score(engine.state)));
+        for (rank, engine) in eligible.iter_mut().enumerate() {
             engine.chat_rank = rank;
         }
-        let home = allowed.iter_mut().max_by_key(|engine| request.home_score(engine.state));
+        let home = eligible.iter_mut().max_by_key(|engine| request.home_score(engine.state));
         if let Some(home) = home {
             home.is_home = true;
         }
-        allowed
+        eligible
     }
 
-    /// Who has parts of the prompt, for each weights version that an engine runs.
+    /// Engines and the store that have cached parts of the prompt, for each weights version in use.
     fn sources_by_weights(
         &self,
         request: &EngineRequest<'_>,
-        allowed: &[AllowedEngine<'_>],
+        eligible: &[EligibleEngine<'_>],
     ) -> IndexMap<WeightsVersion, Vec<PromptSource>> {
         let mut sources = IndexMap::new();
-        for engine in allowed {
+        for engine in eligible {
             let weights = engine.weights;
             sources.entry(weights).or_insert_with(|| self.sources(request, weights));
         }
         sources
     }
 
-    /// Who has parts of the prompt under the salt of these weights.
+    /// Engines and the store that have parts of the prompt cached under the salt of these weights.
     fn sources(&self, request: &EngineRequest<'_>, weights: WeightsVersion) -> Vec<PromptSource> {
         let scope = scope_of(&request.salt(weights));
         let link_mbps = request.engine_rule().map_or(0.0, |engine| engine.link_mbps);
@@ -212,13 +218,13 @@
         let mut sources: Vec<PromptSource> = of_service.map(engine).collect();
         if let Some(store) = request.table.cache_store() {
             let shared = request.call.shared_parts();
-            let room = store.cache_tokens as f64;
+            let capacity = store.cache_tokens as f64;
             sources.push(PromptSource {
                 key: ServerKey::STORE,
                 address: store.address,
                 zone: store.zone.clone(),
-                tokens: self.kept.cached_tokens(scope, shared, room),
-                ready_tokens: self.kept.ready_tokens(scope, shared, room, request.now),
+                tokens: self.store_cache.cached_tokens(scope, shared, capacity),
+                ready_tokens: self.store_cache.ready_tokens(scope, shared, capacity, request.now),
                 link_mbps: store.link_mbps,
                 link: self.store_link,
             });
@@ -227,53 +233,56 @@
         sources
     }
 
-    /// The store, if it does not have the shared parts yet and they were asked for lately, or come with
-    /// little else. It takes all of a prompt, its own part too, so that with every first prompt sent there
-    /// it would keep nothing for long. With those that come with little else, parts that their engine has
-    /// dropped are there when they are asked for again.
+    /// Address of the store if the prompt should be saved there: its shared parts are not stored yet, and were
+    /// requested recently or make up most of the prompt. A prompt is stored whole, with its unshared part, so
+    /// that storing every prompt on first use would evict entries too early.
     fn save_to(&self, request: &EngineRequest<'_>, salt: &str) -> Option<SocketAddr> {
         if !is_on(Mechanism::StoreKeeping) {
             return None;
         }
         let store = request.table.cache_store()?;
         let shared = request.call.shared_tokens();
-        if shared < LEAST_SAVED_TOKENS {
+        if shared < MIN_SAVED_TOKENS {
             return None;
         }
         let parts = request.call.shared_parts();
-        let asked = parts.last().map_or(0.0, |part| self.demand.count(part.hash, request.now));
-        let own = request.call.prompt_tokens().saturating_sub(shared);
-        let is_cheap = own * OWN_TO_SHARED <= shared;
-        if asked < ASKED_LATELY && !is_cheap {
+        let recent_requests =
+            parts.last().map_or(0.0, |part| self.demand.count(part.hash, request.now));
+        let unshared = request.call.prompt_tokens().saturating_sub(shared);
+        let is_mostly_shared = unshared * MIN_SHARED_RATIO <= shared;
+        if recent_requests < MIN_RECENT_REQUESTS && !is_mostly_shared {
             return None;
         }
-        let kept = self.kept.cached_tokens(scope_of(salt), parts, store.cache_tokens as f64);
-        (kept < shared).then_some(store.address)
+        let stored =
+            self.store_cache.cached_tokens(scope_of(salt), parts, store.cache_tokens as f64);
+        (stored < shared).then_some(store.address)
     }
 }
 
-/// An engine that may begin the call.
-struct AllowedEngine<'a> {
+/// An engine that may start the call.
+struct EligibleEngine<'a> {
     state: &'a ServerState,
     weights: WeightsVersion,
+    /// Whether this is the engine that all routers prefer for an uncached prompt.
     is_home: bool,
+    /// Position in the order in which engines are filled with chats.
     chat_rank: usize,
 }
 
-/// The open engines that the call draws, else all that are open, else all; and whether they are open.
-/// Only these are rated: in a large fleet the rating of all would take most of the time of a choice.
-fn looked_at<'a, 'b>(
-    allowed: &'b [AllowedEngine<'a>],
+/// The open engines that the call samples, else all open engines, else all; and whether they are open.
+/// Sampling keeps the selection fast in large fleets, as only the returned engines are rated.
+fn engines_to_rate<'a, 'b>(
+    eligible: &'b [EligibleEngine<'a>],
     now: Instant,
-    draws: impl Fn(&AllowedEngine<'a>) -> bool,
-) -> (Vec<&'b AllowedEngine<'a>>, bool) {
-    let open: Vec<_> = allowed.iter().filter(|engine| engine.state.is_open(now)).collect();
+    is_sampled: impl Fn(&EligibleEngine<'a>) -> bool,
+) -> (Vec<&'b EligibleEngine<'a>>, bool) {
+    let open: Vec<_> = eligible.iter().filter(|engine| engine.state.is_open(now)).collect();
     if open.is_empty() {
-        return (allowed.iter().collect(), false);
+        return (eligible.iter().collect(), false);
     }
-    let drawn: Vec<_> = open.iter().copied().filter(|engine| draws(engine)).collect();
-    if drawn.is_empty() {
+    let sampled: Vec<_> = open.iter().copied().filter(|engine| is_sampled(engine)).collect();
+    if sampled.is_empty() {
         return (open, true);
     }
-    (drawn, true)
+    (sampled, true)
 }
--- a/crates/dispatch/src/server_book/news.rs
+++ b/crates/dispatch/src/server_book/gossip.rs
@@ -1,4 +1,4 @@
-//! What routers tell each other of servers.
+//! State that routers exchange about servers.
 
 use std::time::Duration;
 
@@ -17,16 +17,17 @@
 use crate::ServerKey;
 use crate::ZonePeer;
 
-/// Prompts that wait to be told; what is beyond is a guess that the others lack.
-pub(super) const MOST_UNTOLD: usize = 256;
+/// Upper bound on prompts that wait for the next gossip message. Further ones are not announced, which makes
+/// the other routers' cache estimates less accurate.
+pub(super) const MAX_PENDING_PROMPTS: usize = 256;
 
 impl ServerBook {
-    /// What the other routers are told of this one's requests and of caches, so many parts of these at most.
-    /// Prompts and parts are told once.
-    pub fn take_news(&mut self, most_parts: usize, now: Instant) -> GossipMessage {
+    /// Builds the next gossip message: current loads, and the pending prompts and cache updates with at most
+    /// `max_parts` parts. Prompts and cache updates in the message are no longer pending.
+    pub fn take_news(&mut self, max_parts: usize, now: Instant) -> GossipMessage {
         self.peers.drop_silent(now);
-        let busy = self.servers.values().filter(|state| 0 < state.open);
-        let loads = busy
+        let busy_servers = self.servers.values().filter(|state| 0 < state.open);
+        let loads = busy_servers
             .map(|state| PeerLoad {
                 server: state.key(),
                 open: state.open,
@@ -34,40 +35,40 @@
                 backlog: state.backlog,
             })
             .collect();
-        let prompts = std::mem::take(&mut self.untold);
-        let caches = self.untold_caches.take(most_parts);
+        let prompts = std::mem::take(&mut self.pending_prompts);
+        let caches = self.pending_cache_updates.take(max_parts);
         GossipMessage { loads, prompts, caches, ..GossipMessage::default() }
     }
 
-    /// Another router's message.
-    pub fn hear(&mut self, news: &GossipMessage, now: Instant) {
-        let Some(host) = &news.host else { return };
-        self.peers.hear(host, news, now);
-        for notice in &news.loading {
+    /// Applies a gossip message from another router.
+    pub fn hear(&mut self, message: &GossipMessage, now: Instant) {
+        let Some(host) = &message.host else { return };
+        self.peers.hear(host, message, now);
+        for notice in &message.loading {
             let Some(state) = self.servers.get_mut(&notice.server) else { continue };
             match notice.stage {
-                LoadingStage::Loading => state.loads(now),
-                LoadingStage::InPlace => state.loaded(&notice.model, notice.version),
-                LoadingStage::GivenUp => state.loads_no_more(),
+                LoadingStage::Loading => state.mark_loading(now),
+                LoadingStage::InPlace => state.mark_loaded(&notice.model, notice.version),
+                LoadingStage::GivenUp => state.clear_loading(),
             }
         }
-        for notice in &news.prompts {
-            self.note_prompt(notice, now);
+        for notice in &message.prompts {
+            self.apply_prompt_notice(notice, now);
         }
-        for notice in &news.caches {
-            self.note_cache(notice, now);
+        for notice in &message.caches {
+            self.apply_cache_notice(notice, now);
         }
     }
 
-    /// An engine or the store has told this router of its cache.
+    /// Applies a cache update received from an engine or the prompt store, and queues it for gossip.
     pub fn hear_cache(&mut self, notice: CacheNotice, now: Instant) {
-        self.note_cache(&notice, now);
-        self.untold_caches.push(notice);
+        self.apply_cache_notice(&notice, now);
+        self.pending_cache_updates.push(notice);
     }
 
-    fn note_cache(&mut self, notice: &CacheNotice, now: Instant) {
+    fn apply_cache_notice(&mut self, notice: &CacheNotice, now: Instant) {
         let memory = match notice.server {
-            ServerKey::STORE => Some(&mut self.kept),
+            ServerKey::STORE => Some(&mut self.store_cache),
             server => self.servers.get_mut(&server).map(|state| &mut state.memory),
         };
         let Some(memory) = memory else { return };
@@ -79,18 +80,18 @@
         }
     }
 
-    /// A prompt goes to an engine, through this router or another.
-    pub(super) fn note_prompt(&mut self, notice: &PromptNotice, now: Instant) {
+    /// Updates cache, demand and link estimates for a prompt that this or another router sent.
+    pub(super) fn apply_prompt_notice(&mut self, notice: &PromptNotice, now: Instant) {
         let parts = || notice.parts.iter().copied();
         parts().for_each(|part| self.demand.note(part, now));
         let taken = f64::from(notice.taken_tokens);
-        let ready = now + Duration::from_millis(u64::from(notice.ready_ms));
+        let ready_at = now + Duration::from_millis(u64::from(notice.ready_ms));
         if let Some(state) = self.servers.get_mut(&notice.server) {
-            state.memory.read(notice.scope, parts(), taken, ready);
+            state.memory.read(notice.scope, parts(), taken, ready_at);
         }
         if notice.is_stored || notice.source == Some(ServerKey::STORE) {
             let stored = if notice.is_stored { taken } else { 0.0 };
-            self.kept.read(notice.scope, parts(), stored, ready);
+            self.store_cache.read(notice.scope, parts(), stored, ready_at);
         }
         let transfer_ms = f64::from(notice.transfer_ms);
         match notice.source {
@@ -104,27 +105,27 @@
         }
     }
 
-    /// Routers that have spoken lately.
+    /// Routers that sent a message recently.
     pub fn live_peers(&self, now: Instant) -> Vec<HostName> {
         self.peers.hosts(now).cloned().collect()
     }
 
-    /// Those of one availability zone.
+    /// Live routers of one availability zone.
     pub fn zone_peers(&self, zone: &ZoneName, now: Instant) -> Vec<ZonePeer> {
         self.peers.zone_peers(zone, now).collect()
     }
 
-    /// All routers that have spoken lately, and where they are.
+    /// Live routers with their availability zones.
     pub fn fleet_hosts(&self, now: Instant) -> Vec<FleetHost> {
         self.peers.fleet_hosts(now).collect()
     }
 
-    /// This router and the others speak at this pace.
-    pub fn set_gossip_interval(&mut self, pace: Duration) {
-        self.gossip_interval = Some(pace);
+    /// Sets the interval between two gossip messages of a router.
+    pub fn set_gossip_interval(&mut self, interval: Duration) {
+        self.gossip_interval = Some(interval);
     }
 
-    /// How this host's link compares to those of the other routers.
+    /// Compares this host's link bandwidth to that of the other routers.
     pub fn link_rank(&self, own_kbps: u32, now: Instant) -> LinkRank {
         self.peers.link_rank(own_kbps, now)
     }
--- a/crates/dispatch/src/server_contact.rs
+++ b/crates/dispatch/src/server_contact.rs
@@ -1,8 +1,6 @@
-//! Whether a silent server is still there.
+//! Probes of servers that have stopped sending while requests wait there.
 //!
-//! Answers servers that crash or are cut off while requests wait at them. One question for each server
-//! and router is enough for all that wait there: asked for each request, silent servers were sent twice as
-//! many connections as requests just when they were busiest.
+//! All waiting requests share one probe connection per server, as a probe for each would overload busy servers.
 
 use std::time::Duration;
 
@@ -10,93 +8,101 @@
 
 use crate::ConnectEnd;
 
-/// An answer to a question counts for so long: about as long as an engine takes for a long prompt.
-const ANSWER_AGE: Duration = Duration::from_millis(250);
-/// A question without an answer after this time is asked again; connections time out sooner.
-const QUESTION_AGE: Duration = Duration::from_millis(400);
-/// Connections that failed in a row before a server is taken for lost. A live one that has all the
-/// connections it takes refuses one now and then, but answers others meanwhile.
-const LOST_FAILURES: u32 = 3;
-/// And the time between the first of these and now.
-const LOST_SPAN: Duration = Duration::from_millis(600);
-/// Silent connections in a row that have all that waits at the server give it up. When the host's own link
-/// fills, the first connections fail before it can know that it is not the server; a second one does not.
-const SILENT_FAILURES: u32 = 2;
+/// How long the result of a connection is valid: about the time that an engine takes for a long prompt.
+const RESULT_TTL: Duration = Duration::from_millis(250);
+/// A probe without a result is repeated after this time. Connections time out sooner.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(400);
+/// Consecutive failed connections before a server counts as lost. A live server at its connection limit
+/// refuses some connections, but responds on others in between.
+const MIN_LOST_FAILURES: u32 = 3;
+/// Minimum time since the first of these failures.
+const MIN_LOST_DURATION: Duration = Duration::from_millis(600);
+/// Consecutive connection timeouts before waiting requests treat the server as unreachable. A single
+/// timeout may precede the detection of a local network fault.
+const MIN_TIMEOUTS: u32 = 2;
 
-/// What to do about a server that has been silent for a request.
+/// What a request should do that waits for a server which sends nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ContactStep {
-    /// Try a connection, and say what came of it.
+    /// Open a probe connection and record its outcome.
     Ask,
-    /// It was there a moment ago, or somebody asks already.
+    /// Keep waiting: the server was reached recently, or a probe is in flight.
     Wait,
-    /// No connection has been had lately.
+    /// Give up: recent connections failed.
     Unreachable,
 }
 
-/// What connections to a server came to.
+/// Outcomes of recent connections to a server.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct ServerContact {
     failures: u32,
-    /// The first of the failures in a row.
+    /// Time of the first consecutive failure.
     failing_since: Option<Instant>,
-    /// The newest connection that was had or not.
-    newest: Option<(Instant, bool)>,
-    /// The server itself said that there is none.
+    /// Time of the last connection attempt, and whether it succeeded.
+    last_attempt: Option<(Instant, bool)>,
+    /// Whether the last failure was a refusal, not a timeout.
     is_refused: bool,
-    asked: Option<Instant>,
+    /// Start of the probe in flight.
+    probe_started: Option<Instant>,
 }
 
 impl ServerContact {
-    /// A connection was had, or an answer came.
+    /// Records a successful connection or a response.
     pub(crate) fn reached(&mut self, now: Instant) {
-        *self = ServerContact { newest: Some((now, true)), ..ServerContact::default() };
+        *self = ServerContact { last_attempt: Some((now, true)), ..ServerContact::default() };
     }
 
-    /// No connection was had.
-    pub(crate) fn failed(&mut self, end: ConnectEnd, now: Instant) {
+    /// Records a failed connection.
+    pub(crate) fn failed(&mut self, outcome: ConnectEnd, now: Instant) {
         self.failures += 1;
         self.failing_since.get_or_insert(now);
-        self.newest = Some((now, false));
-        self.is_refused = end == ConnectEnd::Refused;
-        self.asked = None;
+        self.last_attempt = Some((now, false));
+        self.is_refused = outcome == ConnectEnd::Refused;
+        self.probe_started = None;
     }
 
-    /// A request waits for a silent server. Who is told to ask is taken to do so. The host doubted itself until
-    /// then, if it did.
-    pub(crate) fn step(&mut self, doubted: Option<Instant>, now: Instant) -> ContactStep {
-        match self.newest {
-            Some((at, true)) if is_young(at, ANSWER_AGE, now) => return ContactStep::Wait,
-            Some((at, false)) if is_young(at, ANSWER_AGE, now) && self.is_held(at, doubted) => {
+    /// Returns the next step of a waiting request. A probe counts as in flight once [`ContactStep::Ask`] is
+    /// returned. Timeouts until `local_fault_end` are not counted.
+    pub(crate) fn next_step(
+        &mut self,
+        local_fault_end: Option<Instant>,
+        now: Instant,
+    ) -> ContactStep {
+        match self.last_attempt {
+            Some((at, true)) if is_recent(at, RESULT_TTL, now) => return ContactStep::Wait,
+            Some((at, false))
+                if is_recent(at, RESULT_TTL, now) && self.is_server_fault(at, local_fault_end) =>
+            {
                 return ContactStep::Unreachable;
             }
             _ => {}
         }
-        if self.asked.is_some_and(|asked| is_young(asked, QUESTION_AGE, now)) {
+        if self.probe_started.is_some_and(|started| is_recent(started, PROBE_TIMEOUT, now)) {
             return ContactStep::Wait;
         }
-        self.asked = Some(now);
+        self.probe_started = Some(now);
         ContactStep::Ask
     }
 
-    /// Whether the server is taken for lost, and with it what waits there. Silence before the end of the host's
-    /// doubt of itself does not count: right after it, all servers would be lost that were not reached yet.
-    pub(crate) fn is_lost(&self, doubted: Option<Instant>, now: Instant) -> bool {
+    /// Whether the server and the requests waiting there count as lost. Timeouts until `local_fault_end` are
+    /// not counted; otherwise every server not reached yet would be lost right after a local fault.
+    pub(crate) fn is_lost(&self, local_fault_end: Option<Instant>, now: Instant) -> bool {
         let Some(failing_since) = self.failing_since else { return false };
-        let since = match (self.is_refused, doubted) {
-            (false, Some(doubted)) => failing_since.max(doubted),
+        let since = match (self.is_refused, local_fault_end) {
+            (false, Some(fault_end)) => failing_since.max(fault_end),
             _ => failing_since,
         };
-        LOST_SPAN <= now.saturating_duration_since(since) && LOST_FAILURES <= self.failures
+        MIN_LOST_DURATION <= now.saturating_duration_since(since)
+            && MIN_LOST_FAILURES <= self.failures
     }
 
-    /// Whether the failure is held against the server.
-    fn is_held(&self, at: Instant, doubted: Option<Instant>) -> bool {
-        let is_own = doubted.is_some_and(|doubted| at <= doubted);
-        self.is_refused || (!is_own && SILENT_FAILURES <= self.failures)
+    /// Whether a failure is attributed to the server instead of the local host.
+    fn is_server_fault(&self, at: Instant, local_fault_end: Option<Instant>) -> bool {
+        let is_local = local_fault_end.is_some_and(|fault_end| at <= fault_end);
+        self.is_refused || (!is_local && MIN_TIMEOUTS <= self.failures)
     }
 }
 
-fn is_young(at: Instant, age: Duration, now: Instant) -> bool {
-    now.saturating_duration_since(at) < age
+fn is_recent(at: Instant, max_age: Duration, now: Instant) -> bool {
+    now.saturating_duration_since(at) < max_age
 }
--- a/crates/dispatch/src/server_state.rs
+++ b/crates/dispatch/src/server_state.rs
@@ -1,4 +1,4 @@
-//! What this router has seen of one backend server.
+//! Estimated state of one backend server.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,60 +17,61 @@
 use crate::link_meter::LinkMeter;
 use crate::server_contact::ServerContact;
 
-/// A report counts this long; later it says nothing of the server's load.
-const REPORT_AGE: Duration = Duration::from_millis(1_500);
+/// How long a load report is valid.
+const REPORT_TTL: Duration = Duration::from_millis(1_500);
 
-/// A server's own word on its load.
+/// Load that a server reports of itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LoadReport {
-    /// Requests that run.
+    /// Running requests.
     pub running: u32,
-    /// Requests that wait.
+    /// Queued requests.
     pub waiting: u32,
-    /// Requests that can run at once.
+    /// Capacity for concurrent requests.
     pub slots: u32,
 }
 
-/// Beliefs about one server. All of them may be lost.
+/// State of one server as far as this router knows it. Soft state that is rebuilt after a restart.
 #[derive(Clone, Debug)]
 pub struct ServerState {
     pub(crate) entry: Arc<ServerEntry>,
     key: ServerKey,
-    /// This router's requests that are under way there.
+    /// This router's requests in flight.
     pub(crate) open: u32,
     /// Those of them that are chats.
     pub(crate) chats: u32,
-    /// Prompt tokens of those whose first event is awaited.
+    /// Prompt tokens of requests that wait for their first event.
     pub(crate) backlog: Backlog,
     report: Option<(LoadReport, Instant)>,
     latency_ms: FadingMean,
     failures: FadingMean,
-    /// No connection could be had: not tried again before this moment.
-    shut_until: Option<Instant>,
-    shut_times: u32,
+    /// End of the backoff after a failed connection.
+    backoff_until: Option<Instant>,
+    backoff_count: u32,
     pub(crate) contact: ServerContact,
-    /// It turned requests away.
+    /// End of the backoff after a request was rejected as full.
     full_until: Option<Instant>,
-    /// The holder of the lease has said that it loads weights.
+    /// Until when the engine counts as loading weights.
     loading_until: Option<Instant>,
-    /// Weights that the list or an answer named.
+    /// Versions confirmed by the server list, a response or a report.
     weights: IndexMap<ModelName, WeightsVersion>,
-    /// Weights that it most likely loads now, for requests only: an engine that is wrongly thought
-    /// to be up to date would never be ordered to load.
+    /// Versions that the engine is probably loading. Used only to route requests: if they also decided about
+    /// load orders, a wrong assumption would leave the engine on old weights.
     assumed: IndexMap<ModelName, WeightsVersion>,
     pub(crate) memory: PartMemory,
-    /// Its link to other engines.
+    /// Load on its link to other engines.
     pub(crate) link: LinkMeter,
 }
 
-/// Expected time of a plain call while nothing is known, in milliseconds.
-const COMMON_LATENCY_MS: f64 = 20.0;
-/// A server without a connection is left alone for this long, twice as long each time.
-const SHUT_FIRST: Duration = Duration::from_millis(400);
-/// And for this long at most.
-const SHUT_MOST: Duration = Duration::from_millis(1_600);
-/// An engine finishes what runs, some 1 to 2 s, and loads in some 300 ms.
-const LONGEST_LOADING: Duration = Duration::from_millis(2_500);
+/// Expected latency of a plain call before any was observed.
+const DEFAULT_LATENCY_MS: f64 = 20.0;
+/// Backoff after the first failed connection; doubles with each further failure.
+const MIN_BACKOFF: Duration = Duration::from_millis(400);
+/// Upper bound of the backoff.
+const MAX_BACKOFF: Duration = Duration::from_millis(1_600);
+/// After this time an engine no longer counts as loading. Running requests finish within 1 to 2 s, and the
+/// load itself takes about 300 ms.
+const LOADING_TIMEOUT: Duration = Duration::from_millis(2_500);
 
 impl ServerState {
     pub(crate) fn new(entry: Arc<ServerEntry>, now: Instant) -> ServerState {
@@ -82,10 +83,10 @@
             chats: 0,
             backlog: Backlog::default(),
             report: None,
-            latency_ms: FadingMean::new(COMMON_LATENCY_MS, now),
+            latency_ms: FadingMean::new(DEFAULT_LATENCY_MS, now),
             failures: FadingMean::new(0.0, now),
-            shut_until: None,
-            shut_times: 0,
+            backoff_until: None,
+            backoff_count: 0,
             contact: ServerContact::default(),
             full_until: None,
             loading_until: None,
@@ -96,12 +97,12 @@
         }
     }
 
-    /// The list's entry.
+    /// The server's current list entry.
     pub fn entry(&self) -> &Arc<ServerEntry> {
         &self.entry
     }
 
-    /// The list has a newer entry. Versions only rise: the list lags behind answers.
+    /// Applies a newer list entry. Weights versions only increase, because the list lags behind responses.
     pub(crate) fn update(&mut self, entry: &Arc<ServerEntry>) {
         for (model, version) in &entry.models {
             self.learn_weights(model, *version);
@@ -109,99 +110,98 @@
         self.entry = entry.clone();
     }
 
-    /// An answer or the list names the weights in use.
+    /// Records a confirmed weights version.
     pub(crate) fn learn_weights(&mut self, model: &ModelName, version: WeightsVersion) {
         let known = self.weights.entry(model.clone()).or_insert(version);
         if *known < version {
             *known = version;
             self.loading_until = None;
-            // Loading discards what the engine had cached.
+            // Loading weights empties the engine's cache.
             self.memory.clear();
         }
     }
 
-    /// It most likely loads these weights.
+    /// Assumes that the engine is loading this version.
     pub(crate) fn assume_weights(&mut self, model: &ModelName, version: WeightsVersion) {
         self.assumed.insert(model.clone(), version);
     }
 
-    /// What was assumed of its weights was wrong.
-    pub(crate) fn drop_assumption(&mut self) {
+    /// Discards assumed versions.
+    pub(crate) fn clear_assumed_weights(&mut self) {
         self.assumed.clear();
     }
 
-    /// The weights that the list, an answer or a report named.
+    /// The version confirmed by the server list, a response or a report.
     pub fn confirmed_weights(&self, model: &ModelName) -> Option<WeightsVersion> {
         self.weights.get(model).copied()
     }
 
-    /// The weights that a request sent now is expected to run on.
+    /// The version that a request sent now is expected to run on.
     pub fn weights(&self, model: &ModelName) -> Option<WeightsVersion> {
         let confirmed = self.confirmed_weights(model)?;
         let assumed = self.assumed.get(model).copied();
         Some(assumed.map_or(confirmed, |assumed| assumed.max(confirmed)))
     }
 
-    /// The server answered: it can be reached.
-    pub(crate) fn heard(&mut self, report: Option<LoadReport>, now: Instant) {
-        self.shut_until = None;
-        self.shut_times = 0;
+    /// Records a response, which ends the connection backoff.
+    pub(crate) fn record_response(&mut self, report: Option<LoadReport>, now: Instant) {
+        self.backoff_until = None;
+        self.backoff_count = 0;
         self.contact.reached(now);
         if let Some(report) = report {
             self.report = Some((report, now));
         }
     }
 
-    /// No connection could be had, or it fell silent.
-    pub(crate) fn unreachable(&mut self, end: ConnectEnd, now: Instant) {
-        let wait = SHUT_FIRST * 2_u32.pow(self.shut_times.min(4));
-        self.shut_until = Some(now + wait.min(SHUT_MOST));
-        self.shut_times += 1;
-        self.contact.failed(end, now);
+    /// Records a failed connection and extends the backoff.
+    pub(crate) fn connection_failed(&mut self, outcome: ConnectEnd, now: Instant) {
+        let backoff = MIN_BACKOFF * 2_u32.pow(self.backoff_count.min(4));
+        self.backoff_until = Some(now + backoff.min(MAX_BACKOFF));
+        self.backoff_count += 1;
+        self.contact.failed(outcome, now);
     }
 
-    /// No connection could be had, most likely for want of the host's own. It is left alone for a moment, which
-    /// leads requests to servers that may be reached; longer, they would stay away from it when the
-    /// host is well again. Nothing is held against it.
-    pub(crate) fn shut_shortly(&mut self, now: Instant) {
-        self.shut_until = Some(now + SHUT_FIRST);
+    /// Backs off after a connection that probably failed through a local fault. Requests try other servers
+    /// meanwhile. The failure is not counted, and the backoff stays short so that the server is used again
+    /// soon after the fault ends.
+    pub(crate) fn back_off_briefly(&mut self, now: Instant) {
+        self.backoff_until = Some(now + MIN_BACKOFF);
     }
 
-    /// It turned a request away.
-    pub(crate) fn full(&mut self, wait: Duration, now: Instant) {
-        self.full_until = Some(now + wait);
+    /// Records that the server rejected a request, and skips it for `backoff`.
+    pub(crate) fn mark_full(&mut self, backoff: Duration, now: Instant) {
+        self.full_until = Some(now + backoff);
     }
 
-    /// Whether a connection may be had.
+    /// Whether the server is not in connection backoff.
     pub(crate) fn is_reachable(&self, now: Instant) -> bool {
-        self.shut_until.is_none_or(|until| until <= now)
+        self.backoff_until.is_none_or(|until| until <= now)
     }
 
-    /// Whether it may be chosen.
+    /// Whether the server may be selected now.
     pub fn is_open(&self, now: Instant) -> bool {
-        let is_past = |until: Option<Instant>| until.is_none_or(|until| until <= now);
-        is_past(self.shut_until) && is_past(self.full_until) && is_past(self.loading_until)
+        let is_over = |until: Option<Instant>| until.is_none_or(|until| until <= now);
+        is_over(self.backoff_until) && is_over(self.full_until) && is_over(self.loading_until)
     }
 
-    /// It loads weights, or is about to. The notice may be lost when they are in place, so that it
-    /// counts for a while only.
-    pub(crate) fn loads(&mut self, now: Instant) {
-        self.loading_until = Some(now + LONGEST_LOADING);
+    /// Marks the engine as loading weights. The mark expires, because the notice that ends it may be lost.
+    pub(crate) fn mark_loading(&mut self, now: Instant) {
+        self.loading_until = Some(now + LOADING_TIMEOUT);
     }
 
-    /// It keeps the weights it has.
-    pub(crate) fn loads_no_more(&mut self) {
+    /// Ends the loading state without a new version.
+    pub(crate) fn clear_loading(&mut self) {
         self.loading_until = None;
     }
 
-    /// The weights are in place.
-    pub(crate) fn loaded(&mut self, model: &ModelName, version: WeightsVersion) {
+    /// Ends the loading state and records the new version.
+    pub(crate) fn mark_loaded(&mut self, model: &ModelName, version: WeightsVersion) {
         self.loading_until = None;
         self.learn_weights(model, version);
     }
 
-    pub(crate) fn succeeded(&mut self, took: Duration, now: Instant) {
-        self.latency_ms.add(took.as_secs_f64() * 1_000.0, now);
+    pub(crate) fn succeeded(&mut self, latency: Duration, now: Instant) {
+        self.latency_ms.add(latency.as_secs_f64() * 1_000.0, now);
         self.failures.add(0.0, now);
     }
 
@@ -213,29 +213,29 @@
         self.latency_ms.get(now)
     }
 
-    /// Share of requests that fail.
+    /// Recent share of failed requests.
     pub fn failure_share(&self, now: Instant) -> f64 {
         self.failures.get(now)
     }
 
-    /// Requests that wait at the server, by its last report if that is fresh.
+    /// Queued requests by the last valid report.
     pub(crate) fn waiting(&self, now: Instant) -> u32 {
-        self.fresh_report(now).map_or(0, |report| report.waiting)
+        self.valid_report(now).map_or(0, |report| report.waiting)
     }
 
-    /// Requests that are there: the larger of the server's word and this router's count.
+    /// Requests at the server: the larger of its own report and this router's count.
     pub fn occupancy(&self, now: Instant) -> u32 {
-        let reported = self.fresh_report(now).map_or(0, |report| report.running + report.waiting);
+        let reported = self.valid_report(now).map_or(0, |report| report.running + report.waiting);
         reported.max(self.open)
     }
 
-    /// Its name in messages.
+    /// Key of the server in gossip messages.
     pub fn key(&self) -> ServerKey {
         self.key
     }
 
-    fn fresh_report(&self, now: Instant) -> Option<LoadReport> {
-        let (report, at) = self.report?;
-        (now.saturating_duration_since(at) < REPORT_AGE).then_some(report)
+    fn valid_report(&self, now: Instant) -> Option<LoadReport> {
+        let (report, received_at) = self.report?;
+        (now.saturating_duration_since(received_at) < REPORT_TTL).then_some(report)
     }
 }
