--- a/crates/dispatch/src/connect_end.rs
+++ b/crates/dispatch/src/connect_end.rs
@@ -1,19 +1,18 @@
-//! How a try for a connection to a server ended.
+//! Outcome of a connection attempt.
 
-/// What a try for a connection says of the server and of the host's own link.
+/// Outcome of a connection attempt to a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectEnd {
-    /// A connection was had.
+    /// The connection was established.
     Reached,
-    /// The server's host answered that there is none to be had: it says so of the server.
+    /// The server's host refused the connection, which shows a fault of the server.
     Refused,
-    /// Nothing was heard in time, or the host could not even try: the server is gone, or the host is cut
-    /// short.
+    /// The attempt timed out, or could not be made. Either the server is gone, or the local network is faulty.
     Silent,
 }
 
 impl ConnectEnd {
-    /// The name in metrics.
+    /// Label value in metrics.
     pub fn name(self) -> &'static str {
         match self {
             ConnectEnd::Reached => "reached",
--- a/crates/dispatch/src/entry_status.rs
+++ b/crates/dispatch/src/entry_status.rs
@@ -1,4 +1,4 @@
-//! What an entry daemon says of itself to operators.
+//! Status that an entry daemon reports to operators.
 
 use fulmargate_names::ConfigVersion;
 use fulmargate_names::FencingNumber;
@@ -11,48 +11,48 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// The answer of `GET /status` on a daemon's metrics listener.
+/// Response to `GET /status` on a daemon's metrics listener.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EntryStatus {
     /// The entry host.
     pub host: HostName,
     /// Its availability zone.
     pub zone: ZoneName,
-    /// The configuration in force; none before the first was read.
+    /// Active configuration version; `None` before the first one is read.
     pub config_version: Option<ConfigVersion>,
-    /// Milliseconds since it was proved to be the newest.
+    /// Milliseconds since this version was last confirmed to be the latest.
     pub config_proof_ms: Option<u64>,
     /// Whether requests with a key are admitted.
     pub admits_keys: bool,
-    /// Weights wanted.
+    /// Target weights version of each model.
     pub weights: Vec<WantedWeights>,
-    /// Hosts that have started lately, as far as the store keeps records.
+    /// Hosts that started recently, as far back as the store keeps records.
     pub members: Vec<HostName>,
-    /// Hosts heard within the last second.
+    /// Hosts that sent a message within the last second.
     pub heard: Vec<HostName>,
-    /// The newest lease on orders to engines.
+    /// The latest lease for ordering engines to load weights.
     pub lease: Option<LeaseStatus>,
     /// Backend servers in use.
     pub servers: Vec<ServerStatus>,
 }
 
-/// Weights wanted of a model.
+/// Target weights version of a model.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WantedWeights {
     /// The model.
     pub model: ModelName,
     /// The version.
     pub version: WeightsVersion,
-    /// Milliseconds since it was learned of.
+    /// Milliseconds since the daemon learned of this version.
     pub age_ms: u64,
 }
 
-/// A lease on orders.
+/// A lease for ordering engines to load weights.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseStatus {
-    /// The holder's host.
+    /// Host that holds the lease.
     pub host: HostName,
-    /// The fencing number.
+    /// Fencing number of the lease.
     pub fence: FencingNumber,
     /// Milliseconds since its record was read.
     pub age_ms: u64,
@@ -67,12 +67,12 @@
     pub service: ServiceName,
     /// Its availability zone.
     pub zone: ZoneName,
-    /// Whether it may be chosen at this moment.
+    /// Whether it may be selected now.
     pub is_open: bool,
-    /// Requests of all routers there.
+    /// Requests in flight there, from all routers.
     pub open: u32,
-    /// Share of requests that failed lately.
+    /// Recent share of failed requests.
     pub failure_share: f64,
-    /// Weights by model, for engines.
+    /// Weights version of each model; empty for servers that are not engines.
     pub weights: Vec<(ModelName, WeightsVersion)>,
 }
--- a/crates/dispatch/src/quota_fault.rs
+++ b/crates/dispatch/src/quota_fault.rs
@@ -1,15 +1,15 @@
-//! A quota that cannot be read.
+//! Error for an invalid team quota.
 
 use derive_more::Display;
 
-/// Which field of a team's quota cannot be read, and what stands there.
+/// An invalid field of a team's quota.
 #[derive(Clone, Debug, PartialEq, Eq, Display)]
-#[display("{field} is {value}, where {allowed} is due")]
+#[display("{field} is {value}, expected {allowed}")]
 pub struct QuotaFault {
-    /// The field, as operators write it.
+    /// Name of the field in the configuration.
     pub field: &'static str,
-    /// What stands there.
+    /// The configured value.
     pub value: String,
-    /// What may stand there.
+    /// Description of valid values.
     pub allowed: &'static str,
 }
--- a/crates/dispatch/src/route_rule.rs
+++ b/crates/dispatch/src/route_rule.rs
@@ -1,68 +1,67 @@
-//! Where requests of one path go, and under which terms.
+//! Routes: which services handle requests of a host and path, and with which limits.
 
 use std::time::Duration;
 
 use fulmargate_names::ServiceName;
 
-/// A route of the operators' configuration.
+/// A route from the configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RouteRule {
     /// The route's name.
     pub name: String,
     /// The `Host` header it serves.
     pub host: String,
-    /// Beginning of the paths it serves; starts and ends with a slash.
+    /// Prefix of the paths it serves; starts and ends with a slash.
     pub path_prefix: String,
-    /// What may be repeated.
+    /// Whether and how requests may be retried.
     pub kind: RouteKind,
-    /// Longest time that a caller is kept waiting.
+    /// Time limit of a request.
     pub timeout: Duration,
-    /// Time to the answer, or to a stream's first event, that callers are content with.
+    /// Target time to the response, or to the first event of a stream.
     pub target_latency: Duration,
-    /// Rank among routes, 0 first.
+    /// Priority among routes; 0 is the highest.
     pub priority: u8,
-    /// Services that the requests are shared among.
+    /// Services that share the requests.
     pub services: Vec<ServiceShare>,
-    /// Most servers that may run one attempt of a caller.
+    /// Upper bound on servers that one request from a caller is sent to.
     pub max_attempts: u32,
-    /// No key is asked for.
+    /// Whether requests need no key.
     pub is_anonymous: bool,
-    /// Requests carry a prompt whose parts engines cache.
+    /// Whether requests carry a prompt whose parts engines cache.
     pub is_sticky: bool,
 }
 
-/// A service and its share of a route's requests.
+/// A service with its share of a route's requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServiceShare {
     /// The service.
     pub service: ServiceName,
-    /// Its weight against the others'.
+    /// Weight relative to the route's other services.
     pub weight: f64,
 }
 
-/// What may be repeated.
+/// Whether and how requests may be retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouteKind {
-    /// May run more than once.
+    /// A request may run more than once.
     Idempotent,
-    /// May run once at most.
+    /// A request may run at most once.
     NonIdempotent,
     /// A stream of events.
     Stream(StreamRule),
 }
 
-/// Terms of a stream.
+/// Rules for a stream of events.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StreamRule {
-    /// Another server may go on after the last whole event.
+    /// Whether another server may resume the stream after its last complete event.
     pub is_resumable: bool,
-    /// Longest pause between events that callers are content with.
+    /// Target upper bound of the gap between two events.
     pub longest_gap: Duration,
 }
 
 impl RouteRule {
-    /// Whether a request that may have run can be sent once more from its beginning or from its
-    /// last event.
+    /// Whether a request that may have run can be sent again, from its start or from its last event.
     pub fn may_repeat(&self) -> bool {
         match self.kind {
             RouteKind::Idempotent => true,
@@ -71,15 +70,16 @@
         }
     }
 
-    /// The service for a request, drawn by its hash so that retries of other routers agree.
-    pub fn service_for(&self, draw: u64) -> Option<&ServiceName> {
+    /// Selects a service by weight. `hash` is a hash of the request, so that all routers select the same
+    /// service when they retry it.
+    pub fn service_for(&self, hash: u64) -> Option<&ServiceName> {
         let total: f64 = self.services.iter().map(|share| share.weight).sum();
-        let mut left = (draw >> 11) as f64 / (1_u64 << 53) as f64 * total;
+        let mut remaining = (hash >> 11) as f64 / (1_u64 << 53) as f64 * total;
         for share in &self.services {
-            if left < share.weight {
+            if remaining < share.weight {
                 return Some(&share.service);
             }
-            left -= share.weight;
+            remaining -= share.weight;
         }
         self.services.last().map(|share| &share.service)
     }
--- a/crates/dispatch/src/route_table.rs
+++ b/crates/dispatch/src/route_table.rs
@@ -1,4 +1,4 @@
-//! A configuration made ready for lookups.
+//! Configuration indexed for lookups.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,11 +16,11 @@
 use crate::ServiceRule;
 use crate::TeamRule;
 
-/// An immutable snapshot; a new version is built whole and swapped in.
+/// Immutable snapshot of one configuration version. An update builds a new table and swaps it in.
 #[derive(Debug)]
 pub struct RouteTable {
     version: ConfigVersion,
-    /// Routes of each host, the longest prefix first.
+    /// Routes of each host, longest path prefix first.
     hosts: IndexMap<String, Vec<Arc<RouteRule>>>,
     teams: Vec<Arc<TeamRule>>,
     teams_by_key: IndexMap<String, Arc<TeamRule>>,
@@ -31,7 +31,7 @@
 }
 
 impl RouteTable {
-    /// Builds the table of one version.
+    /// Builds the table for a configuration.
     pub fn new(config: RoutingConfig) -> RouteTable {
         let isolated: Vec<TeamName> = config
             .teams
@@ -71,18 +71,18 @@
         }
     }
 
-    /// The version in force.
+    /// The configuration version.
     pub fn version(&self) -> ConfigVersion {
         self.version
     }
 
-    /// The route of a request: of its host's routes, the one with the longest prefix of the path.
+    /// Finds the route of the host with the longest matching path prefix.
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<RouteRule>> {
         let routes = self.hosts.get(host.to_ascii_lowercase().as_str())?;
         routes.iter().find(|route| path.starts_with(&route.path_prefix))
     }
 
-    /// The team that holds a key.
+    /// Finds the team that a key belongs to.
     pub fn team(&self, key: &str) -> Option<&Arc<TeamRule>> {
         self.teams_by_key.get(key)
     }
@@ -92,18 +92,18 @@
         self.teams.iter()
     }
 
-    /// Whether requests on this route need a key.
+    /// Whether requests on this route must carry a key.
     pub fn needs_key(&self, route: &RouteRule) -> bool {
         !self.teams.is_empty() && !route.is_anonymous
     }
 
-    /// A service by its name.
+    /// Finds a service by name.
     pub fn service(&self, name: &ServiceName) -> Option<&Arc<ServiceRule>> {
         self.services.get(name)
     }
 
-    /// Whether a service has model engines. Entries of the list name services that no configuration
-    /// knows; what stands there is neither ordered to load nor asked for its cache.
+    /// Whether a service consists of model engines. False for services that only the server list names: their
+    /// servers receive no load orders and no cache reads.
     pub fn has_engines(&self, name: &ServiceName) -> bool {
         self.service(name).is_some_and(|service| service.engine.is_some())
     }
@@ -113,27 +113,27 @@
         self.services.values()
     }
 
-    /// The store of cached prompts.
+    /// The prompt store, if one is configured.
     pub fn cache_store(&self) -> Option<&CacheStore> {
         self.store.as_ref()
     }
 
-    /// Address of the store of cached prompts.
+    /// Address of the prompt store, if one is configured.
     pub fn cache_store_address(&self) -> Option<SocketAddr> {
         self.store.as_ref().map(|store| store.address)
     }
 
-    /// What callers may send.
+    /// Limits on requests and connections of callers.
     pub fn limits(&self) -> CallerLimits {
         self.limits
     }
 
-    /// Makes the salts that keep teams and weights apart in the engines' caches.
+    /// Builder of the salts that separate teams and weights versions in engine caches.
     pub fn salts(&self) -> &SaltMaker {
         &self.salts
     }
 
-    /// Routes, hosts and keys, for status and logs.
+    /// Numbers of routes, hosts and keys, for status and logs.
     pub fn sizes(&self) -> (usize, usize, usize) {
         let routes = self.hosts.values().map(Vec::len).sum();
         (routes, self.hosts.len(), self.teams_by_key.len())
--- a/crates/dispatch/src/routing_config.rs
+++ b/crates/dispatch/src/routing_config.rs
@@ -1,4 +1,4 @@
-//! The operators' configuration as a whole.
+//! The operators' routing configuration.
 
 use std::time::Duration;
 
@@ -14,41 +14,42 @@
 /// One version of the configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RoutingConfig {
-    /// Versions rise, with gaps.
+    /// Version number; increases with each change, possibly with gaps.
     pub version: ConfigVersion,
     /// All routes.
     pub routes: Vec<RouteRule>,
     /// All services.
     pub services: Vec<ServiceRule>,
-    /// All teams; without any, no key is asked for.
+    /// All teams. If there are none, requests need no key.
     pub teams: Vec<TeamRule>,
-    /// What a caller may send.
+    /// Limits on requests and connections of callers.
     pub limits: CallerLimits,
 }
 
 impl RoutingConfig {
-    /// Gives teams whose quotas cannot be read those of the table before. Returns the teams and what is wrong.
-    pub fn keep_quotas(&mut self, before: Option<&RouteTable>) -> Vec<(TeamName, QuotaFault)> {
+    /// Replaces invalid quotas by those of the previous table. Returns the affected teams and the errors.
+    pub fn keep_quotas(&mut self, previous: Option<&RouteTable>) -> Vec<(TeamName, QuotaFault)> {
         let mut faults = Vec::new();
         for team in &mut self.teams {
             let Some(fault) = team.quota_fault.take() else { continue };
-            let earlier = before.and_then(|table| table.teams().find(|it| it.name == team.name));
-            team.quota = earlier.and_then(|team| team.quota);
+            let previous_team =
+                previous.and_then(|table| table.teams().find(|it| it.name == team.name));
+            team.quota = previous_team.and_then(|team| team.quota);
             faults.push((team.name.clone(), fault));
         }
         faults
     }
 }
 
-/// What a caller may send and how long it may take.
+/// Limits on requests and connections of callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// Largest head of a request in bytes.
+    /// Maximum size of a request head in bytes.
     pub header_bytes: usize,
-    /// Largest body in bytes.
+    /// Maximum size of a request body in bytes.
     pub body_bytes: usize,
-    /// Longest time for the head of a request.
+    /// Timeout for receiving a request head.
     pub header_timeout: Duration,
-    /// Longest time that a connection may be without a request.
+    /// Timeout of a connection without a request.
     pub idle_timeout: Duration,
 }
--- a/crates/dispatch/src/salt_maker.rs
+++ b/crates/dispatch/src/salt_maker.rs
@@ -1,25 +1,24 @@
-//! Salts under which engines cache prompts.
+//! Salts that partition the engines' prompt caches.
 
 use fulmargate_names::ModelName;
 use fulmargate_names::TeamName;
 use fulmargate_names::WeightsVersion;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Makes the salt of a request. Engines find cached parts only under the salt they were made
-/// under, so a salt names all that two requests must have in common to share cache: the model, its
-/// weights version, and the wall around an isolated team.
+/// Builds the salt of a request. Requests share cached prompt parts only if their salts are equal, so a salt
+/// contains the model, its weights version, and the team if it is isolated.
 ///
-/// All other teams share one salt that also names the set of isolated teams. Without it, a team
-/// that becomes isolated would still find what others left under the common salt, and they what it
-/// left; with it, the common salt changes at that moment on every router alike.
+/// All other teams share a salt that contains a hash of the set of isolated teams. It changes on all routers when
+/// a team becomes isolated, so that this team and the others cannot reach each other's older cache entries.
 #[derive(Debug)]
 pub struct SaltMaker {
     isolated: Vec<TeamName>,
-    common: String,
+    /// Last component of the salt of all teams that are not isolated.
+    shared: String,
 }
 
 impl SaltMaker {
-    /// Makes salts for these isolated teams.
+    /// Creates a builder for a set of isolated teams.
     pub fn new(mut isolated: Vec<TeamName>) -> SaltMaker {
         isolated.sort_unstable();
         let mut names = String::new();
@@ -27,11 +26,11 @@
             names.push_str(team.as_str());
             names.push('\n');
         }
-        let common = format!("all-{:x}", xxh3_64(names.as_bytes()));
-        SaltMaker { isolated, common }
+        let shared = format!("all-{:x}", xxh3_64(names.as_bytes()));
+        SaltMaker { isolated, shared }
     }
 
-    /// The salt of a request of `team` under these weights.
+    /// Builds the salt of a request.
     pub fn salt(
         &self,
         team: Option<&TeamName>,
@@ -40,7 +39,7 @@
     ) -> String {
         match team.filter(|team| self.isolated.binary_search(team).is_ok()) {
             Some(team) => format!("{model}/{weights}/team-{team}"),
-            None => format!("{model}/{weights}/{}", self.common),
+            None => format!("{model}/{weights}/{}", self.shared),
         }
     }
 }
--- a/crates/dispatch/src/server_entry.rs
+++ b/crates/dispatch/src/server_entry.rs
@@ -1,4 +1,4 @@
-//! What the platform's list says of a backend server.
+//! Entry of a backend server in the platform's server list.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,48 +14,48 @@
 
 use crate::ServerKey;
 
-/// One start of a backend server.
+/// One incarnation of a backend server.
 ///
-/// A server may start again under its old name and then knows nothing of before. Whoever remembers
-/// something of a server does so under [`ServerEntry::key`], which differs for each start.
+/// A server may restart under the same name and then has lost its state. Per-server state is therefore keyed by
+/// [`ServerEntry::key`], which is different for each incarnation.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServerEntry {
-    /// Its name.
+    /// The server's name.
     pub name: ServerName,
-    /// Which start this is, by the server's own word: Unix milliseconds. None where the platform does
-    /// not tell; a server then has a new name at each start.
+    /// Start time in Unix milliseconds, as reported by the server. `None` on platforms that do not report it;
+    /// a server then has a new name after each restart.
     pub incarnation: Option<Incarnation>,
     /// The service it belongs to.
     pub service: ServiceName,
-    /// Where it listens. The address may later belong to another server.
+    /// Address that it listens on. May be reassigned to another server later.
     pub address: SocketAddr,
     /// Its availability zone.
     pub zone: ZoneName,
-    /// Requests that it runs at once.
+    /// Capacity for concurrent requests.
     pub slots: u32,
-    /// Whether it takes new requests.
+    /// Whether it accepts new requests.
     pub stage: ServerStage,
-    /// How much longer it is slow after its start.
+    /// Remaining time of reduced speed after its start.
     pub warm_up: Duration,
-    /// Models and the versions of their weights, as of the entry's writing.
+    /// Weights version of each model when the entry was written.
     pub models: IndexMap<ModelName, WeightsVersion>,
 }
 
 impl ServerEntry {
-    /// What this start is remembered under and called in messages.
+    /// Key of this incarnation in router state and in gossip messages.
     pub fn key(&self) -> ServerKey {
         ServerKey::of(&self.name, self.incarnation)
     }
 }
 
-/// Whether a server takes new requests.
+/// Lifecycle stage of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerStage {
-    /// It does.
+    /// Accepts new requests.
     Ready,
-    /// It finishes what it has and leaves.
+    /// Finishes its running requests and exits.
     Draining,
 }
 
-/// Entries are shared by snapshots.
+/// An entry shared between snapshots.
 pub(crate) type SharedEntry = Arc<ServerEntry>;
--- a/crates/dispatch/src/server_table.rs
+++ b/crates/dispatch/src/server_table.rs
@@ -1,4 +1,4 @@
-//! Which backend servers there are, from the platform's list as it is read.
+//! Registry of backend servers, built from the records of the platform's server list.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,107 +13,108 @@
 use crate::ServerStage;
 use crate::server_entry::SharedEntry;
 
-/// Without an answer of the store for so long, entries may have lapsed though their servers live.
-/// A third of the three missed heartbeats after which the store drops an entry.
-const OUTAGE: Duration = Duration::from_millis(1_500);
-/// Servers that live are listed again within about two seconds of the store's return; the rest is
-/// allowance for the pace of reading.
-const RETURN_GRACE: Duration = Duration::from_millis(2_400);
-/// After the store has come back from a copy its list names servers that have left, until their entries
-/// lapse again: three heartbeats of 1.2 s, and as much for a busy store.
-const COPIED_LIST: Duration = Duration::from_millis(7_200);
-/// Starts are remembered for so many names, against words that arrive late. At a thousand restarts a
-/// day this reaches back for days; a name takes some 100 bytes.
-const MOST_STARTS: usize = 4_096;
-
-/// What is known of a server's newest start.
+/// Time without a response from the store after which list entries may have expired although their servers
+/// are alive. Below the three missed heartbeats after which the store drops an entry.
+const MIN_OUTAGE: Duration = Duration::from_millis(1_500);
+/// How long entries that disappear after an outage are kept. Live servers are listed again within about two
+/// seconds; the rest allows for the interval between reads.
+const RECOVERY_GRACE: Duration = Duration::from_millis(2_400);
+/// How long after a restore from backup the list may contain servers that have left. Their entries expire
+/// after three heartbeats of 1.2 s; the rest allows for a busy store.
+const RESTORED_LIST_TTL: Duration = Duration::from_millis(7_200);
+/// Upper bound on remembered starts and departures, which serve to reject late records. At about 100 bytes
+/// each, this covers several days of a thousand restarts a day.
+const MAX_STARTS: usize = 4_096;
+
+/// The last known start of a server.
 #[derive(Clone, Copy, Debug)]
 struct KnownStart {
     incarnation: Option<Incarnation>,
     has_drained: bool,
 }
 
-/// The fold over the list's records.
+/// State folded from the records of the server list.
 ///
-/// An entry that disappears means that the server has left, but not right after an outage of the
-/// store: heartbeats could not be written, and all entries lapse at once. A router that believed
-/// it then would refuse every request. Such entries are kept until the grace time is over.
+/// An entry that disappears means that its server has left, except right after an outage of the store: all
+/// entries expire at once then, because no heartbeat could be written. Such entries are kept for a grace
+/// period, so that the router does not reject every request.
 #[derive(Debug, Default)]
 pub struct ServerTable {
     servers: IndexMap<ServerName, SharedEntry>,
-    /// The newest start known of each name that drained or told of its start.
+    /// Last known start of each server that was draining or has an incarnation.
     starts: IndexMap<ServerName, KnownStart>,
+    /// Servers that the list dropped during a grace period.
     lapsed: IndexSet<ServerName>,
-    /// Servers whose entries were removed, and their starts.
-    left: IndexMap<ServerName, Option<Incarnation>>,
+    /// Servers whose entries were removed, with their incarnations.
+    departed: IndexMap<ServerName, Option<Incarnation>>,
     last_contact: Option<BootTime>,
-    returned: Option<BootTime>,
-    /// When the store came back from a copy.
-    restored: Option<BootTime>,
+    /// End of the last outage or time of the last restore.
+    recovered_at: Option<BootTime>,
+    /// When the store was last restored from a backup.
+    restored_at: Option<BootTime>,
 }
 
 impl ServerTable {
-    /// The store has answered a read that was sent at `sent`. To be told before the read's records
-    /// are applied. Returns whether this ended an outage.
+    /// Records a response of the store to a read sent at `sent`, before the records of that read are applied.
+    /// Returns whether this ended an outage.
     pub fn contact(&mut self, sent: BootTime, now: BootTime) -> bool {
-        let was_out = self.last_contact.is_some_and(|last| OUTAGE <= sent.since(last));
+        let was_out = self.last_contact.is_some_and(|last| MIN_OUTAGE <= sent.since(last));
         if was_out {
-            self.returned = Some(now);
+            self.recovered_at = Some(now);
         }
         self.last_contact = Some(now);
         was_out
     }
 
-    /// An entry was written. Returns whether it counts: what an earlier start of the server said, or
-    /// somebody else under its name, does not.
+    /// Applies a written entry. Returns false for an entry of an earlier incarnation, which is ignored.
     pub fn put(&mut self, mut entry: ServerEntry) -> bool {
         let known = self.starts.get(&entry.name).copied();
         if known.is_some_and(|known| entry.incarnation < known.incarnation) {
             return false;
         }
-        // A server that has said it drains stays draining: an older entry that is read later, or
-        // one written by a confused server, would bring it requests that it cuts off when it ends.
-        // A new start of it is another server.
-        let same = known.filter(|known| known.incarnation == entry.incarnation);
-        if same.is_some_and(|known| known.has_drained) {
+        // An incarnation that was draining stays draining. Otherwise a late or faulty entry would send it
+        // requests that are cut off when it exits.
+        let same_start = known.filter(|known| known.incarnation == entry.incarnation);
+        if same_start.is_some_and(|known| known.has_drained) {
             entry.stage = ServerStage::Draining;
         }
-        self.note_start(&entry);
-        self.left.swap_remove(&entry.name);
+        self.record_start(&entry);
+        self.departed.swap_remove(&entry.name);
         self.lapsed.swap_remove(&entry.name);
         self.servers.insert(entry.name.clone(), Arc::new(entry));
         true
     }
 
-    /// The store has come back from a copy: entries written since are missing until their servers write
-    /// again, as after an outage.
+    /// Records that the store was restored from a backup. Entries newer than the backup are missing until
+    /// their servers write them again.
     pub fn restored(&mut self, now: BootTime) {
-        self.returned = Some(now);
-        self.restored = Some(now);
+        self.recovered_at = Some(now);
+        self.restored_at = Some(now);
     }
 
-    /// Takes in an entry of the whole list. Returns whether it counts.
+    /// Applies an entry from a read of the full list. Returns whether the entry was accepted.
     ///
-    /// In a copy a server that has left looks ready, and would get requests that it cuts off when it ends.
-    /// One that lives writes its entry again within a heartbeat.
+    /// A restored list may show a departed server as ready. Such an entry is ignored; if the server is alive,
+    /// it writes its entry again within one heartbeat.
     pub fn put_listed(&mut self, entry: ServerEntry, now: BootTime) -> bool {
-        let is_copied = self.restored.is_some_and(|restored| now.since(restored) < COPIED_LIST);
-        if is_copied && self.left.get(&entry.name) == Some(&entry.incarnation) {
+        let is_restored =
+            self.restored_at.is_some_and(|restored_at| now.since(restored_at) < RESTORED_LIST_TTL);
+        if is_restored && self.departed.get(&entry.name) == Some(&entry.incarnation) {
             return false;
         }
         self.put(entry)
     }
 
-    /// An entry was removed.
+    /// Removes an entry, or keeps it as lapsed during a grace period.
     pub fn remove(&mut self, name: &ServerName, now: BootTime) {
-        if self.in_grace(now) && self.servers.contains_key(name) {
+        if self.in_grace_period(now) && self.servers.contains_key(name) {
             self.lapsed.insert(name.clone());
             return;
         }
         self.drop_server(name);
     }
 
-    /// The whole list was read because records were lost: what is not in it was removed.
+    /// Removes all entries that are not in a full list, which is read when records were lost.
     pub fn retain_listed(&mut self, listed: &IndexSet<ServerName>, now: BootTime) {
         let missing: Vec<ServerName> =
             self.servers.keys().filter(|name| !listed.contains(*name)).cloned().collect();
@@ -122,61 +123,61 @@
         }
     }
 
-    /// Drops what has not come back in time. Returns the names.
+    /// Drops lapsed entries once the grace period is over. Returns their names.
     pub fn expire(&mut self, now: BootTime) -> Vec<ServerName> {
-        if self.in_grace(now) || self.lapsed.is_empty() {
+        if self.in_grace_period(now) || self.lapsed.is_empty() {
             return Vec::new();
         }
-        let gone: Vec<ServerName> = self.lapsed.drain(..).collect();
-        for name in &gone {
+        let expired: Vec<ServerName> = self.lapsed.drain(..).collect();
+        for name in &expired {
             self.drop_server(name);
         }
-        gone
+        expired
     }
 
-    /// Servers that may get requests.
+    /// Servers that may receive requests.
     pub fn usable(&self) -> Vec<Arc<ServerEntry>> {
         let ready = self.servers.values().filter(|entry| entry.stage == ServerStage::Ready);
         ready.cloned().collect()
     }
 
-    /// All entries, draining ones included.
+    /// All entries, including those of draining servers.
     pub fn entries(&self) -> impl Iterator<Item = &Arc<ServerEntry>> {
         self.servers.values()
     }
 
-    /// Whether an entry is kept although the list has dropped it.
+    /// Whether an entry is kept although the list no longer contains it.
     pub fn is_lapsed(&self, name: &ServerName) -> bool {
         self.lapsed.contains(name)
     }
 
-    fn in_grace(&self, now: BootTime) -> bool {
-        self.returned.is_some_and(|returned| now.since(returned) < RETURN_GRACE)
+    fn in_grace_period(&self, now: BootTime) -> bool {
+        self.recovered_at.is_some_and(|recovered_at| now.since(recovered_at) < RECOVERY_GRACE)
     }
 
     fn drop_server(&mut self, name: &ServerName) {
         self.lapsed.swap_remove(name);
         let Some(entry) = self.servers.swap_remove(name) else { return };
-        self.left.insert(name.clone(), entry.incarnation);
-        if MOST_STARTS < self.left.len() {
-            self.left.shift_remove_index(0);
+        self.departed.insert(name.clone(), entry.incarnation);
+        if MAX_STARTS < self.departed.len() {
+            self.departed.shift_remove_index(0);
         }
     }
 
-    fn note_start(&mut self, entry: &ServerEntry) {
+    fn record_start(&mut self, entry: &ServerEntry) {
         let has_drained = entry.stage == ServerStage::Draining;
         if entry.incarnation.is_none() && !has_drained {
             return;
         }
         let start = KnownStart { incarnation: entry.incarnation, has_drained };
         if self.starts.insert(entry.name.clone(), start).is_none() {
-            self.bound_starts();
+            self.evict_oldest_start();
         }
     }
 
-    /// Servers that are still listed are remembered in any case.
-    fn bound_starts(&mut self) {
-        if self.starts.len() <= MOST_STARTS {
+    /// Evicts the oldest start of an unlisted server if there are too many.
+    fn evict_oldest_start(&mut self) {
+        if self.starts.len() <= MAX_STARTS {
             return;
         }
         let oldest = self.starts.keys().position(|name| !self.servers.contains_key(name));
--- a/crates/dispatch/src/service_rule.rs
+++ b/crates/dispatch/src/service_rule.rs
@@ -1,4 +1,4 @@
-//! What the operators' configuration says of a service.
+//! Services in the operators' configuration.
 
 use std::net::SocketAddr;
 
@@ -6,45 +6,45 @@
 use fulmargate_names::ServiceName;
 use fulmargate_names::ZoneName;
 
-/// A service that routes may name, or the store of cached prompts.
+/// A service that routes refer to, or the prompt store.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServiceRule {
     /// The service's name.
     pub name: ServiceName,
-    /// Connections that one of its servers accepts from all routers together.
+    /// Upper bound on the connections that each of its servers accepts from all routers together.
     pub max_connections: Option<u32>,
-    /// Set where the servers are model engines.
+    /// Set if the servers are model engines.
     pub engine: Option<EngineRule>,
-    /// Set where the service is a store of cached prompts.
+    /// Set if the service is a prompt store.
     pub cache_store: Option<CacheStore>,
 }
 
-/// Sizes of the engines of a service.
+/// Properties of the engines of a service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineRule {
-    /// Requests that run at once.
+    /// Capacity of an engine for concurrent requests.
     pub slots: u32,
-    /// Tokens that fit into an engine's memory.
+    /// Cache capacity of an engine in tokens.
     pub cache_tokens: u64,
-    /// Bytes of cache a token takes.
+    /// Cache size of a token in bytes.
     pub token_bytes: u64,
-    /// Rate of an engine's link in Mbit/s.
+    /// Bandwidth of an engine's link in Mbit/s.
     pub link_mbps: f64,
-    /// Tokens that an event of a stream carries.
+    /// Tokens in one stream event.
     pub event_tokens: u32,
     /// Models served.
     pub models: Vec<ModelName>,
 }
 
-/// A store of cached prompts.
+/// A store for cached prompts, shared by engines.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CacheStore {
     /// Its address.
     pub address: SocketAddr,
     /// Its availability zone.
     pub zone: ZoneName,
-    /// Tokens that fit in.
+    /// Capacity in tokens.
     pub cache_tokens: u64,
-    /// Rate of its link in Mbit/s.
+    /// Bandwidth of its link in Mbit/s.
     pub link_mbps: f64,
 }
--- a/crates/dispatch/src/team_rule.rs
+++ b/crates/dispatch/src/team_rule.rs
@@ -1,23 +1,23 @@
-//! A team of the operators' configuration.
+//! Teams in the operators' configuration.
 
 use fulmargate_admission::TeamQuota;
 use fulmargate_names::TeamName;
 
 use crate::QuotaFault;
 
-/// A team and its keys.
+/// A team with its keys and quota.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TeamRule {
     /// The team's name.
     pub name: TeamName,
-    /// Keys its callers may use.
+    /// Keys that authenticate its callers.
     pub keys: Vec<String>,
-    /// Goes before the route's priority.
+    /// Overrides the route's priority.
     pub priority: Option<u8>,
-    /// Shares no cached prompt with any other team.
+    /// Whether its cached prompts are not shared with other teams.
     pub is_isolated: bool,
-    /// What it may use; none for no limit.
+    /// Its quota; `None` means unlimited.
     pub quota: Option<TeamQuota>,
-    /// Its quota cannot be read: the one that was in force before stays.
+    /// Set if its configured quota is invalid. The previous quota then stays in force.
     pub quota_fault: Option<QuotaFault>,
 }
--- a/crates/dispatch/src/weights_table.rs
+++ b/crates/dispatch/src/weights_table.rs
@@ -1,4 +1,4 @@
-//! Which weights the operators want of each model.
+//! Target weights version of each model.
 
 use std::time::Duration;
 
@@ -8,51 +8,51 @@
 
 use crate::BootTime;
 
-/// A request that has not begun this long before the bound is given up: the bound counts from the naming
-/// of a version, a busy host of a large fleet learns of it half a second later, and its own giving up takes
-/// a while to reach the engine.
-const BEGIN_MARGIN: Duration = Duration::from_millis(800);
+/// How long before the bound a request that has not started is cancelled. The bound counts from the publication
+/// of a version, so the margin covers the delay until this host learns of it, and the delay until a
+/// cancellation reaches the engine.
+const START_MARGIN: Duration = Duration::from_millis(800);
 
-/// Versions remembered of one model. Each has its own bound, so the older ones matter until all
-/// engines have passed them.
-const MOST_NAMED: usize = 64;
+/// Upper bound on remembered versions of one model. Each has its own bound, so older versions matter until
+/// all engines run newer ones.
+const MAX_TARGETS: usize = 64;
 
-/// A version that was named, and when this router learned of it.
+/// A target version with the time when this router learned of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WeightsTarget {
     /// The version.
     pub version: WeightsVersion,
-    /// When it was learned of.
+    /// When this router learned of it.
     pub learned: BootTime,
 }
 
-/// The versions named of each model. They only rise.
+/// Target versions of each model, in increasing order.
 #[derive(Clone, Debug, Default)]
 pub struct WeightsTable {
-    named: IndexMap<ModelName, Vec<WeightsTarget>>,
+    targets: IndexMap<ModelName, Vec<WeightsTarget>>,
 }
 
 impl WeightsTable {
-    /// A version was named. Returns whether it is new.
+    /// Adds a target version. Returns whether it is newer than all previous ones.
     pub fn name_version(
         &mut self,
         model: &ModelName,
         version: WeightsVersion,
         now: BootTime,
     ) -> bool {
-        let named = self.named.entry(model.clone()).or_default();
-        if named.last().is_some_and(|target| version <= target.version) {
+        let targets = self.targets.entry(model.clone()).or_default();
+        if targets.last().is_some_and(|target| version <= target.version) {
             return false;
         }
-        if MOST_NAMED <= named.len() {
-            named.remove(0);
+        if MAX_TARGETS <= targets.len() {
+            targets.remove(0);
         }
-        named.push(WeightsTarget { version, learned: now });
+        targets.push(WeightsTarget { version, learned: now });
         true
     }
 
-    /// Another router learned of a version so long ago. A router that has started since cannot know,
-    /// and takes a version for old until it is told. Returns whether this is news.
+    /// Sets the age of a version as reported by another router. Only applies to versions from before this
+    /// router's start, which count as old until their age is reported. Returns whether the age was set.
     pub fn correct_age(
         &mut self,
         model: &ModelName,
@@ -60,8 +60,8 @@
         age: Duration,
         now: BootTime,
     ) -> bool {
-        let named = self.named.get_mut(model).map_or(&mut [][..], Vec::as_mut_slice);
-        let Some(target) = named.iter_mut().find(|target| target.version == version) else {
+        let targets = self.targets.get_mut(model).map_or(&mut [][..], Vec::as_mut_slice);
+        let Some(target) = targets.iter_mut().find(|target| target.version == version) else {
             return false;
         };
         if target.learned != BootTime::default() {
@@ -71,30 +71,30 @@
         true
     }
 
-    /// The newest version of a model.
+    /// The latest target version of a model.
     pub fn target(&self, model: &ModelName) -> Option<WeightsTarget> {
-        self.named.get(model)?.last().copied()
+        self.targets.get(model)?.last().copied()
     }
 
-    /// The newest version of each model.
+    /// The latest target version of each model.
     pub fn targets(&self) -> impl Iterator<Item = (&ModelName, WeightsTarget)> {
-        self.named.iter().filter_map(|(model, named)| Some((model, *named.last()?)))
+        self.targets.iter().filter_map(|(model, targets)| Some((model, *targets.last()?)))
     }
 
-    /// For how long a newer version than this one has been wanted; zero if it is the newest.
+    /// Time since a newer target than this version was learned of; zero if there is none.
     pub fn outdated_for(
         &self,
         model: &ModelName,
         version: WeightsVersion,
         now: BootTime,
     ) -> Duration {
-        let named = self.named.get(model).map_or(&[][..], Vec::as_slice);
-        let newer = named.iter().find(|target| version < target.version);
+        let targets = self.targets.get(model).map_or(&[][..], Vec::as_slice);
+        let newer = targets.iter().find(|target| version < target.version);
         newer.map_or(Duration::ZERO, |target| now.since(target.learned))
     }
 
-    /// How long a request sent now to an engine with these weights may wait there before it begins;
-    /// any time on the newest.
+    /// How long a request sent now to an engine with this version may wait there before it starts. `None`
+    /// means no limit, for the latest version.
     pub fn time_to_begin(
         &self,
         model: &ModelName,
@@ -106,6 +106,6 @@
         if age.is_zero() {
             return None;
         }
-        Some(bound.saturating_sub(BEGIN_MARGIN).saturating_sub(age))
+        Some(bound.saturating_sub(START_MARGIN).saturating_sub(age))
     }
 }
