--- a/crates/dispatch/src/event_splitter.rs
+++ b/crates/dispatch/src/event_splitter.rs
@@ -1,57 +1,57 @@
-//! Whole events out of a stream's bytes.
+//! Splits a byte stream into complete server-sent events.
 
-/// An event may take so many bytes; a stream that exceeds it is passed on as it comes.
-const MOST_EVENT_BYTES: usize = 256 * 1024;
+/// Upper bound on buffered bytes. Data of larger events is passed on unsplit.
+const MAX_EVENT_BYTES: usize = 256 * 1024;
 
-/// Holds back the beginning of an event until its end has come.
+/// Buffers an event until it is complete.
 ///
-/// A server that crashes may cut its stream within an event. If the caller already had that
-/// beginning, the event that another server sends instead could not follow it.
+/// A server that crashes may cut its stream within an event. If the caller had already received that partial
+/// event, another server could not resume the stream with a complete one.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
-    rest: Vec<u8>,
+    partial: Vec<u8>,
     last_id: Option<String>,
     events: u64,
 }
 
 impl EventSplitter {
-    /// Takes in bytes and returns those of all events that are whole now.
+    /// Adds received bytes and returns all complete events.
     pub fn push(&mut self, bytes: &[u8]) -> Vec<u8> {
-        self.rest.extend_from_slice(bytes);
-        let Some(end) = whole_end(&self.rest) else {
-            if MOST_EVENT_BYTES < self.rest.len() {
-                return std::mem::take(&mut self.rest);
+        self.partial.extend_from_slice(bytes);
+        let Some(end) = complete_len(&self.partial) else {
+            if MAX_EVENT_BYTES < self.partial.len() {
+                return std::mem::take(&mut self.partial);
             }
             return Vec::new();
         };
-        let rest = self.rest.split_off(end);
-        let whole = std::mem::replace(&mut self.rest, rest);
-        self.note(&whole);
-        whole
+        let partial = self.partial.split_off(end);
+        let complete = std::mem::replace(&mut self.partial, partial);
+        self.record_ids(&complete);
+        complete
     }
 
-    /// The stream has ended properly: what is left belongs to it, too.
+    /// Returns the buffered bytes after the stream ended without an error.
     pub fn finish(&mut self) -> Vec<u8> {
-        std::mem::take(&mut self.rest)
+        std::mem::take(&mut self.partial)
     }
 
-    /// The stream broke: what is left of it is not passed on.
+    /// Discards the buffered bytes after the stream was cut off.
     pub fn drop_rest(&mut self) {
-        self.rest.clear();
+        self.partial.clear();
     }
 
-    /// Id of the last whole event.
+    /// Id of the last complete event that has one.
     pub fn last_id(&self) -> Option<&str> {
         self.last_id.as_deref()
     }
 
-    /// Whole events so far.
+    /// Number of complete events with an id so far.
     pub fn events(&self) -> u64 {
         self.events
     }
 
-    fn note(&mut self, whole: &[u8]) {
-        for line in whole.split(|byte| *byte == b'\n') {
+    fn record_ids(&mut self, complete: &[u8]) {
+        for line in complete.split(|byte| *byte == b'\n') {
             let line = line.strip_suffix(b"\r").unwrap_or(line);
             if line.is_empty() {
                 continue;
@@ -63,8 +63,8 @@
     }
 }
 
-/// Length of the whole events at the beginning; an event ends with an empty line.
-fn whole_end(bytes: &[u8]) -> Option<usize> {
+/// Length of the complete events at the beginning of `bytes`. An event ends with an empty line.
+fn complete_len(bytes: &[u8]) -> Option<usize> {
     let mut end = None;
     for (index, byte) in bytes.iter().enumerate() {
         if *byte != b'\n' {
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -1,7 +1,7 @@
-//! Decisions on calls to backend servers whose list and configuration come from a shared store.
+//! Routing decisions for calls to backend servers whose list and configuration come from a shared store.
 //!
-//! Nothing here does I/O or asks a clock: callers pass `now` and what they observed, and get a
-//! decision. `docs/design/platform.md` says why it is built in this way.
+//! This crate does no I/O and reads no clock: callers pass the current time and their observations, and receive
+//! decisions. See `docs/design/platform.md` for the design.
 
 mod admission;
 mod backlog;
--- a/crates/dispatch/src/order_wave.rs
+++ b/crates/dispatch/src/order_wave.rs
@@ -1,7 +1,7 @@
-//! Which engines get new weights next.
+//! Rolling update of engines to a new weights version.
 //!
-//! Answers versions that follow each other fast on a busy fleet: an engine that loads is out for a second
-//! and comes back with an empty cache, so that few are taken out at once, as late as the bound allows.
+//! An engine that loads weights is unavailable for about a second and loses its cache. As few engines as the
+//! deadline allows are therefore updated at the same time.
 
 use std::time::Duration;
 
@@ -11,106 +11,110 @@
 
 use crate::ServerKey;
 
-/// How a new version is brought to all engines.
+/// Parameters of a rolling update.
 #[derive(Clone, Copy, Debug)]
 pub struct WaveConf {
-    /// Time that an engine is out of use: it finishes what runs, loads, and is found to have loaded.
-    pub engine_time: Duration,
-    /// Share of the bound on weights within which all engines should have them. Requests leave
-    /// older engines before the bound, and engines that fail are tried again.
-    pub bound_share: f64,
-    /// Share of the engines that may be out at once, however little time is left.
-    pub most: f64,
+    /// Time for which an engine is unavailable: it finishes running requests, loads, and is polled until the
+    /// load is confirmed.
+    pub engine_downtime: Duration,
+    /// Share of the bound within which the update should finish. The rest allows for retries, and for requests
+    /// that must start on new weights before the bound.
+    pub deadline_share: f64,
+    /// Upper bound on the share of engines updated at the same time, even after the deadline.
+    pub max_concurrent_share: f64,
 }
 
 impl Default for WaveConf {
     fn default() -> WaveConf {
-        // An idle engine took 0.7 to 0.9 s from order to report, a busy one 1.1 to 1.5 s. On a day
-        // with two versions and a bound of 8 s, two of twelve engines out at once earned 0.77 of the
-        // worth and four 0.68; with a bound of 6 s two were too few. On 18 engines three out at once
-        // earned 0.324 on a day with five versions and five 0.294; but the more engines there are, the
-        // longer the last ones take: at 0.85 of the bound 104 engines were not done when requests must
-        // leave the older ones, 0.49 instead of 0.60, and at 0.65 two days of 90 and 104 engines earned
-        // 0.533, at 0.6 0.557.
-        WaveConf { engine_time: Duration::from_millis(1_100), bound_share: 0.6, most: 0.4 }
+        WaveConf {
+            engine_downtime: Duration::from_millis(1_100),
+            deadline_share: 0.6,
+            max_concurrent_share: 0.4,
+        }
     }
 }
 
-/// An engine as the wave sees it.
+/// State of an engine as far as a rolling update needs it.
 #[derive(Clone, Debug)]
 pub struct WaveServer {
     /// The engine.
     pub key: ServerKey,
-    /// Its name, by which all routers order engines alike.
+    /// Its name. Breaks ties, so that all routers order engines in the same way.
     pub name: ServerName,
     /// Its availability zone.
     pub zone: ZoneName,
-    /// Its weights as far as is known.
+    /// Its last known weights version.
     pub version: WeightsVersion,
-    /// Requests that run or wait there as far as is known.
+    /// Last known number of running and queued requests.
     pub load: u32,
-    /// An order is under way.
+    /// Whether a load order is in progress.
     pub is_ordered: bool,
-    /// It could be reached.
+    /// Whether it can be reached.
     pub is_open: bool,
 }
 
-/// The time of a wave.
+/// Age and time limit of the target version.
 #[derive(Clone, Copy, Debug)]
 pub struct WaveTime {
-    /// Since the version was named.
+    /// Time since the version was published.
     pub age: Duration,
-    /// No request begins on older weights after so long.
+    /// Age from which no request may start on older weights.
     pub bound: Duration,
 }
 
-/// The plan of one version.
+/// Plans the rolling update to one version.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct OrderWave {
     conf: WaveConf,
 }
 
 impl OrderWave {
-    /// A plan with these numbers.
+    /// Creates a plan with the given parameters.
     pub fn new(conf: WaveConf) -> OrderWave {
         OrderWave { conf }
     }
 
-    /// How many engines may be out at once, `age` after the version was named: as few as will do in
-    /// the time that is left.
-    pub fn at_once(&self, servers: &[WaveServer], wanted: WeightsVersion, wave: WaveTime) -> usize {
-        let behind = servers.iter().filter(|server| server.version < wanted).count() as f64;
-        let time = wave.bound.mul_f64(self.conf.bound_share).saturating_sub(wave.age);
-        let rounds = (time.as_secs_f64() / self.conf.engine_time.as_secs_f64()).max(1.0);
-        let most = (servers.len() as f64 * self.conf.most).ceil();
-        (behind / rounds).ceil().clamp(1.0, most.max(1.0)) as usize
+    /// Number of engines to update at the same time: the minimum with which the update finishes before the
+    /// deadline.
+    pub fn concurrency(
+        &self,
+        servers: &[WaveServer],
+        target: WeightsVersion,
+        wave: WaveTime,
+    ) -> usize {
+        let outdated = servers.iter().filter(|server| server.version < target).count() as f64;
+        let remaining = wave.bound.mul_f64(self.conf.deadline_share).saturating_sub(wave.age);
+        let rounds = (remaining.as_secs_f64() / self.conf.engine_downtime.as_secs_f64()).max(1.0);
+        let max_concurrent = (servers.len() as f64 * self.conf.max_concurrent_share).ceil();
+        (outdated / rounds).ceil().clamp(1.0, max_concurrent.max(1.0)) as usize
     }
 
-    /// Engines to order now. The least busy go first, since an engine finishes what runs before it
-    /// loads; of equal ones, those in zones where fewer are out, so that no zone runs dry.
+    /// Selects the engines to update now. Reachable engines go first, then engines in zones with fewer updates
+    /// in progress, so that no zone loses all its engines. Among these the least loaded go first, because an
+    /// engine finishes its running requests before it loads.
     pub fn next(
         &self,
         servers: &[WaveServer],
-        wanted: WeightsVersion,
+        target: WeightsVersion,
         wave: WaveTime,
     ) -> Vec<ServerKey> {
-        let under_way = servers.iter().filter(|server| server.is_ordered).count();
-        let mut free = self.at_once(servers, wanted, wave).saturating_sub(under_way);
-        let mut open: Vec<&WaveServer> =
-            servers.iter().filter(|server| server.version < wanted && !server.is_ordered).collect();
+        let in_progress = servers.iter().filter(|server| server.is_ordered).count();
+        let mut slots = self.concurrency(servers, target, wave).saturating_sub(in_progress);
+        let mut candidates: Vec<&WaveServer> =
+            servers.iter().filter(|server| server.version < target && !server.is_ordered).collect();
         let mut chosen: Vec<&WaveServer> = Vec::new();
-        while 0 < free && !open.is_empty() {
-            let out_in = |zone: &ZoneName| {
+        while 0 < slots && !candidates.is_empty() {
+            let updating_in = |zone: &ZoneName| {
                 let ordered = servers.iter().filter(|server| server.is_ordered);
                 ordered.chain(chosen.iter().copied()).filter(|server| server.zone == *zone).count()
             };
-            let next = (0..open.len()).min_by_key(|index| {
-                let server = open[*index];
-                (!server.is_open, out_in(&server.zone), server.load, server.name.clone())
+            let next = (0..candidates.len()).min_by_key(|index| {
+                let server = candidates[*index];
+                (!server.is_open, updating_in(&server.zone), server.load, server.name.clone())
             });
             let Some(index) = next else { break };
-            chosen.push(open.swap_remove(index));
-            free -= 1;
+            chosen.push(candidates.swap_remove(index));
+            slots -= 1;
         }
         chosen.into_iter().map(|server| server.key).collect()
     }
--- a/crates/dispatch/src/repeat_budget.rs
+++ b/crates/dispatch/src/repeat_budget.rs
@@ -1,4 +1,4 @@
-//! How many sends beyond the first of each call this router may make.
+//! Retry budget: limits how many retries this router sends to each service.
 
 use std::time::Duration;
 
@@ -6,111 +6,111 @@
 use indexmap::IndexMap;
 use tokio::time::Instant;
 
-/// The window is counted in so many parts.
-const PARTS: usize = 20;
-/// Share of the allowance that is used: windows of the count and of the allowance may lie apart by
-/// one part, and an answer that is lost may hide a send.
-const CAUTION: f64 = 0.7;
+/// Number of buckets in the sliding window.
+const BUCKETS: usize = 20;
+/// Share of the allowance that is used. Allows for windows that are off by one bucket, and for sends that
+/// are not seen because a response was lost.
+const SAFETY_FACTOR: f64 = 0.7;
 
-/// The allowance of all routers together, for each service.
+/// Retry allowance per service, for all routers together.
 #[derive(Clone, Copy, Debug)]
 pub struct RepeatConf {
-    /// Repeats per first send.
+    /// Retries allowed per first send.
     pub ratio: f64,
-    /// Repeats in a window beside these.
+    /// Additional retries allowed in a window.
     pub slack: f64,
-    /// Length of the window.
+    /// Length of the sliding window.
     pub window: Duration,
 }
 
-/// Counts of one service, a ring of window parts.
+/// Counts of one service, in a ring of buckets.
 #[derive(Clone, Debug, Default)]
-struct ServiceCount {
-    firsts: [u32; PARTS],
-    repeats: [u32; PARTS],
-    /// Number of the newest part.
-    part: u64,
+struct ServiceCounts {
+    first_sends: [u32; BUCKETS],
+    retries: [u32; BUCKETS],
+    /// Number of the latest bucket since the start.
+    bucket: u64,
 }
 
-/// Repeats as a share of this router's own traffic.
+/// Limits retries to a share of this router's own traffic.
 ///
-/// A count per call would multiply the load of a service that fails every send just when it can
-/// carry least. The allowance is one for all routers: each has the ratio on its own first sends and
-/// an equal share of the slack. A process cannot know what the one before it has spent, so it has
-/// no slack until a window has passed since its start.
+/// A retry limit per call would multiply the load on a service that fails every request. Each router gets the
+/// ratio of its own first sends and an equal share of the slack, so that all routers together keep to the
+/// allowance. A new process does not know what its predecessor spent, and gets no slack in its first window.
 #[derive(Debug)]
 pub struct RepeatBudget {
     conf: RepeatConf,
-    started: Instant,
+    started_at: Instant,
     hosts: usize,
-    services: IndexMap<ServiceName, ServiceCount>,
+    services: IndexMap<ServiceName, ServiceCounts>,
 }
 
 impl RepeatBudget {
-    /// A budget of a process that starts now.
+    /// Creates the budget of a process that starts now.
     pub fn new(conf: RepeatConf, now: Instant) -> RepeatBudget {
-        RepeatBudget { conf, started: now, hosts: 0, services: IndexMap::new() }
+        RepeatBudget { conf, started_at: now, hosts: 0, services: IndexMap::new() }
     }
 
-    /// Hosts that may share the slack; zero while that is not known.
+    /// Sets the number of hosts that share the slack. Zero, for unknown, allows no slack.
     pub fn set_hosts(&mut self, hosts: usize) {
         self.hosts = hosts;
     }
 
-    /// The first send of a call.
+    /// Records the first send of a call.
     pub fn first(&mut self, service: &ServiceName, now: Instant) {
-        let part = self.part(now);
-        let count = self.count(service, part);
-        count.firsts[(part % PARTS as u64) as usize] += 1;
+        let bucket = self.bucket(now);
+        let counts = self.counts(service, bucket);
+        counts.first_sends[(bucket % BUCKETS as u64) as usize] += 1;
     }
 
-    /// Takes one repeat if the budget has it.
+    /// Spends one retry if the budget allows it.
     pub fn try_repeat(&mut self, service: &ServiceName, now: Instant) -> bool {
-        let has_repeat = self.has_repeat(service, now);
-        if has_repeat {
-            let part = self.part(now);
-            self.count(service, part).repeats[(part % PARTS as u64) as usize] += 1;
+        let is_allowed = self.has_repeat(service, now);
+        if is_allowed {
+            let bucket = self.bucket(now);
+            self.counts(service, bucket).retries[(bucket % BUCKETS as u64) as usize] += 1;
         }
-        has_repeat
+        is_allowed
     }
 
-    /// Whether the budget has a repeat.
+    /// Whether the budget allows a retry.
     pub fn has_repeat(&mut self, service: &ServiceName, now: Instant) -> bool {
-        let allowed = self.conf.ratio * CAUTION;
+        let ratio = self.conf.ratio * SAFETY_FACTOR;
         let slack = self.slack(now);
-        let part = self.part(now);
-        let count = self.count(service, part);
-        let firsts: u32 = count.firsts.iter().sum();
-        let repeats: u32 = count.repeats.iter().sum();
-        f64::from(repeats + 1) <= allowed * f64::from(firsts) + slack
+        let bucket = self.bucket(now);
+        let counts = self.counts(service, bucket);
+        let first_sends: u32 = counts.first_sends.iter().sum();
+        let retries: u32 = counts.retries.iter().sum();
+        f64::from(retries + 1) <= ratio * f64::from(first_sends) + slack
     }
 
     fn slack(&self, now: Instant) -> f64 {
-        let is_new = now.saturating_duration_since(self.started) < self.conf.window;
+        let is_new = now.saturating_duration_since(self.started_at) < self.conf.window;
         if is_new || self.hosts == 0 {
             return 0.0;
         }
-        self.conf.slack * CAUTION / self.hosts as f64
+        self.conf.slack * SAFETY_FACTOR / self.hosts as f64
     }
 
-    fn part(&self, now: Instant) -> u64 {
-        let length = self.conf.window.as_millis().max(PARTS as u128) / PARTS as u128;
-        (now.saturating_duration_since(self.started).as_millis() / length) as u64
+    fn bucket(&self, now: Instant) -> u64 {
+        let bucket_ms = self.conf.window.as_millis().max(BUCKETS as u128) / BUCKETS as u128;
+        (now.saturating_duration_since(self.started_at).as_millis() / bucket_ms) as u64
     }
 
-    fn count(&mut self, service: &ServiceName, part: u64) -> &mut ServiceCount {
-        let count = self.services.entry(service.clone()).or_default();
-        let passed = part.saturating_sub(count.part).min(PARTS as u64);
-        for step in 1..=passed {
-            let index = ((count.part + step) % PARTS as u64) as usize;
-            count.firsts[index] = 0;
-            count.repeats[index] = 0;
+    /// Returns the counts of a service after moving its ring forward to `bucket`.
+    fn counts(&mut self, service: &ServiceName, bucket: u64) -> &mut ServiceCounts {
+        let counts = self.services.entry(service.clone()).or_default();
+        let elapsed = bucket.saturating_sub(counts.bucket).min(BUCKETS as u64);
+        for step in 1..=elapsed {
+            let index = ((counts.bucket + step) % BUCKETS as u64) as usize;
+            counts.first_sends[index] = 0;
+            counts.retries[index] = 0;
         }
-        if PARTS as u64 <= part.saturating_sub(count.part) {
-            count.firsts = [0; PARTS];
-            count.repeats = [0; PARTS];
+        if BUCKETS as u64 <= bucket.saturating_sub(counts.bucket) {
+            counts.first_sends = [0; BUCKETS];
+            counts.retries = [0; BUCKETS];
         }
-        count.part = part;
-        count
+        counts.bucket = bucket;
+        counts
     }
 }
--- a/crates/dispatch/tests/budgets.rs
+++ b/crates/dispatch/tests/budgets.rs
@@ -1,4 +1,4 @@
-//! The budget of repeats and the book of requests that crash servers.
+//! The retry budget, and the tracking of requests that crash servers.
 
 mod support;
 
@@ -20,35 +20,34 @@
     ServiceName::new("engines")
 }
 
-/// A service that fails every send gets twice the traffic from callers' repeats alone.
-/// Routers that each allowed all of the slack would multiply it by their number.
-/// In no window do the routers together send more than the ratio of the firsts and the slack.
+/// Guards against retry storms: in no window may all routers together send more retries than the ratio of
+/// their first sends plus the slack.
 #[test]
-fn routers_together_keep_the_budget() {
+fn all_routers_together_stay_within_the_retry_budget() {
     fn property(traffic: Vec<(u8, u8)>) -> bool {
         const ROUTERS: usize = 6;
         let start = Instant::now();
         let mut routers: Vec<RepeatBudget> =
             (0..ROUTERS).map(|_| RepeatBudget::new(CONF, start)).collect();
         routers.iter_mut().for_each(|router| router.set_hosts(ROUTERS));
-        let (mut firsts, mut repeats) = (Vec::new(), Vec::new());
+        let (mut first_sends, mut retries) = (Vec::new(), Vec::new());
         let mut now = start;
-        for (who, pause) in traffic {
-            now += Duration::from_millis(u64::from(pause) * 4);
-            let router = &mut routers[usize::from(who) % ROUTERS];
+        for (router, delay) in traffic {
+            now += Duration::from_millis(u64::from(delay) * 4);
+            let router = &mut routers[usize::from(router) % ROUTERS];
             router.first(&service(), now);
-            firsts.push(now);
+            first_sends.push(now);
             while router.try_repeat(&service(), now) {
-                repeats.push(now);
+                retries.push(now);
             }
         }
         let within = |times: &[Instant], end: Instant, length: Duration| {
             times.iter().filter(|at| **at <= end && end < **at + length).count() as f64
         };
-        repeats.iter().all(|end| {
-            // Firsts of the window before count, too, where they are more.
-            let counted = within(&firsts, *end, CONF.window + CONF.window / 20);
-            let sent = within(&repeats, *end, CONF.window);
+        retries.iter().all(|end| {
+            // The router's window may be off by one bucket.
+            let counted = within(&first_sends, *end, CONF.window + CONF.window / 20);
+            let sent = within(&retries, *end, CONF.window);
             sent <= CONF.ratio * counted + CONF.slack
         })
     }
@@ -58,9 +57,9 @@
         .quickcheck(property as fn(Vec<(u8, u8)>) -> bool);
 }
 
-/// All routers restart at once while a service fails; none knows what was spent before.
+/// Guards against a retry storm when all routers restart during an outage.
 #[test]
-fn a_new_process_has_no_slack() {
+fn a_new_process_has_no_slack_in_its_first_window() {
     let start = Instant::now();
     let mut budget = RepeatBudget::new(CONF, start);
     budget.set_hosts(6);
@@ -69,7 +68,7 @@
 }
 
 #[test]
-fn services_have_budgets_of_their_own() {
+fn each_service_has_its_own_budget() {
     let start = Instant::now();
     let later = start + Duration::from_secs(60);
     let mut budget = RepeatBudget::new(CONF, start);
@@ -80,37 +79,41 @@
 
 struct CrashCase {
     name: &'static str,
-    /// Servers that crashed under the request, in order.
+    /// Servers that crashed while they ran the request.
     crashes: &'static [&'static str],
     convicted: bool,
 }
 
 const CRASHES: &[CrashCase] = &[
-    CrashCase { name: "one crash is chance", crashes: &["a"], convicted: false },
-    CrashCase { name: "one crash told by many", crashes: &["a", "a", "a"], convicted: false },
-    CrashCase { name: "three servers", crashes: &["a", "b", "c"], convicted: true },
+    CrashCase { name: "one crash", crashes: &["a"], convicted: false },
+    CrashCase {
+        name: "repeated reports of one server",
+        crashes: &["a", "a", "a"],
+        convicted: false,
+    },
+    CrashCase { name: "crashes of three servers", crashes: &["a", "b", "c"], convicted: true },
 ];
 
 #[test]
-fn convictions() {
+fn a_request_is_blocked_after_crashing_three_servers() {
     let now = Instant::now();
     for case in CRASHES {
-        let mut book = CrashTracker::new(CrashConf::default());
+        let mut tracker = CrashTracker::new(CrashConf::default());
         for server in case.crashes {
-            book.note(7, key(server), now);
+            tracker.note(7, key(server), now);
         }
-        assert_eq!(book.is_convicted(7), case.convicted, "{}", case.name);
-        assert!(!book.is_convicted(8), "{}: another request", case.name);
+        assert_eq!(tracker.is_convicted(7), case.convicted, "{}", case.name);
+        assert!(!tracker.is_convicted(8), "{}: another request", case.name);
     }
 }
 
 #[test]
-fn a_completed_request_is_acquitted() {
+fn a_completed_request_is_no_longer_blocked() {
     let now = Instant::now();
-    let mut book = CrashTracker::new(CrashConf::default());
+    let mut tracker = CrashTracker::new(CrashConf::default());
     for server in ["a", "b", "c"] {
-        book.note(7, key(server), now);
+        tracker.note(7, key(server), now);
     }
-    book.acquit(7);
-    assert!(!book.is_convicted(7));
+    tracker.acquit(7);
+    assert!(!tracker.is_convicted(7));
 }
--- a/crates/dispatch/tests/events.rs
+++ b/crates/dispatch/tests/events.rs
@@ -1,4 +1,4 @@
-//! Whole events out of bytes.
+//! Splitting of streams into complete events.
 
 use fulmargate_dispatch::EventSplitter;
 use quickcheck::Gen;
@@ -6,63 +6,62 @@
 
 struct SplitCase {
     name: &'static str,
-    pieces: &'static [&'static str],
-    passed: &'static str,
+    chunks: &'static [&'static str],
+    output: &'static str,
     last_id: Option<&'static str>,
 }
 
 const CASES: &[SplitCase] = &[
     SplitCase {
-        name: "whole events pass",
-        pieces: &["id: 1\ndata: a\n\n", "id: 2\ndata: b\n\n"],
-        passed: "id: 1\ndata: a\n\nid: 2\ndata: b\n\n",
+        name: "complete events are passed on",
+        chunks: &["id: 1\ndata: a\n\n", "id: 2\ndata: b\n\n"],
+        output: "id: 1\ndata: a\n\nid: 2\ndata: b\n\n",
         last_id: Some("2"),
     },
     SplitCase {
-        name: "the beginning of an event is held back",
-        pieces: &["id: 1\ndata: a\n\nid: 2\nda"],
-        passed: "id: 1\ndata: a\n\n",
+        name: "a partial event is buffered",
+        chunks: &["id: 1\ndata: a\n\nid: 2\nda"],
+        output: "id: 1\ndata: a\n\n",
         last_id: Some("1"),
     },
     SplitCase {
-        name: "an event in pieces",
-        pieces: &["id:", " 7\r\ndata", ": x\r\n", "\r\n"],
-        passed: "id: 7\r\ndata: x\r\n\r\n",
+        name: "an event in several chunks",
+        chunks: &["id:", " 7\r\ndata", ": x\r\n", "\r\n"],
+        output: "id: 7\r\ndata: x\r\n\r\n",
         last_id: Some("7"),
     },
-    SplitCase { name: "nothing whole yet", pieces: &["data: a\n"], passed: "", last_id: None },
+    SplitCase { name: "no complete event", chunks: &["data: a\n"], output: "", last_id: None },
 ];
 
 #[test]
-fn splits() {
+fn only_complete_events_are_passed_on() {
     for case in CASES {
         let mut splitter = EventSplitter::default();
-        let passed: Vec<u8> =
-            case.pieces.iter().flat_map(|piece| splitter.push(piece.as_bytes())).collect();
-        assert_eq!(String::from_utf8_lossy(&passed), case.passed, "{}", case.name);
+        let output: Vec<u8> =
+            case.chunks.iter().flat_map(|chunk| splitter.push(chunk.as_bytes())).collect();
+        assert_eq!(String::from_utf8_lossy(&output), case.output, "{}", case.name);
         assert_eq!(splitter.last_id(), case.last_id, "{}", case.name);
     }
 }
 
-/// The caller's stream shows half an event twice.
-/// A server crashes within an event; another goes on after the last whole one.
-/// Whatever the cuts, what passes is a prefix of the stream that ends with an event.
+/// Guards against a partial event before a resumed stream: for any chunk boundaries, the output is a prefix of
+/// the stream that ends with a complete event.
 #[test]
-fn what_passes_ends_with_an_event() {
-    fn property(cuts: Vec<u8>, events: u8) -> bool {
+fn output_ends_with_a_complete_event() {
+    fn property(lengths: Vec<u8>, events: u8) -> bool {
         let stream: String = (0..events % 20)
             .map(|id| format!("id: {id}\ndata: {}\n\n", "x".repeat(id.into())))
             .collect();
-        let mut rest = stream.as_bytes();
+        let mut remaining = stream.as_bytes();
         let mut splitter = EventSplitter::default();
-        let mut passed = Vec::new();
-        for cut in cuts {
-            let (piece, after) = rest.split_at(usize::from(cut).min(rest.len()));
-            passed.extend(splitter.push(piece));
-            rest = after;
+        let mut output = Vec::new();
+        for length in lengths {
+            let (chunk, after) = remaining.split_at(usize::from(length).min(remaining.len()));
+            output.extend(splitter.push(chunk));
+            remaining = after;
         }
-        let is_whole = passed.is_empty() || passed.ends_with(b"\n\n");
-        is_whole && stream.as_bytes().starts_with(&passed)
+        let is_complete = output.is_empty() || output.ends_with(b"\n\n");
+        is_complete && stream.as_bytes().starts_with(&output)
     }
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(60, 9))
--- a/crates/dispatch/tests/servers.rs
+++ b/crates/dispatch/tests/servers.rs
@@ -1,4 +1,4 @@
-//! Which servers are used as the platform's list is read.
+//! Which servers the registry offers after reads of the server list.
 
 mod support;
 
@@ -12,22 +12,23 @@
 use support::DESK;
 use support::server;
 
-/// One step of a story; times in milliseconds.
+/// One step of a case; times in milliseconds.
 enum ListStep {
+    /// The store responds to a read.
     Contact {
         sent: u64,
         now: u64,
     },
     Put(&'static str, ServerStage),
-    /// By a server that tells of its start.
-    PutStart(&'static str, u64, ServerStage),
-    /// What an earlier start, or somebody else, says.
-    PutLate(&'static str, Option<u64>, ServerStage),
+    /// Entry with an incarnation.
+    PutIncarnation(&'static str, u64, ServerStage),
+    /// Entry that must be ignored.
+    PutStale(&'static str, Option<u64>, ServerStage),
     Remove(&'static str, u64),
-    Listed(&'static [&'static str], u64),
-    /// The store has come back from a copy.
+    FullList(&'static [&'static str], u64),
+    /// The store is restored from a backup.
     Restored(u64),
-    /// The whole list names this server, whose entry counts or not.
+    /// Entry from a full list, and whether it is accepted.
     PutListed(&'static str, u64, bool),
     Expire(u64),
 }
@@ -43,7 +44,7 @@
 
 const CASES: &[ListCase] = &[
     ListCase {
-        name: "an entry that is removed is gone at once",
+        name: "a removed entry is dropped at once",
         steps: &[
             Contact { sent: 1_000, now: 1_005 },
             Put("a", Ready),
@@ -55,12 +56,12 @@
         usable: &["b"],
     },
     ListCase {
-        name: "draining is for good, also if an older entry is read later",
+        name: "a draining server stays draining when an older entry is read later",
         steps: &[Put("a", Draining), Put("a", Ready)],
         usable: &[],
     },
     ListCase {
-        name: "entries that lapse during an outage are kept for a while",
+        name: "an entry that expired during an outage is kept for the grace period",
         steps: &[
             Contact { sent: 1_000, now: 1_005 },
             Put("a", Ready),
@@ -71,7 +72,7 @@
         usable: &["a"],
     },
     ListCase {
-        name: "and dropped if they do not come back",
+        name: "an entry that expired during an outage is dropped after the grace period",
         steps: &[
             Contact { sent: 1_000, now: 1_005 },
             Put("a", Ready),
@@ -82,7 +83,7 @@
         usable: &[],
     },
     ListCase {
-        name: "a server that came back is no longer on trial",
+        name: "a server that is listed again after an outage is kept",
         steps: &[
             Contact { sent: 1_000, now: 1_005 },
             Put("a", Ready),
@@ -94,19 +95,19 @@
         usable: &["a"],
     },
     ListCase {
-        name: "after a loss of history the whole list counts",
+        name: "a full list removes servers that it does not contain",
         steps: &[
             Contact { sent: 1_000, now: 1_005 },
             Put("a", Ready),
             Put("b", Ready),
             Contact { sent: 1_700, now: 1_705 },
-            Listed(&["b"], 1_705),
+            FullList(&["b"], 1_705),
             Expire(1_705),
         ],
         usable: &["b"],
     },
     ListCase {
-        name: "a server that left is listed by a copy, and writes again",
+        name: "a departed server in a restored list is ignored until it writes its entry",
         steps: &[
             Contact { sent: 1_000, now: 1_005 },
             Put("a", Ready),
@@ -121,7 +122,7 @@
         usable: &["b"],
     },
     ListCase {
-        name: "a server that left long before is listed again",
+        name: "a departed server is accepted again after the restore period",
         steps: &[
             Contact { sent: 1_000, now: 1_005 },
             Put("a", Ready),
@@ -132,7 +133,7 @@
         usable: &["a"],
     },
     ListCase {
-        name: "a server that is missing in a copy is kept for a while",
+        name: "a server missing in a restored list is kept for the grace period",
         steps: &[
             Contact { sent: 1_000, now: 1_005 },
             Put("a", Ready),
@@ -140,52 +141,52 @@
             Contact { sent: 1_700, now: 1_705 },
             Restored(1_705),
             PutListed("b", 1_705, true),
-            Listed(&["b"], 1_705),
+            FullList(&["b"], 1_705),
             Expire(4_000),
         ],
         usable: &["a", "b"],
     },
     ListCase {
-        name: "and not for longer",
+        name: "a server missing in a restored list is dropped after the grace period",
         steps: &[
             Contact { sent: 1_000, now: 1_005 },
             Put("a", Ready),
             Put("b", Ready),
             Contact { sent: 1_700, now: 1_705 },
             Restored(1_705),
-            Listed(&["b"], 1_705),
+            FullList(&["b"], 1_705),
             Expire(4_105),
         ],
         usable: &["b"],
     },
     ListCase {
-        name: "a server that drained and starts again under its name is used",
-        steps: &[PutStart("a", 5, Draining), PutStart("a", 6, Ready)],
+        name: "a new incarnation of a drained server is used",
+        steps: &[PutIncarnation("a", 5, Draining), PutIncarnation("a", 6, Ready)],
         usable: &["a"],
     },
     ListCase {
-        name: "its earlier start changes nothing any more",
-        steps: &[PutStart("a", 6, Ready), PutLate("a", Some(5), Draining)],
+        name: "an entry of an earlier incarnation is ignored",
+        steps: &[PutIncarnation("a", 6, Ready), PutStale("a", Some(5), Draining)],
         usable: &["a"],
     },
     ListCase {
-        name: "also not after the later one has left",
+        name: "an entry of an earlier incarnation is ignored after the later one has left",
         steps: &[
             Contact { sent: 1_000, now: 1_005 },
-            PutStart("a", 6, Ready),
+            PutIncarnation("a", 6, Ready),
             Remove("a", 1_005),
-            PutLate("a", Some(5), Ready),
+            PutStale("a", Some(5), Ready),
         ],
         usable: &[],
     },
     ListCase {
-        name: "a start that drained stays draining",
-        steps: &[PutStart("a", 6, Draining), PutStart("a", 6, Ready)],
+        name: "a draining incarnation stays draining",
+        steps: &[PutIncarnation("a", 6, Draining), PutIncarnation("a", 6, Ready)],
         usable: &[],
     },
     ListCase {
-        name: "who does not tell of a start speaks for no server that did",
-        steps: &[PutStart("a", 6, Ready), PutLate("a", None, Draining)],
+        name: "an entry without incarnation does not replace one that has it",
+        steps: &[PutIncarnation("a", 6, Ready), PutStale("a", None, Draining)],
         usable: &["a"],
     },
 ];
@@ -194,11 +195,11 @@
     ServerEntry { stage, ..server(name, DESK) }
 }
 
-fn start_of(name: &str, start: Option<u64>, stage: ServerStage) -> ServerEntry {
-    ServerEntry { incarnation: start.map(Incarnation), ..entry(name, stage) }
+fn entry_of(name: &str, incarnation: Option<u64>, stage: ServerStage) -> ServerEntry {
+    ServerEntry { incarnation: incarnation.map(Incarnation), ..entry(name, stage) }
 }
 
-fn play(steps: &[ListStep]) -> ServerTable {
+fn apply_steps(steps: &[ListStep]) -> ServerTable {
     let mut table = ServerTable::default();
     for step in steps {
         match step {
@@ -206,20 +207,20 @@
                 table.contact(BootTime(*sent), BootTime(*now));
             }
             Put(name, stage) => assert!(table.put(entry(name, *stage))),
-            PutStart(name, start, stage) => {
-                assert!(table.put(start_of(name, Some(*start), *stage)));
+            PutIncarnation(name, start, stage) => {
+                assert!(table.put(entry_of(name, Some(*start), *stage)));
             }
-            PutLate(name, start, stage) => assert!(!table.put(start_of(name, *start, *stage))),
+            PutStale(name, start, stage) => assert!(!table.put(entry_of(name, *start, *stage))),
             Remove(name, now) => table.remove(&ServerName::new(name), BootTime(*now)),
-            Listed(names, now) => {
+            FullList(names, now) => {
                 let listed: IndexSet<ServerName> =
                     names.iter().map(|name| ServerName::new(name)).collect();
                 table.retain_listed(&listed, BootTime(*now));
             }
             Restored(now) => table.restored(BootTime(*now)),
-            PutListed(name, now, counts) => {
+            PutListed(name, now, is_accepted) => {
                 let listed = entry(name, Ready);
-                assert_eq!(table.put_listed(listed, BootTime(*now)), *counts, "{name}");
+                assert_eq!(table.put_listed(listed, BootTime(*now)), *is_accepted, "{name}");
             }
             Expire(now) => {
                 table.expire(BootTime(*now));
@@ -230,9 +231,9 @@
 }
 
 #[test]
-fn usable_servers() {
+fn usable_servers_follow_the_list() {
     for case in CASES {
-        let table = play(case.steps);
+        let table = apply_steps(case.steps);
         let usable: Vec<String> =
             table.usable().iter().map(|entry| entry.name.to_string()).collect();
         assert_eq!(usable, case.usable, "{}", case.name);
--- a/crates/dispatch/tests/waves.rs
+++ b/crates/dispatch/tests/waves.rs
@@ -1,4 +1,4 @@
-//! Which engines get new weights next.
+//! Order and concurrency of rolling weights updates.
 
 mod support;
 
@@ -16,14 +16,14 @@
 
 struct WaveCase {
     name: &'static str,
-    /// Name, zone, version, load, ordered, open.
+    /// Name, zone, version, load, `is_ordered`, `is_open`.
     servers: &'static [(&'static str, &'static str, u64, u32, bool, bool)],
     next: &'static [&'static str],
 }
 
 const CASES: &[WaveCase] = &[
     WaveCase {
-        name: "the idle ones first, over zones",
+        name: "the least loaded engine of each zone goes first",
         servers: &[
             ("a", "n", 1, 5, false, true),
             ("b", "n", 1, 0, false, true),
@@ -33,7 +33,7 @@
         next: &["b", "c"],
     },
     WaveCase {
-        name: "no more than allowed at once",
+        name: "updates in progress count towards the limit",
         servers: &[
             ("a", "n", 1, 0, true, true),
             ("b", "n", 1, 0, true, true),
@@ -42,12 +42,12 @@
         next: &[],
     },
     WaveCase {
-        name: "those in place are left alone",
+        name: "engines on the target version or a newer one are skipped",
         servers: &[("a", "n", 2, 0, false, true), ("b", "n", 3, 0, false, true)],
         next: &[],
     },
     WaveCase {
-        name: "those out of reach go last",
+        name: "unreachable engines go last",
         servers: &[
             ("a", "n", 1, 0, false, false),
             ("b", "n", 1, 7, false, true),
@@ -58,9 +58,9 @@
 ];
 
 #[test]
-fn next_engines() {
-    // Two at once: the time that is left is less than one engine's.
-    let wave = OrderWave::new(WaveConf { most: 0.5, ..WaveConf::default() });
+fn engines_are_ordered_by_reachability_zone_and_load() {
+    // The deadline has passed, so that the maximum share of engines may be updated at the same time.
+    let wave = OrderWave::new(WaveConf { max_concurrent_share: 0.5, ..WaveConf::default() });
     let time = WaveTime { age: Duration::from_secs(5), bound: Duration::from_secs(6) };
     for case in CASES {
         let servers: Vec<WaveServer> = case
@@ -82,39 +82,67 @@
     }
 }
 
-struct PaceCase {
+struct ConcurrencyCase {
     name: &'static str,
     engines: usize,
-    behind: usize,
+    outdated: usize,
     age_ms: u64,
     bound_ms: u64,
-    at_once: usize,
+    expected: usize,
 }
 
-const PACES: &[PaceCase] = &[
-    PaceCase { name: "shop", engines: 12, behind: 12, age_ms: 0, bound_ms: 6_000, at_once: 4 },
-    PaceCase { name: "utility", engines: 12, behind: 12, age_ms: 0, bound_ms: 8_000, at_once: 3 },
-    PaceCase { name: "grown", engines: 90, behind: 90, age_ms: 0, bound_ms: 8_000, at_once: 21 },
-    PaceCase {
-        name: "nearly done",
+const CONCURRENCY_CASES: &[ConcurrencyCase] = &[
+    ConcurrencyCase {
+        name: "12 engines, bound of 6 s",
         engines: 12,
-        behind: 1,
+        outdated: 12,
         age_ms: 0,
         bound_ms: 6_000,
-        at_once: 1,
+        expected: 4,
+    },
+    ConcurrencyCase {
+        name: "12 engines, bound of 8 s",
+        engines: 12,
+        outdated: 12,
+        age_ms: 0,
+        bound_ms: 8_000,
+        expected: 3,
+    },
+    ConcurrencyCase {
+        name: "90 engines, bound of 8 s",
+        engines: 90,
+        outdated: 90,
+        age_ms: 0,
+        bound_ms: 8_000,
+        expected: 21,
+    },
+    ConcurrencyCase {
+        name: "one engine remains",
+        engines: 12,
+        outdated: 1,
+        age_ms: 0,
+        bound_ms: 6_000,
+        expected: 1,
+    },
+    ConcurrencyCase {
+        name: "past the bound",
+        engines: 12,
+        outdated: 9,
+        age_ms: 9_000,
+        bound_ms: 6_000,
+        expected: 5,
     },
-    PaceCase { name: "late", engines: 12, behind: 9, age_ms: 9_000, bound_ms: 6_000, at_once: 5 },
 ];
 
-/// Too many engines are out at once and callers wait; or too few, and weights grow too old.
+/// Guards against too many concurrent updates, which delay requests, and too few, which miss the bound.
 #[test]
-fn as_few_as_will_do_in_time() {
-    for case in PACES {
+fn concurrency_is_the_minimum_that_meets_the_deadline() {
+    for case in CONCURRENCY_CASES {
         let server = |number: usize| WaveServer {
             key: key(&format!("e{number}")),
             name: ServerName::new(&format!("e{number}")),
             zone: ZoneName::new("n"),
-            version: WeightsVersion(if number < case.behind { 1 } else { 2 }),
+            version: WeightsVersion(if number < case.outdated { 1 } else { 2 }),
             load: 0,
             is_ordered: false,
             is_open: true,
@@ -124,7 +152,7 @@
             age: Duration::from_millis(case.age_ms),
             bound: Duration::from_millis(case.bound_ms),
         };
-        let at_once = OrderWave::default().at_once(&servers, WeightsVersion(2), wave);
-        assert_eq!(at_once, case.at_once, "{}", case.name);
+        let concurrency = OrderWave::default().concurrency(&servers, WeightsVersion(2), wave);
+        assert_eq!(concurrency, case.expected, "{}", case.name);
     }
 }
