--- a/crates/dispatch/src/salt_maker.rs
+++ b/crates/dispatch/src/salt_maker.rs
@@ -8,8 +8,8 @@
 /// Builds the salt of a request. Requests share cached prompt parts only if their salts are equal, so a salt
 /// contains the model, its weights version, and the team if it is isolated.
 ///
-/// All other teams share a salt that contains a hash of the set of isolated teams. It changes on all routers when
-/// a team becomes isolated, so that this team and the others cannot reach each other's older cache entries.
+/// All other teams share a salt that contains a hash of the set of isolated teams. It changes on all routers
+/// when a team becomes isolated, so that this team and the others cannot reach each other's older entries.
 #[derive(Debug)]
 pub struct SaltMaker {
     isolated: Vec<TeamName>,
--- a/crates/dispatch/src/weights_table.rs
+++ b/crates/dispatch/src/weights_table.rs
@@ -8,9 +8,9 @@
 
 use crate::BootTime;
 
-/// How long before the bound a request that has not started is cancelled. The bound counts from the publication
-/// of a version, so the margin covers the delay until this host learns of it, and the delay until a
-/// cancellation reaches the engine.
+/// Time before the bound at which a request that has not started is cancelled. The bound counts from the
+/// publication of a version, so the margin covers the delay until this host learns of it, and the delay until
+/// a cancellation reaches the engine.
 const START_MARGIN: Duration = Duration::from_millis(800);
 
 /// Upper bound on remembered versions of one model. Each has its own bound, so older versions matter until
@@ -81,7 +81,7 @@
         self.targets.iter().filter_map(|(model, targets)| Some((model, *targets.last()?)))
     }
 
-    /// Time since a newer target than this version was learned of; zero if there is none.
+    /// Time since this router learned of the first target newer than this version; zero if there is none.
     pub fn outdated_for(
         &self,
         model: &ModelName,
--- a/crates/dispatch/tests/cache_gossip.rs
+++ b/crates/dispatch/tests/cache_gossip.rs
@@ -124,8 +124,8 @@
     assert_eq!(resets(&sent), [1], "the reset is sent");
 }
 
-/// Guards against stale cache estimates on other routers while a large backlog of updates is sent: newer updates
-/// go first, and replace older ones of the same part.
+/// Guards against stale cache estimates on other routers while a large backlog of updates is sent: newer
+/// updates go first, and replace older ones of the same part.
 #[test]
 fn newer_updates_are_sent_before_older_ones() {
     let mut book = ServerBook::default();
