--- a/crates/dispatch/src/backlog.rs
+++ b/crates/dispatch/src/backlog.rs
@@ -1,37 +1,35 @@
-//! Prompt tokens that wait at an engine, by urgency.
+//! Queued prompt tokens of an engine, by urgency.
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Levels of urgency that engines know.
-pub(crate) const LEVELS: usize = 10;
-/// Levels of requests that can still be answered in time, and of short ones.
+/// Urgency levels that engines distinguish.
+pub(crate) const URGENCY_LEVELS: usize = 10;
+/// The first levels are for requests that can still be answered in time.
 const TIMELY_LEVELS: u8 = 5;
-/// Lowest rank among these that has levels of its own.
-const LOWEST_RANK: u8 = 2;
+/// Priorities from this one on share their timely levels.
+const MAX_TIMELY_PRIORITY: u8 = 2;
 
-/// Rank of a request at an engine, 0 first.
+/// Urgency of a request at an engine, 0 first.
 ///
-/// A request that cannot be answered in time any more goes behind all that can. In a burst, or
-/// with a third of the engines out, engines that took requests in the order of arrival answered
-/// nearly all of them late; so they answer in time as many as they can. A short one goes before the
-/// others of its rank and never behind: it takes an engine some milliseconds. On a day with five versions of the
-/// weights 68 of 100 short requests were late, and 26 with this.
+/// Requests that can no longer be answered in time go behind all others, so that an overloaded
+/// engine still answers as many as it can in time. Short prompts go before longer ones of the same
+/// priority, as they take an engine only milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Urgency(u8);
 
 impl Urgency {
-    /// Of a short request.
+    /// Urgency of a short prompt.
     pub fn short(priority: u8) -> Urgency {
-        Urgency(2 * priority.min(LOWEST_RANK))
+        Urgency(2 * priority.min(MAX_TIMELY_PRIORITY))
     }
 
-    /// Of another one that can be answered in time.
+    /// Urgency of a longer prompt that can be answered in time.
     pub fn timely(priority: u8) -> Urgency {
-        Urgency((2 * priority.min(LOWEST_RANK) + 1).min(TIMELY_LEVELS - 1))
+        Urgency((2 * priority.min(MAX_TIMELY_PRIORITY) + 1).min(TIMELY_LEVELS - 1))
     }
 
-    /// Of one that cannot.
+    /// Urgency of a prompt that can no longer be answered in time.
     pub fn late(priority: u8) -> Urgency {
         Urgency(priority.min(TIMELY_LEVELS - 1) + TIMELY_LEVELS)
     }
@@ -42,46 +40,45 @@
     }
 }
 
-/// Tokens whose first event is awaited.
+/// Prompt tokens of the requests that wait for their first event, by urgency.
 ///
-/// Whole numbers, so that sums over routers are exact however often a part is added and taken, and
-/// so that the many zeros take a byte each in messages.
+/// Integers keep sums over routers exact, and zeros take one byte each in gossip messages.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Backlog([u32; LEVELS]);
+pub struct Backlog([u32; URGENCY_LEVELS]);
 
 impl Backlog {
-    /// More tokens wait.
+    /// Adds the tokens of a request.
     pub fn add(&mut self, urgency: Urgency, tokens: f64) {
         let level = &mut self.0[usize::from(urgency.0)];
         *level = level.saturating_add(tokens.round() as u32);
     }
 
-    /// They wait no more.
+    /// Removes the tokens of a request.
     pub fn take(&mut self, urgency: Urgency, tokens: f64) {
         let level = &mut self.0[usize::from(urgency.0)];
         *level = level.saturating_sub(tokens.round() as u32);
     }
 
-    /// Those of another router, too.
+    /// Adds the backlog of another router.
     pub(crate) fn add_all(&mut self, other: &Backlog) {
-        for (level, more) in self.0.iter_mut().zip(other.0) {
-            *level = level.saturating_add(more);
+        for (level, added) in self.0.iter_mut().zip(other.0) {
+            *level = level.saturating_add(added);
         }
     }
 
-    /// Without those of another router.
+    /// Removes the backlog of another router.
     pub(crate) fn take_all(&mut self, other: &Backlog) {
-        for (level, less) in self.0.iter_mut().zip(other.0) {
-            *level = level.saturating_sub(less);
+        for (level, removed) in self.0.iter_mut().zip(other.0) {
+            *level = level.saturating_sub(removed);
         }
     }
 
-    /// Tokens that are read before a request of this urgency.
+    /// Tokens that are prefilled before a new request of this urgency.
     pub fn before(&self, urgency: Urgency) -> f64 {
         self.0[..=usize::from(urgency.0)].iter().copied().map(f64::from).sum()
     }
 
-    /// All tokens.
+    /// Tokens of all levels.
     pub fn total(&self) -> f64 {
         self.0.iter().copied().map(f64::from).sum()
     }
--- a/crates/dispatch/src/engine_choice.rs
+++ b/crates/dispatch/src/engine_choice.rs
@@ -1,11 +1,12 @@
-//! Which engine a prompt goes to: the one that costs least, as time.
+//! Cost-based choice of an inference engine for a prompt.
 //!
-//! Answers prompts that share long beginnings, on engines that forget them in seconds and are busy with
-//! others. Constants are times, so that they weigh against each other; each says where it comes from.
+//! Costs are estimated times in milliseconds, so that queueing, prefill, cache misses, failures and
+//! stale weights can be added up. Prompts share long prefixes and engines evict them within
+//! seconds, so prefix cache contents count as much as load.
 
-mod draw;
+mod fetch_plan;
 mod interference;
-mod supply;
+mod sampling;
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -34,120 +35,117 @@
 use crate::experiment::is_on;
 use crate::prompt_source::PromptSource;
 
-/// Prompt tokens an engine reads in a millisecond; the order of size of the engines in use. It
-/// scales all costs alike, so that the choice hardly depends on it.
+/// Prefill speed of an engine. It scales all cost estimates alike.
 const PREFILL_TOKENS_PER_MS: f64 = 40.0;
-/// A request that waits at an engine stands for so many prompt tokens.
-const WAITING_TOKENS: f64 = 2_500.0;
-/// A request that runs slows the others down by about this time.
-const RUNNING_MS: f64 = 0.8;
-/// A prompt that no engine has goes to its home unless that costs this much more: all routers draw
-/// the same home before they hear of each other's sends.
-const HOME_MS: f64 = 60.0;
-/// What a second copy of shared parts costs, as time: it pushes other parts out of the engine.
-const COPY_MS: f64 = 100.0;
-/// An estimate is taken for timely up to this share of the target latency: it leaves out the way to
-/// the caller and errs by some ten per cent.
-const TIMELY_SHARE: f64 = 0.85;
-/// A way to another zone and back.
-const ZONE_MS: f64 = 2.0;
-/// Requests on older weights lose worth from here on; well before it, newer engines are preferred.
-const WEIGHTS_AGED: Duration = Duration::from_millis(1_300);
-/// What older weights cost then: a fifth of the request's worth, as time to the first event.
-const OLD_WEIGHTS_MS: f64 = 250.0;
-/// What a failure costs, as time.
-const FAILURE_MS: f64 = 600.0;
-/// From this share of its slots on an engine is nearly full.
-const CROWDED_SHARE: f64 = 0.7;
-/// Each request beyond that costs this much: without a slot it waits for a whole stream to end.
-const CROWDED_MS: f64 = 15.0;
-/// Costs of equal requests differ by up to this share of the gossip interval. Routers receive each other's
-/// sends up to one interval late and would otherwise all choose the same engine meanwhile.
-const SPREAD_SHARE: f64 = 0.4;
-/// What reading a token anew costs, as time, if another engine or the store has it. It is work done
-/// twice, which the users count higher than a late answer: 1,000 tokens weigh as 300 ms, beside the
-/// 25 ms that reading takes.
-const REREAD_MS_PER_TOKEN: f64 = 0.3;
+/// Prompt tokens assumed for a request that an engine reports as waiting.
+const WAITING_REQUEST_TOKENS: f64 = 2_500.0;
+/// Slowdown by each request that is running on an engine.
+const RUNNING_REQUEST_MS: f64 = 0.8;
+/// Penalty for sending a prompt that is cached nowhere to an engine other than its home engine, the
+/// one that all routers agree on without communication.
+const OFF_HOME_PENALTY_MS: f64 = 60.0;
+/// Penalty for another cached copy of a shared prefix, which evicts other prefixes.
+const COPY_PENALTY_MS: f64 = 100.0;
+/// An estimate up to this share of the route's target latency counts as timely. It leaves room for
+/// the response's way to the caller and for estimation errors.
+const TARGET_LATENCY_SHARE: f64 = 0.85;
+/// Round trip to another availability zone.
+const CROSS_ZONE_MS: f64 = 2.0;
+/// Weights that were replaced longer ago than this are penalized.
+const STALE_WEIGHTS_AGE: Duration = Duration::from_millis(1_300);
+const STALE_WEIGHTS_PENALTY_MS: f64 = 250.0;
+/// Penalty at a failure rate of 1.
+const FAILURE_PENALTY_MS: f64 = 600.0;
+/// Share of an engine's slots above which each further request is penalized.
+const HIGH_OCCUPANCY_SHARE: f64 = 0.7;
+/// Penalty for each request above that share: without a free slot, a request waits until a whole
+/// stream ends.
+const HIGH_OCCUPANCY_PENALTY_MS: f64 = 15.0;
+/// Range of the random cost jitter, as a share of the gossip interval. Without it, routers that
+/// have not yet received each other's updates would all choose the same engine.
+const JITTER_SHARE: f64 = 0.4;
+/// Penalty for prefilling a token that another engine or the cache store already holds.
+const RECOMPUTE_PENALTY_MS_PER_TOKEN: f64 = 0.3;
 
-/// What a choice is made from.
+/// Input of an engine choice.
 #[derive(Debug)]
 pub struct EngineRequest<'a> {
-    /// The call.
+    /// The call to place.
     pub call: &'a CallFacts,
-    /// The service that serves it.
+    /// Service that the engine must belong to.
     pub service: &'a ServiceName,
-    /// The model asked for.
+    /// Requested model.
     pub model: &'a ModelName,
-    /// The configuration.
+    /// Routing configuration.
     pub table: &'a RouteTable,
-    /// The weights wanted.
+    /// Weights version wanted for each model.
     pub weights: &'a WeightsTable,
-    /// Requests may begin on older weights until this long after newer ones were named.
+    /// How long after newer weights were announced a request may still start on older ones.
     pub weights_bound: Duration,
     /// Availability zone of this router.
     pub zone: &'a ZoneName,
-    /// Only engines with these weights, for a stream that goes on.
+    /// If set, only engines with these weights are allowed, so that a stream can be resumed.
     pub only_weights: Option<WeightsVersion>,
-    /// Servers that this call must not go to again.
+    /// Servers that must not be chosen.
     pub excluded: &'a [ServerKey],
-    /// Now.
+    /// Current time.
     pub now: Instant,
-    /// Now, suspensions counted.
+    /// Current time, including time spent suspended.
     pub boot_now: BootTime,
 }
 
 /// Why an engine was chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChoiceReason {
-    /// It is the prompt's home.
+    /// It is the prompt's home engine.
     Home,
-    /// Another engine costs less than home.
+    /// It costs less than the home engine.
     Cheaper,
-    /// No engine was open; this one may have recovered.
+    /// No engine was considered available; this one may have recovered.
     LastResort,
 }
 
-/// An engine for a call.
+/// The chosen engine and the terms of the send.
 #[derive(Clone, Debug)]
 pub struct EngineChoice {
     /// The engine.
     pub server: Arc<ServerEntry>,
-    /// The weights that the call is to run on.
+    /// Weights version that the call runs on.
     pub weights: WeightsVersion,
-    /// The salt that it is cached under.
+    /// Salt of the prompt cache keys.
     pub salt: String,
-    /// Where what is missing is fetched from.
+    /// Source of the missing cached prefix.
     pub fetch: Option<PromptFetch>,
-    /// Where what was read is kept for others.
+    /// Cache store that the engine should save the prompt to.
     pub save_to: Option<SocketAddr>,
-    /// Why this engine.
+    /// Why this engine was chosen.
     pub reason: ChoiceReason,
-    /// Its rank at the engine.
+    /// Urgency of the request at the engine.
     pub urgency: Urgency,
-    /// What it does to the others there.
+    /// How the call affects other requests on the engine.
     pub shape: CallShape,
     /// Estimated time to the first event.
     pub estimate_ms: f64,
-    /// Reading that waits there before it, in milliseconds.
+    /// Prefill time of the prompts queued before it.
     pub queue_ms: f64,
-    /// Prompt tokens that the engine reads although another has them.
+    /// Prompt tokens that the engine prefills although another one has them cached.
     pub reread_tokens: f64,
-    /// Prompt tokens that the engine has to read.
+    /// Prompt tokens that the engine has to prefill.
     pub read_tokens: f64,
-    /// Prompt tokens that are new to it, fetched ones included.
+    /// Prompt tokens that are added to the engine's cache, including fetched ones.
     pub(crate) taken_tokens: f64,
 }
 
-/// A fetch of cached parts.
+/// Fetch of a cached prefix from another engine or the cache store.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PromptFetch {
-    /// The engine or store that has them.
+    /// Address to fetch from.
     pub from: SocketAddr,
     pub(crate) source: ServerKey,
     pub(crate) transfer_ms: f64,
 }
 
-/// One engine with its estimated cost.
+/// An engine with its estimated cost.
 pub(crate) struct Candidate<'a> {
     pub(crate) state: &'a ServerState,
     pub(crate) weights: WeightsVersion,
@@ -162,30 +160,30 @@
     pub(crate) cost: f64,
 }
 
-/// What is known of an engine besides its own state.
+/// State of the fleet that an engine's cost depends on.
 pub(crate) struct Surroundings<'a> {
     pub(crate) is_home: bool,
     pub(crate) urgency: Urgency,
     pub(crate) shape: CallShape,
-    /// Place in the order in which engines are filled with chats.
+    /// Position in the order in which chats fill the engines.
     pub(crate) chat_rank: usize,
-    /// Engines that may be chosen.
+    /// Number of engines that may be chosen.
     pub(crate) engines: usize,
-    /// Other routers that choose at the same time.
+    /// Number of other routers.
     pub(crate) routers: usize,
-    /// Pause between two gossip messages of a router.
+    /// Time between two gossip messages of a router.
     pub(crate) gossip_interval_ms: f64,
     pub(crate) others: PeerSum,
-    /// Engines and the store with parts of this prompt under the same salt.
+    /// Engines and the cache store that hold a prefix of this prompt under the same salt.
     pub(crate) sources: &'a [PromptSource],
-    /// How often parts are asked for.
+    /// Request rates of prompt parts.
     pub(crate) demand: &'a DemandMeter,
-    /// How much chats suffer from long prompts, from 0 to 1.
+    /// How much long prompts delay chats, from 0 to 1.
     pub(crate) stall: f64,
 }
 
 impl EngineRequest<'_> {
-    /// Whether the engine may begin this call at all.
+    /// Returns the engine's weights version if the call may start there.
     pub(crate) fn allows(&self, state: &ServerState) -> Option<WeightsVersion> {
         if state.entry.service != *self.service || self.excluded.contains(&state.key()) {
             return None;
@@ -195,119 +193,120 @@
             return None;
         }
         let age = self.weights.outdated_for(self.model, weights, self.boot_now);
-        let wait = Duration::from_secs_f64(
+        let max_wait = Duration::from_secs_f64(
             self.wait_ms(state, Urgency::late(9), PeerSum::default()) / 1_000.0,
         );
-        (age + wait < self.weights_bound || age.is_zero()).then_some(weights)
+        (age + max_wait < self.weights_bound || age.is_zero()).then_some(weights)
     }
 
-    /// The salt under these weights.
+    /// Salt of the prompt cache keys under these weights.
     pub(crate) fn salt(&self, weights: WeightsVersion) -> String {
         self.table.salts().salt(self.call.team.as_ref(), self.model, weights)
     }
 
-    /// Tokens at the prompt's beginning that the engine is believed to have.
+    /// Length in tokens of the prompt prefix that the engine is expected to have cached.
     pub(crate) fn known_tokens(&self, state: &ServerState, scope: u64) -> u32 {
         state.memory.cached_tokens(scope, &self.call.prompt, self.capacity())
     }
 
-    /// Those that others can fetch from it by now.
+    /// Length in tokens of the prefix that others can already fetch from the engine.
     pub(crate) fn ready_tokens(&self, state: &ServerState, scope: u64) -> u32 {
         state.memory.ready_tokens(scope, &self.call.prompt, self.capacity(), self.now)
     }
 
-    /// Rates one engine.
+    /// Estimates the cost of the call on one engine.
     pub(crate) fn candidate<'a>(
         &self,
         state: &'a ServerState,
         weights: WeightsVersion,
-        around: &Surroundings<'_>,
+        context: &Surroundings<'_>,
     ) -> Candidate<'a> {
         let salt = self.salt(weights);
-        let known = self.known_tokens(state, scope_of(&salt));
+        let cached_tokens = self.known_tokens(state, scope_of(&salt));
         let total = self.call.prompt_tokens();
-        let supply = self.supply(state, known, around.sources);
-        let read_tokens = f64::from(total.saturating_sub(known.max(supply.fetched_up_to)));
-        let wait_ms = self.wait_ms(state, around.urgency, around.others);
-        let estimate_ms = wait_ms + supply.fetch_ms + read_tokens / PREFILL_TOKENS_PER_MS;
-        let mut cost = estimate_ms + supply.reread_tokens * REREAD_MS_PER_TOKEN;
-        if 0 < supply.fetched_up_to {
-            cost += COPY_MS;
+        let fetch_plan = self.fetch_plan(state, cached_tokens, context.sources);
+        let read_tokens =
+            f64::from(total.saturating_sub(cached_tokens.max(fetch_plan.prefix_tokens)));
+        let wait_ms = self.wait_ms(state, context.urgency, context.others);
+        let estimate_ms = wait_ms + fetch_plan.fetch_ms + read_tokens / PREFILL_TOKENS_PER_MS;
+        let mut cost = estimate_ms + fetch_plan.reread_tokens * RECOMPUTE_PENALTY_MS_PER_TOKEN;
+        if 0 < fetch_plan.prefix_tokens {
+            cost += COPY_PENALTY_MS;
         }
-        let has_home = 0 < self.call.shared_tokens() && is_on(Mechanism::Homes);
-        if !around.is_home && known == 0 && has_home {
-            cost += HOME_MS;
+        let uses_home = 0 < self.call.shared_tokens() && is_on(Mechanism::Homes);
+        if !context.is_home && cached_tokens == 0 && uses_home {
+            cost += OFF_HOME_PENALTY_MS;
         }
         if state.entry.zone != *self.zone {
-            cost += ZONE_MS;
+            cost += CROSS_ZONE_MS;
         }
-        let avoids_old = is_on(Mechanism::NewWeights);
-        if avoids_old
-            && WEIGHTS_AGED <= self.weights.outdated_for(self.model, weights, self.boot_now)
+        let avoids_stale = is_on(Mechanism::NewWeights);
+        if avoids_stale
+            && STALE_WEIGHTS_AGE <= self.weights.outdated_for(self.model, weights, self.boot_now)
         {
-            cost += OLD_WEIGHTS_MS;
+            cost += STALE_WEIGHTS_PENALTY_MS;
         }
-        cost += state.failure_share(self.now) * FAILURE_MS;
-        cost += self.interference_ms(state, around);
-        cost += self.unreported_ms(known, read_tokens, around);
-        cost += self.spread(state) * around.gossip_interval_ms * SPREAD_SHARE;
+        cost += state.failure_share(self.now) * FAILURE_PENALTY_MS;
+        cost += self.interference_ms(state, context);
+        cost += self.unreported_ms(cached_tokens, read_tokens, context);
+        cost += self.jitter(state) * context.gossip_interval_ms * JITTER_SHARE;
         Candidate {
             state,
             weights,
             salt,
-            fetch: supply.fetch,
+            fetch: fetch_plan.fetch,
             read_tokens,
-            taken_tokens: f64::from(total.saturating_sub(known)),
-            is_home: around.is_home,
+            taken_tokens: f64::from(total.saturating_sub(cached_tokens)),
+            is_home: context.is_home,
             estimate_ms,
-            queue_ms: queued_tokens(state, around.others) / PREFILL_TOKENS_PER_MS,
-            reread_tokens: supply.reread_tokens,
+            queue_ms: queued_tokens(state, context.others) / PREFILL_TOKENS_PER_MS,
+            reread_tokens: fetch_plan.reread_tokens,
             cost,
         }
     }
 
-    /// What routers have under way is newer than the engine's own report. The report counts where nothing
-    /// is heard of other routers. Engines admit what they have slots and memory for and read it in the
-    /// order of arrival, so that all of it counts, whatever its urgency: of 1,034 short
-    /// prompts that were thought to overtake long ones 76 waited for more than 400 ms.
+    /// Estimated queueing time. The routers' own counts are more recent than the engine's report,
+    /// which is used only if no other router has reported open requests. Engines prefill in order
+    /// of arrival, so the whole queue counts regardless of urgency.
     fn wait_ms(&self, state: &ServerState, urgency: Urgency, others: PeerSum) -> f64 {
         let mut tokens = match is_on(Mechanism::ArrivalOrder) {
             true => queued_tokens(state, others),
             false => state.backlog.before(urgency) + others.backlog.before(urgency),
         };
         if others.open == 0 {
-            tokens = tokens.max(f64::from(state.waiting(self.now)) * WAITING_TOKENS);
+            tokens = tokens.max(f64::from(state.waiting(self.now)) * WAITING_REQUEST_TOKENS);
         }
         let running = state.occupancy(self.now).max(state.open + others.open);
         let slots = f64::from(state.entry.slots.max(1));
-        let crowded = (f64::from(running) - slots * CROWDED_SHARE).max(0.0) * CROWDED_MS;
-        tokens / PREFILL_TOKENS_PER_MS + f64::from(running) * RUNNING_MS + crowded
+        let occupancy_penalty_ms = (f64::from(running) - slots * HIGH_OCCUPANCY_SHARE).max(0.0)
+            * HIGH_OCCUPANCY_PENALTY_MS;
+        tokens / PREFILL_TOKENS_PER_MS
+            + f64::from(running) * RUNNING_REQUEST_MS
+            + occupancy_penalty_ms
     }
 
-    /// Whether an answer that takes so long is in time.
+    /// Whether an answer with this estimated time to the first event meets the target latency.
     pub(crate) fn is_timely(&self, estimate_ms: f64) -> bool {
         let waited = self.now.saturating_duration_since(self.call.arrived);
-        let target = self.call.route.target_latency.mul_f64(TIMELY_SHARE);
+        let target = self.call.route.target_latency.mul_f64(TARGET_LATENCY_SHARE);
         estimate_ms + waited.as_secs_f64() * 1_000.0 < target.as_secs_f64() * 1_000.0
     }
 
-    /// Sizes of the service's engines.
     pub(crate) fn engine_rule(&self) -> Option<&EngineRule> {
         self.table.service(self.service)?.engine.as_ref()
     }
 
-    /// Tokens that an engine can cache.
+    /// Size of an engine's prompt cache in tokens.
     pub(crate) fn capacity(&self) -> f64 {
         self.engine_rule().map_or(0.0, |engine| engine.cache_tokens as f64)
     }
 }
 
-/// Prompt tokens that wait at an engine to be read.
 fn queued_tokens(state: &ServerState, others: PeerSum) -> f64 {
     state.backlog.total() + others.backlog.total()
 }
 
-/// The scope of parts in memories: the hash of the salt.
+/// Scope of prompt parts in cache keys: the hash of the salt.
 pub fn scope_of(salt: &str) -> u64 {
     xxh3_64(salt.as_bytes())
 }
--- a/crates/dispatch/src/engine_choice/interference.rs
+++ b/crates/dispatch/src/engine_choice/interference.rs
@@ -1,9 +1,9 @@
-//! What other requests on an engine cost a call, those that nobody has told of yet included.
+//! Cost of sharing an engine with other requests, including those not yet reported by gossip.
 
 use super::EngineRequest;
 use super::PREFILL_TOKENS_PER_MS;
 use super::Surroundings;
-use super::draw::chat_share;
+use super::sampling::chat_share;
 use crate::CallShape;
 use crate::ServerKey;
 use crate::ServerState;
@@ -11,75 +11,75 @@
 use crate::experiment::is_on;
 use crate::prompt_source::PromptSource;
 
-/// Each engine further down the order costs a chat this much: it is passed over while those have no
-/// more than some ten streams more.
-const CHAT_RANK_MS: f64 = 8.0;
-/// Share of the prompts' reading time by which a chat beside them is late.
-const STALL_SHARE: f64 = 0.5;
-/// What a long prompt does to each chat beside it, as time.
-const CHAT_STALL_MS: f64 = 40.0;
-/// And to all of them at most.
-const MOST_STALL_MS: f64 = 400.0;
-/// A word is on average half as old as the pause between two.
-const UNREPORTED_SHARE: f64 = 0.5;
-/// What is not heard yet counts for so much at most: an estimate from a few requests errs.
-const MOST_UNREPORTED_MS: f64 = 2_000.0;
+/// Penalty of a chat for each position beyond the engines reserved for chats.
+const CHAT_RANK_PENALTY_MS: f64 = 8.0;
+/// Share of the queued prefill time by which a chat is delayed.
+const PREFILL_DELAY_SHARE: f64 = 0.5;
+/// Delay that a long prompt causes to each chat on the same engine.
+const CHAT_DELAY_MS: f64 = 40.0;
+/// Upper bound of the delay over all chats.
+const MAX_CHAT_DELAY_MS: f64 = 400.0;
+/// Mean age of gossip data as a share of the gossip interval.
+const MEAN_REPORT_AGE_SHARE: f64 = 0.5;
+/// Upper bound of the estimate, which is unreliable when based on few requests.
+const MAX_UNREPORTED_MS: f64 = 2_000.0;
 
 impl EngineRequest<'_> {
-    /// What the call and the streams there do to each other. Chats fill the engines in a fixed order,
-    /// so that few engines have any and long prompts find the others, as far as they suffer from those.
-    pub(super) fn interference_ms(&self, state: &ServerState, around: &Surroundings<'_>) -> f64 {
+    /// Cost of mixing chats and long prompts. Chats fill the engines in a fixed order, which leaves
+    /// the other engines to long prompts while these delay chats.
+    pub(super) fn interference_ms(&self, state: &ServerState, context: &Surroundings<'_>) -> f64 {
         if !is_on(Mechanism::ChatInterference) {
             return 0.0;
         }
-        match around.shape {
+        match context.shape {
             CallShape::Chat => {
-                let waiting = state.backlog.total() + around.others.backlog.total();
-                let engines = around.engines as f64;
-                let beyond =
-                    around.chat_rank as f64 + 1.0 - (engines * chat_share(around.stall)).ceil();
-                let rank = beyond.max(0.0) * CHAT_RANK_MS;
-                rank + waiting / PREFILL_TOKENS_PER_MS * STALL_SHARE
+                let queued_tokens = state.backlog.total() + context.others.backlog.total();
+                let engines = context.engines as f64;
+                let excess_rank =
+                    context.chat_rank as f64 + 1.0 - (engines * chat_share(context.stall)).ceil();
+                let rank_penalty_ms = excess_rank.max(0.0) * CHAT_RANK_PENALTY_MS;
+                rank_penalty_ms + queued_tokens / PREFILL_TOKENS_PER_MS * PREFILL_DELAY_SHARE
             }
             CallShape::Heavy => {
-                let chats = f64::from(state.chats + around.others.chats);
-                (chats * CHAT_STALL_MS * around.stall).min(MOST_STALL_MS)
+                let chats = f64::from(state.chats + context.others.chats);
+                (chats * CHAT_DELAY_MS * context.stall).min(MAX_CHAT_DELAY_MS)
             }
             CallShape::Plain => 0.0,
         }
     }
 
-    /// What the other routers have sent to an engine for the same parts since they last spoke, as time.
+    /// Prefill time of the requests with the same prefix that other routers have sent since their
+    /// last gossip message.
     ///
-    /// They all know who has a part, and nobody knows yet who is sending there. Of 90 routers 27 sent to
-    /// the one engine that had a common part within half a second, four seconds of reading, while a copy
-    /// takes ten milliseconds. How often the part was asked for lately tells how many are to be expected.
+    /// All routers know which engines hold a prefix but not yet who is sending there, so they would
+    /// overload a single holder. The prefix's recent request rate gives the expected number.
     pub(super) fn unreported_ms(
         &self,
-        known: u32,
+        cached_tokens: u32,
         read_tokens: f64,
-        around: &Surroundings<'_>,
+        context: &Surroundings<'_>,
     ) -> f64 {
         if !is_on(Mechanism::UnreportedSends) {
             return 0.0;
         }
-        let Some(part) = self.deepest_part(known) else { return 0.0 };
-        let rate = around.demand.rate(part, self.now);
-        let lag = around.gossip_interval_ms / 1_000.0 * UNREPORTED_SHARE;
-        let is_holder =
-            |source: &&PromptSource| source.key != ServerKey::STORE && known <= source.tokens;
-        let holders = around.sources.iter().filter(is_holder).count();
-        let reading_ms = read_tokens / PREFILL_TOKENS_PER_MS;
-        (rate * lag * reading_ms / holders.max(1) as f64).min(MOST_UNREPORTED_MS)
+        let Some(part) = self.last_cached_part(cached_tokens) else { return 0.0 };
+        let rate = context.demand.rate(part, self.now);
+        let report_age_s = context.gossip_interval_ms / 1_000.0 * MEAN_REPORT_AGE_SHARE;
+        let is_holder = |source: &&PromptSource| {
+            source.key != ServerKey::STORE && cached_tokens <= source.tokens
+        };
+        let holders = context.sources.iter().filter(is_holder).count();
+        let prefill_ms = read_tokens / PREFILL_TOKENS_PER_MS;
+        (rate * report_age_s * prefill_ms / holders.max(1) as f64).min(MAX_UNREPORTED_MS)
     }
 
-    /// The last shared part that an engine with so many tokens of the prompt has.
-    fn deepest_part(&self, known: u32) -> Option<u64> {
+    /// Last shared part of the prompt within a cached prefix of this length.
+    fn last_cached_part(&self, cached_tokens: u32) -> Option<u64> {
         let mut tokens = 0;
-        let held = self.call.shared_parts().iter().take_while(|part| {
+        let cached = self.call.shared_parts().iter().take_while(|part| {
             tokens += part.tokens;
-            tokens <= known
+            tokens <= cached_tokens
         });
-        held.last().map(|part| part.hash)
+        cached.last().map(|part| part.hash)
     }
 }
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -36,6 +36,7 @@
 mod pending_updates;
 mod placement_request;
 mod prompt_source;
+mod queue_priority;
 mod quota_fault;
 mod read_share;
 mod reader_choice;
@@ -55,7 +56,6 @@
 mod subscriber_store;
 mod team_rule;
 mod weights_table;
-mod work_order;
 mod zone_peer;
 
 pub use backlog::Backlog;
--- a/crates/dispatch/src/placement_request.rs
+++ b/crates/dispatch/src/placement_request.rs
@@ -1,4 +1,4 @@
-//! A prompt that wants an engine, and what it gets.
+//! Requests to place a prompt on an engine, and their results.
 
 use std::time::Duration;
 
@@ -17,55 +17,55 @@
 use crate::ServerKey;
 use crate::WeightsTable;
 
-/// What does not change while a prompt waits.
+/// The parts of a placement request that do not change while it is queued.
 #[derive(Clone, Debug)]
 pub struct PlacementRequest {
-    /// The call.
+    /// The call to place.
     pub call: CallFacts,
-    /// The service that serves it.
+    /// Service that the engine must belong to.
     pub service: ServiceName,
-    /// The model asked for.
+    /// Requested model.
     pub model: ModelName,
-    /// Only engines with these weights, for a stream that goes on.
+    /// If set, only engines with these weights are allowed, so that a stream can be resumed.
     pub only_weights: Option<WeightsVersion>,
-    /// Servers that were tried. They are tried again where there is no other.
+    /// Servers already tried. They are used again only if there is no other.
     pub excluded: Vec<ServerKey>,
 }
 
-/// What does, and what all choices of a moment rest on.
+/// Configuration and time that all placements of one queue run share.
 #[derive(Clone, Copy, Debug)]
 pub struct ChoiceView<'a> {
-    /// The configuration in force.
+    /// Routing configuration.
     pub table: &'a RouteTable,
-    /// The weights wanted.
+    /// Weights version wanted for each model.
     pub weights: &'a WeightsTable,
-    /// Requests may begin on older weights until this long after newer ones were named.
+    /// How long after newer weights were announced a request may still start on older ones.
     pub weights_bound: Duration,
     /// Availability zone of this router.
     pub zone: &'a ZoneName,
-    /// Now.
+    /// Current time.
     pub now: Instant,
-    /// Now, suspensions counted.
+    /// Current time, including time spent suspended.
     pub boot_now: BootTime,
 }
 
-/// An engine that a prompt was given, and its count there.
+/// An engine assigned to a prompt.
 #[derive(Debug)]
 pub struct TakenEngine {
-    /// The engine and the terms.
+    /// The engine and the terms of the send.
     pub choice: EngineChoice,
-    /// To be told of what becomes of the request.
+    /// Ticket for reporting the outcome of the send.
     pub ticket: SendTicket,
 }
 
-/// What became of a wish.
+/// Result of a placement request.
 #[derive(Debug)]
 pub enum Placing {
-    /// It goes to an engine.
+    /// The prompt was assigned to an engine.
     Taken(Box<TakenEngine>),
-    /// The engine that suits it has enough to read; it would have to read so many tokens of the prompt.
+    /// The best engine's queue is full. Holds the number of tokens that it would prefill.
     Wait(f64),
-    /// No engine may serve it.
+    /// No engine may serve the prompt.
     Nowhere,
 }
 
--- a/crates/dispatch/src/request_queue.rs
+++ b/crates/dispatch/src/request_queue.rs
@@ -1,4 +1,4 @@
-//! Prompts that wait at a router until an engine has room for them.
+//! Queue of prompts that wait at a router for an engine.
 
 use std::time::Duration;
 
@@ -11,121 +11,121 @@
 use crate::ServerBook;
 use crate::TakenEngine;
 use crate::admission;
-use crate::work_order::WorkOrder;
+use crate::queue_priority::QueuePriority;
 
-/// Prompts that find no room in one round before the round ends. Those behind them are not looked at:
-/// a choice takes 10 to 40 us, and with 50 waiting a host would do little else.
-const MOST_TRIES: usize = 6;
+/// Failed placements after which a queue run stops, to bound its processing time.
+const MAX_FAILED_PLACEMENTS: usize = 6;
 
-/// Stands for a prompt that waits.
+/// Identifies a queued prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct WaitNumber(u64);
 
-/// How waiting ended.
+/// Outcome of a queued prompt.
 #[derive(Debug)]
 pub enum WaitEnd {
-    /// An engine has room.
+    /// It was assigned to an engine.
     Taken(Box<TakenEngine>),
-    /// No engine may serve the prompt any more.
+    /// No engine may serve it any more.
     Nowhere,
-    /// It has not run; its caller should come back after this time.
+    /// It was refused without having run; the caller should retry after this time.
     Refused(Duration),
 }
 
-/// The line of one router.
+/// Queue of one router, in the order of [`QueuePriority`].
 ///
-/// What waits here goes to whichever engine has room first, in the order of [`WorkOrder`], and is not
-/// lost with an engine. Before, an engine under order threw its queue back and the prompts waited anew
-/// at the next one, until their callers left.
+/// Prompts wait here rather than at an engine, so that they go to whichever engine has room first
+/// and survive the loss of an engine.
 #[derive(Debug, Default)]
 pub struct RequestQueue {
-    waiting: Vec<WaitingPrompt>,
+    waiting: Vec<QueuedPrompt>,
     next: u64,
 }
 
 #[derive(Debug)]
-struct WaitingPrompt {
+struct QueuedPrompt {
     number: WaitNumber,
-    wish: PlacementRequest,
-    /// Tokens that the best engine would have to read, as of the last try.
+    request: PlacementRequest,
+    /// Tokens that the best engine would prefill, as of the last placement attempt.
     read_tokens: f64,
 }
 
 impl RequestQueue {
-    /// Nothing waits.
+    /// Whether the queue is empty.
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
 
-    /// Prompts that wait.
+    /// Number of queued prompts.
     pub fn len(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Whether a prompt may be placed before all that wait.
+    /// Whether a new prompt may bypass the queue.
     pub fn goes_first(&self, call: &CallFacts) -> bool {
         self.waiting.is_empty() || admission::is_short(call)
     }
 
-    /// A prompt waits from now on.
-    pub fn enter(&mut self, wish: PlacementRequest) -> WaitNumber {
+    /// Adds a prompt to the queue.
+    pub fn enter(&mut self, request: PlacementRequest) -> WaitNumber {
         let number = WaitNumber(self.next);
         self.next += 1;
-        let read_tokens = f64::from(wish.call.prompt_tokens());
-        self.waiting.push(WaitingPrompt { number, wish, read_tokens });
+        let read_tokens = f64::from(request.call.prompt_tokens());
+        self.waiting.push(QueuedPrompt { number, request, read_tokens });
         number
     }
 
-    /// Its caller has left.
+    /// Removes a prompt whose caller has disconnected.
     pub fn leave(&mut self, number: WaitNumber) {
         self.waiting.retain(|prompt| prompt.number != number);
     }
 
-    /// Gives engines that have room to prompts in their order, and refuses what waits in vain.
+    /// Assigns queued prompts to engines with room, and refuses those that are too late.
     pub fn serve(
         &mut self,
         book: &mut ServerBook,
         view: ChoiceView<'_>,
     ) -> Vec<(WaitNumber, WaitEnd)> {
         self.sort(view.now);
-        let mut ends = Vec::new();
-        let mut tries = 0;
+        let mut outcomes = Vec::new();
+        let mut failed_placements = 0;
         self.waiting.retain_mut(|prompt| {
-            if MOST_TRIES <= tries {
+            if MAX_FAILED_PLACEMENTS <= failed_placements {
                 return true;
             }
-            match book.place(&prompt.wish, view) {
-                Placing::Taken(taken) => ends.push((prompt.number, WaitEnd::Taken(taken))),
-                Placing::Nowhere => ends.push((prompt.number, WaitEnd::Nowhere)),
+            match book.place(&prompt.request, view) {
+                Placing::Taken(taken) => outcomes.push((prompt.number, WaitEnd::Taken(taken))),
+                Placing::Nowhere => outcomes.push((prompt.number, WaitEnd::Nowhere)),
                 Placing::Wait(read_tokens) => {
                     prompt.read_tokens = read_tokens;
-                    tries += 1;
+                    failed_placements += 1;
                     return true;
                 }
             }
             false
         });
-        self.refuse(view.now, &mut ends);
-        ends
+        self.refuse_late(view.now, &mut outcomes);
+        outcomes
     }
 
     fn sort(&mut self, now: Instant) {
-        let tokens = self.waiting.iter().map(|prompt| f64::from(prompt.wish.call.prompt_tokens()));
-        let mean = tokens.sum::<f64>() / self.waiting.len().max(1) as f64;
-        let order = |prompt: &WaitingPrompt| {
-            WorkOrder::of(&prompt.wish.call, prompt.read_tokens, mean, now)
+        let tokens =
+            self.waiting.iter().map(|prompt| f64::from(prompt.request.call.prompt_tokens()));
+        let mean_tokens = tokens.sum::<f64>() / self.waiting.len().max(1) as f64;
+        let sort_key = |prompt: &QueuedPrompt| {
+            QueuePriority::of(&prompt.request.call, prompt.read_tokens, mean_tokens, now)
         };
-        self.waiting.sort_by(|a, b| order(a).compare(&order(b)));
+        self.waiting.sort_by(|a, b| sort_key(a).compare(&sort_key(b)));
     }
 
-    fn refuse(&mut self, now: Instant, ends: &mut Vec<(WaitNumber, WaitEnd)>) {
-        let is_timely = |prompt: &WaitingPrompt| !admission::is_late(&prompt.wish.call, now);
+    fn refuse_late(&mut self, now: Instant, outcomes: &mut Vec<(WaitNumber, WaitEnd)>) {
+        let is_timely = |prompt: &QueuedPrompt| !admission::is_late(&prompt.request.call, now);
         let has_timely = self.waiting.iter().any(is_timely);
         self.waiting.retain(|prompt| {
-            let Some(wait) = admission::refusal(&prompt.wish.call, has_timely, now) else {
+            let Some(retry_after) = admission::refusal(&prompt.request.call, has_timely, now)
+            else {
                 return true;
             };
-            ends.push((prompt.number, WaitEnd::Refused(wait)));
+            outcomes.push((prompt.number, WaitEnd::Refused(retry_after)));
             false
         });
     }
