--- a/crates/dispatch/src/demand_meter.rs
+++ b/crates/dispatch/src/demand_meter.rs
@@ -1,55 +1,54 @@
-//! How often parts of prompts are asked for.
+//! Request rates of prompt parts.
 
 use std::time::Duration;
 
 use indexmap::IndexMap;
 use tokio::time::Instant;
 
-/// Requests count less with time; after so long, by a factor of e. About as long as an engine keeps a
-/// part that nobody asks for, and short enough to follow a burst.
-const MEMORY: Duration = Duration::from_secs(4);
-/// Parts counted; beyond, those hardly asked for any more go. Enough for 2,000 records and as many
-/// sessions; an entry takes some 40 bytes.
-const MOST_PARTS: usize = 8_192;
-/// What remains of a count is forgotten below this.
-const LEAST_COUNT: f64 = 0.2;
+/// Time constant of the exponential decay. It is close to the time that engines cache an unused
+/// part, and short enough to follow a burst.
+const DECAY_TIME: Duration = Duration::from_secs(4);
+/// Parts counted; beyond, those with low counts are dropped.
+const MAX_PARTS: usize = 8_192;
+/// Counts below this are dropped.
+const MIN_COUNT: f64 = 0.2;
 
-/// Requests of all routers by shared part, as far as they have told of them, as fading counts.
+/// Exponentially decaying counts of the requests of all routers for each shared part.
 #[derive(Clone, Debug, Default)]
 pub struct DemandMeter {
-    parts: IndexMap<u64, FadingCount>,
+    parts: IndexMap<u64, DecayingCount>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct FadingCount {
+struct DecayingCount {
     count: f64,
-    at: Instant,
+    updated_at: Instant,
 }
 
 impl DemandMeter {
-    /// A request with this part was sent.
+    /// Records a request with this part.
     pub fn note(&mut self, part: u64, now: Instant) {
-        let count = self.parts.entry(part).or_insert(FadingCount { count: 0.0, at: now });
-        *count = FadingCount { count: count.get(now) + 1.0, at: now };
-        if MOST_PARTS < self.parts.len() {
-            self.parts.retain(|_, count| LEAST_COUNT < count.get(now));
+        let count = self.parts.entry(part).or_insert(DecayingCount { count: 0.0, updated_at: now });
+        *count = DecayingCount { count: count.get(now) + 1.0, updated_at: now };
+        if MAX_PARTS < self.parts.len() {
+            self.parts.retain(|_, count| MIN_COUNT < count.get(now));
         }
     }
 
-    /// Requests lately, later ones for more.
+    /// Decayed number of requests with this part.
     pub fn count(&self, part: u64, now: Instant) -> f64 {
-        self.parts.get(&part).map_or(0.0, |known| known.get(now))
+        self.parts.get(&part).map_or(0.0, |count| count.get(now))
     }
 
-    /// Requests a second lately.
+    /// Recent requests per second with this part.
     pub fn rate(&self, part: u64, now: Instant) -> f64 {
-        self.count(part, now) / MEMORY.as_secs_f64()
+        self.count(part, now) / DECAY_TIME.as_secs_f64()
     }
 }
 
-impl FadingCount {
+impl DecayingCount {
     fn get(&self, now: Instant) -> f64 {
-        let age = now.saturating_duration_since(self.at).as_secs_f64();
-        self.count * (-age / MEMORY.as_secs_f64()).exp()
+        let age = now.saturating_duration_since(self.updated_at).as_secs_f64();
+        self.count * (-age / DECAY_TIME.as_secs_f64()).exp()
     }
 }
--- a/crates/dispatch/src/link_rank.rs
+++ b/crates/dispatch/src/link_rank.rs
@@ -1,15 +1,16 @@
-//! How a host's link compares to those of the others.
+//! Bandwidth of a host's link relative to the other hosts.
 
-/// By what the others have said of their links lately. One that has said nothing does not count.
+/// Rank by the link bandwidths that other hosts have reported recently. Hosts without a report are
+/// ignored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinkRank {
-    /// All have the same, or nobody has spoken: a host that has just started gets no precedence.
+    /// All links are equal, or no other host has reported.
     Equal,
-    /// None is wider, and some are narrower.
+    /// No link is wider, and some are narrower.
     Widest {
-        /// Hosts with as wide a link, this one among them.
+        /// Number of hosts with the widest link, including this one.
         hosts: usize,
     },
-    /// Some are wider.
+    /// Some links are wider.
     Narrower,
 }
--- a/crates/dispatch/src/part_memory.rs
+++ b/crates/dispatch/src/part_memory.rs
@@ -1,47 +1,47 @@
-//! Which parts of prompts an engine or the store is believed to have cached.
+//! Estimated contents of the prompt cache of an engine or of the cache store.
 
 use indexmap::IndexMap;
 use tokio::time::Instant;
 
 use crate::PromptPart;
 
-/// Parts remembered of one engine; the least recently used go first.
-const MOST_PARTS: usize = 1_024;
-/// Share of an engine's memory within which a part is believed to be kept when nothing is heard of
-/// it. The rest is taken by requests that run.
-const KEPT_SHARE: f64 = 1.5;
+/// Parts tracked for each engine; beyond, the least recently used are dropped.
+const MAX_PARTS: usize = 1_024;
+/// A part is assumed evicted once this many times the cache capacity has been added since its last
+/// use.
+const RETENTION_FACTOR: f64 = 1.5;
 
-/// A belief: what was sent there, corrected by the engine's own events. Parts yield to newer ones
-/// when the memory is full, so a part's age is counted in tokens taken in since its last use.
-/// Events arrive late and some never do; neither source alone was right under load.
+/// Estimate of which prompt parts are cached.
+///
+/// It is updated both by the prompts sent and by the engine's cache events, since events arrive
+/// late or get lost. Caches evict by recency, so the age of a part is counted in tokens added since
+/// its last use.
 #[derive(Clone, Debug, Default)]
 pub struct PartMemory {
-    /// Tokens taken in.
-    taken: f64,
-    parts: IndexMap<u64, KnownPart>,
+    /// Tokens added to the cache so far.
+    added_tokens: f64,
+    parts: IndexMap<u64, CachedPart>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct KnownPart {
-    /// Tokens stored by the engine's own word; none while there is no word.
+struct CachedPart {
+    /// Cached tokens as reported by the engine; `None` before a report.
     tokens: Option<u32>,
-    /// Tokens that had been taken in at the last use.
-    used: f64,
-    /// When it has been read, as far as is known. Until then nobody can fetch it.
-    ready: Instant,
+    /// Value of the token counter at the last use.
+    used_at: f64,
+    /// Estimated time at which it is prefilled. It cannot be fetched before.
+    ready_at: Instant,
 }
 
 impl PartMemory {
-    /// Tokens at the beginning of the prompt that are believed to be cached under the scope, or will be
-    /// before anything that is sent there now. A part counts only if all parts before it do.
+    /// Length in tokens of the prompt prefix that is cached, or will be before any prompt sent from
+    /// now on.
     pub fn cached_tokens(&self, scope: u64, parts: &[PromptPart], capacity: f64) -> u32 {
-        self.tokens_of(scope, parts, capacity, |_| true)
+        self.count_prefix(scope, parts, capacity, |_| true)
     }
 
-    /// Those that can be fetched by now.
-    ///
-    /// A prompt that was sent to an engine waits there for some hundred milliseconds. What others tried
-    /// to fetch meanwhile was not there, and they read it anew: a quarter of all shared tokens.
+    /// Length in tokens of the prompt prefix that can be fetched now. A prompt still queued at its
+    /// engine cannot be fetched.
     pub fn ready_tokens(
         &self,
         scope: u64,
@@ -49,51 +49,54 @@
         capacity: f64,
         now: Instant,
     ) -> u32 {
-        self.tokens_of(scope, parts, capacity, |part| part.ready <= now)
+        self.count_prefix(scope, parts, capacity, |part| part.ready_at <= now)
     }
 
-    fn tokens_of(
+    fn count_prefix(
         &self,
         scope: u64,
         parts: &[PromptPart],
         capacity: f64,
-        counts: impl Fn(&KnownPart) -> bool,
+        is_usable: impl Fn(&CachedPart) -> bool,
     ) -> u32 {
-        let kept = capacity * KEPT_SHARE;
-        let mut cached = 0;
+        let retained_tokens = capacity * RETENTION_FACTOR;
+        let mut prefix_tokens = 0;
         for part in parts {
-            let known = self.parts.get(&(scope ^ part.hash));
-            let is_kept = |known: &&KnownPart| self.taken - known.used < kept && counts(known);
-            let Some(known) = known.filter(is_kept) else { break };
-            let tokens = known.tokens.unwrap_or(part.tokens).min(part.tokens);
-            cached += tokens;
+            let entry = self.parts.get(&(scope ^ part.hash));
+            let is_retained = |entry: &&CachedPart| {
+                self.added_tokens - entry.used_at < retained_tokens && is_usable(entry)
+            };
+            let Some(entry) = entry.filter(is_retained) else { break };
+            let tokens = entry.tokens.unwrap_or(part.tokens).min(part.tokens);
+            prefix_tokens += tokens;
             if tokens < part.tokens {
                 break;
             }
         }
-        cached
+        prefix_tokens
     }
 
-    /// A prompt with these parts was sent there; `taken` tokens were new. It will have been read by
-    /// `ready`; parts that are there already are ready as before.
+    /// Records a prompt sent to the engine, which adds `added_tokens` to its cache and prefills it
+    /// by `ready_at`. Parts that could be fetched before still can.
     pub fn read(
         &mut self,
         scope: u64,
         parts: impl Iterator<Item = u64>,
-        taken: f64,
-        ready: Instant,
+        added_tokens: f64,
+        ready_at: Instant,
     ) {
-        self.taken += taken;
+        self.added_tokens += added_tokens;
         for hash in parts {
             let key = scope ^ hash;
-            let before = self.parts.shift_remove(&key).map_or(ready, |known| known.ready);
-            let ready = before.min(ready);
-            self.parts.insert(key, KnownPart { tokens: None, used: self.taken, ready });
+            let previous = self.parts.shift_remove(&key).map_or(ready_at, |entry| entry.ready_at);
+            let ready_at = previous.min(ready_at);
+            self.parts
+                .insert(key, CachedPart { tokens: None, used_at: self.added_tokens, ready_at });
         }
-        self.bound();
+        self.evict_excess();
     }
 
-    /// By its own word so many tokens of a part are stored now.
+    /// Applies a cache event: this many tokens of the part are now cached.
     pub fn hear(&mut self, key: u64, tokens: u32, now: Instant) {
         if tokens == 0 {
             self.parts.shift_remove(&key);
@@ -102,23 +105,24 @@
         match self.parts.get_mut(&key) {
             Some(part) => {
                 part.tokens = Some(tokens);
-                part.ready = part.ready.min(now);
+                part.ready_at = part.ready_at.min(now);
             }
             None => {
-                let part = KnownPart { tokens: Some(tokens), used: self.taken, ready: now };
+                let part =
+                    CachedPart { tokens: Some(tokens), used_at: self.added_tokens, ready_at: now };
                 self.parts.insert(key, part);
             }
         }
-        self.bound();
+        self.evict_excess();
     }
 
-    /// It has started anew or loaded other weights.
+    /// Forgets all parts, after the engine has restarted or loaded other weights.
     pub fn clear(&mut self) {
         self.parts.clear();
     }
 
-    fn bound(&mut self) {
-        while MOST_PARTS < self.parts.len() {
+    fn evict_excess(&mut self) {
+        while MAX_PARTS < self.parts.len() {
             self.parts.shift_remove_index(0);
         }
     }
--- a/crates/dispatch/src/stall_meter.rs
+++ b/crates/dispatch/src/stall_meter.rs
@@ -1,4 +1,4 @@
-//! How long streams pause beside long prompts.
+//! Measures how much long prompts delay the streams beside them.
 
 use std::time::Duration;
 
@@ -7,49 +7,48 @@
 use crate::experiment::Mechanism;
 use crate::experiment::is_on;
 
-/// A chat whose longest pause was this share of what its caller is content with came near the limit.
-const NEAR_SHARE: f64 = 0.65;
-/// If so many chats come near it, long prompts stay away from chats as far as they can. The longest tenth
-/// of the pauses reached 0.53 of the limit on engines that read in pieces of 1,024 tokens, and 0.82 and
-/// 0.87 with pieces of 4,096.
-const FULL_SHARE: f64 = 0.1;
-/// Chats count less with time; after so long, by a factor of e.
-const MEMORY: Duration = Duration::from_secs(4);
-/// Fewer chats say nothing, and long prompts stay away.
-const LEAST_CHATS: f64 = 5.0;
-
-/// The longest pauses of lately ended chats.
+/// A chat is near the limit if its longest gap is at least this share of the accepted gap.
+const NEAR_LIMIT_SHARE: f64 = 0.65;
+/// Share of chats near the limit from which on long prompts are kept away from chats entirely.
+const SATURATION_SHARE: f64 = 0.1;
+/// Time constant of the exponential decay of the counts.
+const DECAY_TIME: Duration = Duration::from_secs(4);
+/// With fewer recent chats, long prompts are kept away from chats.
+const MIN_CHATS: f64 = 5.0;
+
+/// Decaying counts of recent chats and of those near the limit.
 ///
-/// Whether chats and long prompts get on at one engine depends on how large the pieces are in which it
-/// reads a prompt between the tokens of streams. That is not told, but seen. Where chats bear it they go
-/// anywhere, and 89 instead of 82 of 100 long prompts of a calm day were in time.
+/// How much a long prompt delays chats depends on the engine's prefill chunk size, which is not
+/// reported but can be inferred from the gaps between events.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct StallMeter {
     chats: f64,
-    near: f64,
-    at: Option<Instant>,
+    near_limit: f64,
+    updated_at: Option<Instant>,
 }
 
 impl StallMeter {
-    /// A chat has ended whose longest pause was this share of what its caller is content with.
+    /// Records a chat whose longest gap was this share of the gap that its caller accepts.
     pub(crate) fn note(&mut self, share: f64, now: Instant) {
-        let kept = self.kept(now);
-        self.chats = self.chats * kept + 1.0;
-        self.near = self.near * kept + f64::from(u8::from(NEAR_SHARE <= share));
-        self.at = Some(now);
+        let decay = self.decay(now);
+        self.chats = self.chats * decay + 1.0;
+        self.near_limit = self.near_limit * decay + f64::from(u8::from(NEAR_LIMIT_SHARE <= share));
+        self.updated_at = Some(now);
     }
 
-    /// From 0, chats may go anywhere, to 1, long prompts stay away from them.
+    /// How strictly long prompts are kept away from chats, from 0 to 1.
     pub(crate) fn strength(&self, now: Instant) -> f64 {
-        if self.chats * self.kept(now) < LEAST_CHATS || !is_on(Mechanism::StallLearning) {
+        if self.chats * self.decay(now) < MIN_CHATS || !is_on(Mechanism::StallLearning) {
             return 1.0;
         }
-        (self.near / self.chats / FULL_SHARE).min(1.0)
+        (self.near_limit / self.chats / SATURATION_SHARE).min(1.0)
     }
 
-    /// What is left of the counts.
-    fn kept(&self, now: Instant) -> f64 {
-        let age = self.at.map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
-        (-age.as_secs_f64() / MEMORY.as_secs_f64()).exp()
+    /// Factor by which the counts have decayed since the last update.
+    fn decay(&self, now: Instant) -> f64 {
+        let age = self
+            .updated_at
+            .map_or(Duration::ZERO, |updated_at| now.saturating_duration_since(updated_at));
+        (-age.as_secs_f64() / DECAY_TIME.as_secs_f64()).exp()
     }
 }
