--- a/crates/dispatch/src/call_facts.rs
+++ b/crates/dispatch/src/call_facts.rs
@@ -1,4 +1,4 @@
-//! One attempt of a caller, as an edge has decoded it.
+//! One attempt of a call, as decoded by an edge.
 
 use std::sync::Arc;
 
@@ -9,30 +9,30 @@
 
 use crate::RouteRule;
 
-/// What the decisions on a call rest on. Its bytes are carried beside it.
+/// The data that routing decisions use. The body is passed separately.
 #[derive(Clone, Debug)]
 pub struct CallFacts {
-    /// The caller's id for this attempt.
+    /// Request id of this attempt.
     pub id: RequestId,
-    /// The route it takes.
+    /// Matched route.
     pub route: Arc<RouteRule>,
-    /// Whose key it carries; none on anonymous routes.
+    /// Team of the API key; `None` on anonymous routes.
     pub team: Option<TeamName>,
-    /// The model asked for; none for plain services.
+    /// Requested model; `None` for plain services.
     pub model: Option<ModelName>,
-    /// The prompt's parts in order; the last one is the request's own.
+    /// Parts of the prompt in order. The last one is specific to this request.
     pub prompt: Vec<PromptPart>,
-    /// Most tokens that may be generated.
+    /// Upper bound of generated tokens.
     pub output_tokens: u32,
-    /// Tokens of the prompt and most tokens that may be generated, where the caller states them.
+    /// Prompt tokens plus the upper bound of generated tokens, if the caller states them.
     pub stated_tokens: Option<u64>,
-    /// Rank of the request, 0 first: the team's, else the route's.
+    /// Priority, 0 first: the team's, or else the route's.
     pub priority: u8,
-    /// When its head was read.
+    /// When the request's head was read.
     pub arrived: Instant,
-    /// When it gets its final answer at the latest: the caller's deadline or the route's timeout.
+    /// When the call must be answered at the latest: the caller's deadline or the route's timeout.
     pub deadline: Instant,
-    /// Equal for requests with the same caller, path and body, whatever their ids.
+    /// Fingerprint of caller, path and body, independent of the request id.
     pub print: u128,
 }
 
@@ -41,12 +41,13 @@
 pub struct PromptPart {
     /// Hash of the part's id.
     pub hash: u64,
-    /// Its length in tokens.
+    /// Length in tokens.
     pub tokens: u32,
 }
 
 impl CallFacts {
-    /// The parts that other requests share. A prompt of one part is shared with its repetitions.
+    /// The parts that other requests may share. A prompt of one part is shared with its
+    /// repetitions.
     pub fn shared_parts(&self) -> &[PromptPart] {
         match self.prompt.len() {
             0 | 1 => &self.prompt,
@@ -54,17 +55,17 @@
         }
     }
 
-    /// Tokens of the whole prompt.
+    /// Length of the whole prompt in tokens.
     pub fn prompt_tokens(&self) -> u32 {
         self.prompt.iter().map(|part| part.tokens).sum()
     }
 
-    /// Tokens of the shared parts.
+    /// Length of the shared parts in tokens.
     pub fn shared_tokens(&self) -> u32 {
         self.shared_parts().iter().map(|part| part.tokens).sum()
     }
 
-    /// What the prompt's home is drawn by: its last shared part.
+    /// Hash key that determines the prompt's home engine: its last shared part.
     pub fn home_key(&self) -> Option<u64> {
         self.shared_parts().last().map(|part| part.hash)
     }
--- a/crates/dispatch/src/call_progress.rs
+++ b/crates/dispatch/src/call_progress.rs
@@ -1,34 +1,34 @@
-//! What may follow when a send has ended without the answer.
+//! What to do after a send has ended without an answer.
 
 use fulmargate_names::ErrorKind;
 
 use crate::RouteRule;
 
-/// Sends of one call at most, those that ran nowhere included. A call that is turned away so often
-/// meets a service that is full or changing; its caller is told when to come back.
-const MOST_SENDS: u32 = 4;
+/// Upper bound of the sends of one call, including those that reached no server. A call refused
+/// this often has met a full or changing service, and its caller is told to retry later.
+const MAX_SENDS: u32 = 4;
 
-/// How a send to a backend server ended without its answer.
+/// How a send to a backend server ended without an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendEnd {
-    /// No byte of the request left: no connection could be had.
+    /// No connection was established, so no byte of the request was sent.
     NotSent,
-    /// The server said that it did not run the request.
+    /// The server refused the request without running it.
     Refused,
-    /// Another server answered at the address: it did not run.
+    /// Another server answered at the address, so the request did not run.
     OtherServer,
-    /// The engine has other weights than those asked for: it did not run.
+    /// The engine runs other weights than requested, so the request did not run.
     OtherWeights,
-    /// The connection broke, or what came was no answer to this request.
+    /// The connection broke, or the response was invalid.
     Broken,
-    /// Nothing came in time.
+    /// The server did not answer in time.
     TimedOut,
-    /// Nothing came, and no new connection could be had either.
+    /// The server did not answer, and no new connection could be established.
     Unreachable,
 }
 
 impl SendEnd {
-    /// Whether the server may have run the request; if not, that is certain.
+    /// Whether the server may have run the request. If not, it certainly has not.
     pub fn may_have_run(self) -> bool {
         matches!(self, SendEnd::Broken | SendEnd::TimedOut | SendEnd::Unreachable)
     }
@@ -37,13 +37,13 @@
 /// What to do next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NextStep {
-    /// Choose a server and send again, if the budget of repeats allows.
+    /// Choose a server and send again, if the retry budget allows.
     SendAgain,
     /// Answer the caller with this error.
     GiveUp(ErrorKind),
 }
 
-/// What has become of a call so far.
+/// History of the sends of one call.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CallProgress {
     sends: u32,
@@ -52,23 +52,23 @@
 }
 
 impl CallProgress {
-    /// A send has ended.
+    /// Records the end of a send.
     ///
-    /// Only the first ends prove that nothing ran. After any other, a call that may run once only is
-    /// over: a second send could charge the caller twice, and "not run" could be a lie.
+    /// After an end that leaves it open whether the request ran, a non-idempotent call is not sent
+    /// again: it could run twice.
     pub fn after(&mut self, end: SendEnd, route: &RouteRule) -> NextStep {
         self.sends += 1;
         self.arrivals += u32::from(end != SendEnd::NotSent);
         match end {
             SendEnd::NotSent | SendEnd::Refused | SendEnd::OtherServer | SendEnd::OtherWeights => {
-                if MOST_SENDS <= self.sends {
+                if MAX_SENDS <= self.sends {
                     return NextStep::GiveUp(self.failure());
                 }
                 NextStep::SendAgain
             }
             SendEnd::Broken | SendEnd::TimedOut | SendEnd::Unreachable => {
                 self.possible_runs += 1;
-                if self.has_attempts(route) && self.sends < MOST_SENDS {
+                if self.has_attempts_left(route) && self.sends < MAX_SENDS {
                     return NextStep::SendAgain;
                 }
                 NextStep::GiveUp(match end {
@@ -79,45 +79,45 @@
         }
     }
 
-    /// Whether another server may run it after those that may have.
-    fn has_attempts(&self, route: &RouteRule) -> bool {
+    /// Whether the route allows another run after those that may have happened.
+    fn has_attempts_left(&self, route: &RouteRule) -> bool {
         route.may_repeat() && self.possible_runs < route.max_attempts
     }
 
-    /// Whether the server that has it now may be given up for another one. If not, its silence is no
-    /// reason to end the answer: a busy server is silent for a while and takes no new connection, and
-    /// what cannot be had elsewhere is worth waiting for.
+    /// Whether the current send may be abandoned for another server. If not, a slow server is
+    /// waited for, since the answer cannot be had elsewhere.
     pub fn may_go_elsewhere(&self, route: &RouteRule) -> bool {
-        let with_this = CallProgress { possible_runs: self.possible_runs + 1, ..*self };
-        with_this.has_attempts(route) && self.sends + 1 < MOST_SENDS
+        let including_current = CallProgress { possible_runs: self.possible_runs + 1, ..*self };
+        including_current.has_attempts_left(route) && self.sends + 1 < MAX_SENDS
     }
 
-    /// The error for a call that cannot be sent again: "not run" only where that is certain.
+    /// Error for a call that cannot be sent again. It reports "not run" only if that is certain.
     pub fn failure(&self) -> ErrorKind {
         if self.possible_runs == 0 { ErrorKind::NoServer } else { ErrorKind::OutcomeUnknown }
     }
 
-    /// The error when the call's time is over.
+    /// Error for a call whose deadline has passed.
     pub fn timeout(&self) -> ErrorKind {
         if self.possible_runs == 0 { ErrorKind::DeadlineUnmet } else { ErrorKind::ServerTimeout }
     }
 
-    /// Whether a server may have run it.
+    /// Whether a server may have run the call.
     pub fn may_have_run(&self) -> bool {
         0 < self.possible_runs
     }
 
-    /// Servers that may have run it.
+    /// Number of servers that may have run the call.
     pub fn possible_runs(&self) -> u32 {
         self.possible_runs
     }
 
-    /// Sends that reached a server, or may have: the budget of repeats counts what comes after these.
+    /// Number of sends that may have reached a server. The retry budget counts the sends after the
+    /// first of these.
     pub fn arrivals(&self) -> u32 {
         self.arrivals
     }
 
-    /// Sends so far.
+    /// Number of sends.
     pub fn sends(&self) -> u32 {
         self.sends
     }
--- a/crates/dispatch/src/call_shape.rs
+++ b/crates/dispatch/src/call_shape.rs
@@ -1,36 +1,35 @@
-//! What a call does to the others on its engine.
+//! Classes of calls by how they affect each other on an engine.
 
 use crate::CallFacts;
 use crate::EngineRule;
 
-/// A stream of fewer events is over before a pause could matter.
-const LEAST_EVENTS: u32 = 3;
-/// Prompts from this length on hold up the streams beside them: an engine reads some 40 tokens in a
-/// millisecond, so that 3,000 take 75 ms, a sixth of the pause that callers are content with.
-const HEAVY_TOKENS: u32 = 3_000;
+/// Streams with fewer events end before a gap matters.
+const MIN_CHAT_EVENTS: u32 = 3;
+/// Prompts from this length on noticeably delay the streams on the same engine.
+const MIN_HEAVY_TOKENS: u32 = 3_000;
 
-/// How a call and the streams on its engine bear each other.
+/// How a call interacts with the streams on its engine.
 ///
-/// An engine reads prompts between the tokens of its streams, a piece before each token. An event
-/// carries several tokens, so that a long queue of long prompts stretches the pause between two
-/// events beyond what callers are content with, although each piece is short.
+/// An engine prefills prompts in chunks between the tokens of its streams. An event carries several
+/// tokens, so a queue of long prompts stretches the gap between two events even though each chunk
+/// is short.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallShape {
-    /// A short prompt and a long stream: long prompts beside it make it late.
+    /// A short prompt with a long stream, which long prompts delay.
     Chat,
-    /// A long prompt and a short stream.
+    /// A long prompt, which delays chats.
     Heavy,
-    /// Neither matters to the other.
+    /// Neither.
     Plain,
 }
 
 impl CallShape {
-    /// The shape of a call on engines of this kind.
+    /// Classifies a call for engines of this kind.
     pub fn of(call: &CallFacts, engine: &EngineRule) -> CallShape {
-        if HEAVY_TOKENS <= call.prompt_tokens() {
+        if MIN_HEAVY_TOKENS <= call.prompt_tokens() {
             return CallShape::Heavy;
         }
-        if LEAST_EVENTS * engine.event_tokens <= call.output_tokens {
+        if MIN_CHAT_EVENTS * engine.event_tokens <= call.output_tokens {
             return CallShape::Chat;
         }
         CallShape::Plain
--- a/crates/dispatch/src/experiment.rs
+++ b/crates/dispatch/src/experiment.rs
@@ -1,42 +1,43 @@
-//! The mechanisms that a build for experiments can switch off, to measure what each is worth.
+//! Mechanisms that builds with the `experiments` feature can disable, to compare results without
+//! them.
 
 use derive_more::Display;
 
-/// The closed list.
+/// A mechanism that can be disabled.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash)]
 pub enum Mechanism {
-    /// Short prompts go before all others of their rank and never behind.
+    /// Short prompts go before longer ones of the same priority.
     ShortFirst,
-    /// Routers keep what an engine would only queue.
+    /// Routers queue prompts instead of sending them to a full engine.
     RequestQueue,
-    /// Prompts that wait too long are refused with a time to come back after.
+    /// Prompts that wait too long are refused with a retry delay.
     Refusal,
-    /// Waiting prompts go in the order of what reading them earns.
+    /// Queued prompts are ordered by value for each prefilled token.
     EarningOrder,
-    /// An engine's queue is taken to be read in the order of arrival.
+    /// Engines are assumed to prefill in order of arrival.
     ArrivalOrder,
-    /// Long prompts stay away from chats as far as those suffer.
+    /// Long prompts are kept away from chats.
     ChatInterference,
-    /// That is learned from the pauses of streams.
+    /// How strictly they are kept away is inferred from the gaps in streams.
     StallLearning,
-    /// Words between routers follow each other fast in small fleets.
+    /// Gossip intervals are short in small fleets.
     FastGossip,
-    /// Requests avoid weights that have been replaced.
+    /// Requests avoid replaced weights.
     NewWeights,
-    /// Parts of prompts are fetched from engines and from the store.
+    /// Prompt prefixes are fetched from engines and the cache store.
     Fetches,
-    /// The store keeps parts that were asked for before.
+    /// The cache store keeps prefixes that were requested before.
     StoreKeeping,
-    /// A prompt that no engine has goes to the same engine from all routers.
+    /// All routers send a prompt that is cached nowhere to the same engine.
     Homes,
-    /// What others must have sent since they last spoke is expected.
+    /// Sends of other routers since their last gossip message are estimated.
     UnreportedSends,
-    /// A call looks at some engines only.
+    /// A call considers only a sample of the engines.
     Draws,
 }
 
 impl Mechanism {
-    /// All of them.
+    /// All mechanisms.
     pub const ALL: [Mechanism; 14] = [
         Mechanism::ShortFirst,
         Mechanism::RequestQueue,
@@ -55,15 +56,15 @@
     ];
 }
 
-/// Whether a mechanism is in use. Always, but in builds for experiments, which leave out those that the
-/// variable `FULMARGATE_OFF` names, separated by commas.
+/// Whether a mechanism is enabled. Builds with the `experiments` feature disable those listed,
+/// separated by commas, in the environment variable `FULMARGATE_OFF`.
 #[cfg(not(feature = "experiments"))]
 #[inline]
 pub const fn is_on(_: Mechanism) -> bool {
     true
 }
 
-/// Whether a mechanism is in use.
+/// Whether a mechanism is enabled.
 #[cfg(feature = "experiments")]
 pub fn is_on(mechanism: Mechanism) -> bool {
     switches::is_on(mechanism)
@@ -79,22 +80,23 @@
 
     use super::Mechanism;
 
-    static OFF: LazyLock<Vec<String>> = LazyLock::new(|| {
+    static DISABLED: LazyLock<Vec<String>> = LazyLock::new(|| {
         let names = std::env::var("FULMARGATE_OFF").unwrap_or_default();
         names.split(',').map(str::to_owned).collect()
     });
 
     thread_local! {
-        static OFF_HERE: RefCell<Vec<Mechanism>> = const { RefCell::new(Vec::new()) };
+        static DISABLED_ON_THREAD: RefCell<Vec<Mechanism>> = const { RefCell::new(Vec::new()) };
     }
 
-    /// Leaves these out on this thread, in place of those left out before.
+    /// Disables exactly these mechanisms on this thread, in addition to those of the environment.
     pub fn switch_off(mechanisms: &[Mechanism]) {
-        OFF_HERE.with_borrow_mut(|off| *off = mechanisms.to_vec());
+        DISABLED_ON_THREAD.with_borrow_mut(|disabled| *disabled = mechanisms.to_vec());
     }
 
     pub(super) fn is_on(mechanism: Mechanism) -> bool {
-        let is_here = OFF_HERE.with_borrow(|off| off.contains(&mechanism));
-        !is_here && (OFF.is_empty() || !OFF.contains(&mechanism.to_string()))
+        let is_disabled_here =
+            DISABLED_ON_THREAD.with_borrow(|disabled| disabled.contains(&mechanism));
+        !is_disabled_here && (DISABLED.is_empty() || !DISABLED.contains(&mechanism.to_string()))
     }
 }
