--- a/crates/dispatch/src/own_reach.rs
+++ b/crates/dispatch/src/own_reach.rs
@@ -1,4 +1,4 @@
-//! Whether the host itself is cut short, by the connections that it tried.
+//! Detection of network trouble of this host, from its connection attempts.
 
 use std::time::Duration;
 
@@ -8,180 +8,176 @@
 use crate::ConnectEnd;
 use crate::ServerKey;
 
-/// A trial counts for so long. A connection times out within 0.15 s and a server that failed is tried again
-/// after 0.4 s, so that a busy host tries all its servers in this time; a link that is well again is seen
-/// as such when it has passed.
-const TRIAL_AGE: Duration = Duration::from_secs(1);
-/// Trials are of one row if no more than this lies between them: servers that stay silent are tried again
-/// after 1.6 s at most.
-const ROW_AGE: Duration = Duration::from_secs(3);
-/// For so long at least nothing had been heard when a connection was given up: as long as one is tried.
-const SILENT_TIME: Duration = Duration::from_millis(150);
-/// One silent server is a server's trouble. Two at once, while next to nothing else comes about, are
-/// rarer than a full link, and a small service has no more.
-const LEAST_SILENT: usize = 2;
-/// Silent servers for each one that was heard. A host in one of three or four zones of the same size that is
-/// cut off from the others hears its own: two or three are silent for each one heard.
-const SILENT_TO_HEARD: usize = 4;
-/// From the first server that is heard on, a doubt lasts so long at most: about twice as long as links were
-/// seen to be full when a large configuration is handed on.
-const LONGEST_DOUBT: Duration = Duration::from_secs(3);
-/// A doubt within this time after the trials looked so last is the same one: as long as a doubt itself, so
-/// that verdicts hold for half of the time at least, however the trials come.
-const REST: Duration = Duration::from_secs(3);
-
-/// Connections to servers that were tried lately, and what they say of the host.
+/// Attempts older than this are ignored. A busy host attempts to reach all its servers within this
+/// time.
+const MAX_ATTEMPT_AGE: Duration = Duration::from_secs(1);
+/// Attempts to a server are consecutive if no more than this lies between them. Failed servers are
+/// retried sooner than that.
+const MAX_RETRY_GAP: Duration = Duration::from_secs(3);
+/// Duration of a connection attempt until it times out.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
+/// Silent servers from which on a local fault is suspected.
+const MIN_SILENT: usize = 2;
+/// Minimum ratio of silent to heard servers. A host in one of three or four zones of equal size
+/// that is cut off from the others stays below it.
+const MIN_SILENT_PER_HEARD: usize = 4;
+/// Upper bound of a suspicion from the first server that is heard on.
+const MAX_SUSPICION: Duration = Duration::from_secs(3);
+/// A suspicion that recurs within this time continues the previous one with its upper bound. Being
+/// as long as that bound, it leaves servers judged by their silence for at least half of the time.
+const SUSPICION_MEMORY: Duration = Duration::from_secs(3);
+
+/// Recent connection attempts to servers, and whether they suggest a fault of this host.
 ///
-/// When the host's own link is full, or the host gets no processor time, no connection comes about in time,
-/// to whatever server. Taken for the servers' silence, all servers were lost at once: callers got 502 for
-/// requests that ran on, requests were sent again elsewhere, and innocent ones were said to have crashed
-/// servers. So while nearly all servers that were tried are silent, their silence is not held against them.
+/// When the host's own link is saturated or it gets no CPU time, connections to all servers time
+/// out. While nearly all recently tried servers are silent, this host is suspected instead, and the
+/// silence is not counted against them.
 ///
-/// Servers that are gone are still seen. One or a few are outnumbered by those that are heard. A zone that
-/// is cut off hears its own servers: a quarter of all ends the doubt, and a smaller part, or servers that are
-/// heard now and then, bound it by 3 s. A host that hears nobody at all doubts itself for as long as that
-/// lasts: no verdict would lead its requests to a server that answers, and what waits on a connection to a
-/// host that is gone is ended by the system's own probes of that connection. A refusal is an answer, and
-/// counts against its server in any case. The doubt is over when more than a fifth of the servers are heard
-/// again, and a second after the last silence in any case.
+/// Server failures are still detected. If one or a few servers are down, those that are heard
+/// outnumber them. A host whose zone is cut off hears its own servers, which prevents the suspicion
+/// or limits its duration. A host that hears no server at all stays suspect, since no other choice
+/// of server would help. A refused connection is an answer and always counts against the server.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct OwnReach {
-    trials: IndexMap<ServerKey, ServerTrial>,
-    doubt: Option<OwnDoubt>,
-    /// Since when it has been told that the host doubts itself.
-    told: Option<Instant>,
+    attempts: IndexMap<ServerKey, ConnectAttempt>,
+    suspicion: Option<Suspicion>,
+    /// When the current suspicion was reported.
+    reported_at: Option<Instant>,
 }
 
-/// The newest trial of a server.
+/// Latest connection attempt to a server.
 #[derive(Clone, Copy, Debug)]
-struct ServerTrial {
+struct ConnectAttempt {
     at: Instant,
     end: ConnectEnd,
-    /// The first of those in a row that ended so.
+    /// First of the consecutive attempts with the same result.
     since: Instant,
 }
 
-/// The newest doubt. It may be over.
+/// Latest suspicion, which may have ended.
 #[derive(Clone, Copy, Debug)]
-struct OwnDoubt {
-    /// The trials looked so last.
-    held: Instant,
-    /// It is over by then.
+struct Suspicion {
+    /// When attempts last supported it.
+    supported_at: Instant,
+    /// When it ends unless extended.
     end: Instant,
-    /// It may last so long, once a server was heard.
-    bound: Option<Instant>,
+    /// Latest possible end, set once a server was heard.
+    latest_end: Option<Instant>,
 }
 
-/// Servers by their newest trials.
+/// Recently tried servers by the result of the latest attempt.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ReachCount {
-    /// Servers of which nothing was heard.
+    /// Servers that did not answer.
     pub silent: usize,
-    /// Servers that took the connection or refused it.
+    /// Servers that accepted or refused the connection.
     pub heard: usize,
 }
 
-/// What is new about the host's doubt of itself.
+/// Change of the suspicion of this host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReachNews {
     /// It has begun.
     Doubted(ReachCount),
-    /// It is over after so long.
+    /// It has ended after this time.
     Restored(ReachCount, Duration),
 }
 
 impl OwnReach {
-    /// A connection was tried.
+    /// Records a connection attempt.
     pub(crate) fn note(&mut self, server: ServerKey, end: ConnectEnd, now: Instant) {
-        self.trials.retain(|_, trial| now < trial.at + ROW_AGE);
-        let last = self.trials.get(&server).filter(|last| last.end == end);
+        self.attempts.retain(|_, attempt| now < attempt.at + MAX_RETRY_GAP);
+        let last = self.attempts.get(&server).filter(|last| last.end == end);
         let since = last.map_or(now, |last| last.since);
-        self.trials.insert(server, ServerTrial { at: now, end, since });
+        self.attempts.insert(server, ConnectAttempt { at: now, end, since });
         let count = self.count(now);
-        if count.is_one_sided() {
-            self.hold(count, now);
-        } else if let Some(doubt) = &mut self.doubt {
-            doubt.end = doubt.end.min(now);
-            doubt.bound.get_or_insert(now + LONGEST_DOUBT);
+        if count.suggests_local_fault() {
+            self.suspect(count, now);
+        } else if let Some(suspicion) = &mut self.suspicion {
+            suspicion.end = suspicion.end.min(now);
+            suspicion.latest_end.get_or_insert(now + MAX_SUSPICION);
         }
     }
 
-    /// How the newest connection to the server ended, if it was tried lately.
+    /// Result of the latest connection attempt to the server, if recent.
     pub(crate) fn newest(&self, server: ServerKey, now: Instant) -> Option<ConnectEnd> {
-        let trial = self.trials.get(&server)?;
-        trial.is_young(now).then_some(trial.end)
+        let attempt = self.attempts.get(&server)?;
+        attempt.is_recent(now).then_some(attempt.end)
     }
 
-    /// Whether silence is most likely the host's own trouble.
+    /// Whether this host is suspected.
     pub(crate) fn doubts(&self, now: Instant) -> bool {
         self.doubt_end(now).is_some()
     }
 
-    /// Until when the newest doubt lasted, or now: silence before that is not held against servers.
+    /// End of the latest suspicion, or `now` while it lasts. Silence before that does not count
+    /// against servers.
     pub(crate) fn doubted_until(&self, now: Instant) -> Option<Instant> {
-        self.doubt.map(|doubt| doubt.end.min(now))
+        self.suspicion.map(|suspicion| suspicion.end.min(now))
     }
 
-    /// Whether a doubt has begun or ended since this was asked last.
+    /// Returns a change of the suspicion since the last call.
     pub(crate) fn news(&mut self, now: Instant) -> Option<ReachNews> {
         let count = self.count(now);
-        match (self.told, self.doubts(now)) {
+        match (self.reported_at, self.doubts(now)) {
             (None, true) => {
-                self.told = Some(now);
+                self.reported_at = Some(now);
                 Some(ReachNews::Doubted(count))
             }
             (Some(since), false) => {
-                self.told = None;
+                self.reported_at = None;
                 Some(ReachNews::Restored(count, now.saturating_duration_since(since)))
             }
             _ => None,
         }
     }
 
-    /// When the doubt ends by itself, if there is one.
+    /// When the current suspicion ends unless extended.
     pub(crate) fn doubt_end(&self, now: Instant) -> Option<Instant> {
-        self.doubt.map(|doubt| doubt.end).filter(|end| now < *end)
+        self.suspicion.map(|suspicion| suspicion.end).filter(|end| now < *end)
     }
 
-    /// Servers by how their newest connections ended. When a link fills, all were heard just before, which
-    /// says nothing of it any more: only those count that were heard since most of the silent ones fell
-    /// silent. Some may have been dead long before that.
+    /// Counts recently tried servers by result. Servers heard only before most of the silent ones
+    /// fell silent are left out, as they do not show that the link works now. The median is used
+    /// because some servers may have been down for long.
     pub(crate) fn count(&self, now: Instant) -> ReachCount {
-        let young = || self.trials.values().filter(|trial| trial.is_young(now));
-        let silent = || young().filter(|trial| trial.end == ConnectEnd::Silent);
-        let mut began: Vec<Instant> = silent().map(|trial| trial.since).collect();
-        began.sort_unstable();
-        let middle = began.get(began.len() / 2).copied();
-        let is_heard = |trial: &&ServerTrial| {
-            let is_late = middle.is_none_or(|middle| middle <= trial.at + SILENT_TIME);
-            trial.end != ConnectEnd::Silent && is_late
+        let recent = || self.attempts.values().filter(|attempt| attempt.is_recent(now));
+        let silent = || recent().filter(|attempt| attempt.end == ConnectEnd::Silent);
+        let mut silent_since: Vec<Instant> = silent().map(|attempt| attempt.since).collect();
+        silent_since.sort_unstable();
+        let median = silent_since.get(silent_since.len() / 2).copied();
+        let is_heard = |attempt: &&ConnectAttempt| {
+            let is_current = median.is_none_or(|median| median <= attempt.at + CONNECT_TIMEOUT);
+            attempt.end != ConnectEnd::Silent && is_current
         };
-        ReachCount { silent: silent().count(), heard: young().filter(is_heard).count() }
+        ReachCount { silent: silent().count(), heard: recent().filter(is_heard).count() }
     }
 
-    /// Begins a doubt or goes on with it.
-    fn hold(&mut self, count: ReachCount, now: Instant) {
-        let last = self.doubt.filter(|doubt| now < doubt.held + REST);
-        let mut bound = last.and_then(|last| last.bound);
+    /// Begins or extends the suspicion.
+    fn suspect(&mut self, count: ReachCount, now: Instant) {
+        let last =
+            self.suspicion.filter(|suspicion| now < suspicion.supported_at + SUSPICION_MEMORY);
+        let mut latest_end = last.and_then(|last| last.latest_end);
         if 0 < count.heard {
-            bound.get_or_insert(now + LONGEST_DOUBT);
+            latest_end.get_or_insert(now + MAX_SUSPICION);
         }
-        let by_itself = now + TRIAL_AGE;
-        let end = bound.map_or(by_itself, |bound| by_itself.min(bound));
-        // One that ran out earlier is over since then, not since its bound.
-        let past = last.map_or(end, |last| last.end.min(now));
-        self.doubt = Some(OwnDoubt { held: now, end: end.max(past), bound });
+        let expiry = now + MAX_ATTEMPT_AGE;
+        let end = latest_end.map_or(expiry, |latest_end| expiry.min(latest_end));
+        // Keeps the previous end if that is later.
+        let previous_end = last.map_or(end, |last| last.end.min(now));
+        self.suspicion =
+            Some(Suspicion { supported_at: now, end: end.max(previous_end), latest_end });
     }
 }
 
 impl ReachCount {
-    fn is_one_sided(self) -> bool {
-        LEAST_SILENT <= self.silent && SILENT_TO_HEARD * self.heard <= self.silent
+    fn suggests_local_fault(self) -> bool {
+        MIN_SILENT <= self.silent && MIN_SILENT_PER_HEARD * self.heard <= self.silent
     }
 }
 
-impl ServerTrial {
-    fn is_young(&self, now: Instant) -> bool {
-        now.saturating_duration_since(self.at) < TRIAL_AGE
+impl ConnectAttempt {
+    fn is_recent(&self, now: Instant) -> bool {
+        now.saturating_duration_since(self.at) < MAX_ATTEMPT_AGE
     }
 }
