--- a/crates/dispatch/tests/keeping.rs
+++ b/crates/dispatch/tests/cache_store.rs
@@ -1,4 +1,4 @@
-//! What the store of cached prompts keeps.
+//! Choice of the prompts that are saved to the cache store.
 
 mod support;
 
@@ -18,31 +18,50 @@
 use support::zone;
 use tokio::time::Instant;
 
-struct KeepCase {
+struct SaveCase {
     name: &'static str,
-    /// Tokens of the part that others share; the prompt's own are 2,000.
-    shared: u32,
-    asked_before: bool,
-    is_kept: bool,
+    /// Tokens of the shared part. The unshared part has 2,000.
+    shared_tokens: u32,
+    requested_before: bool,
+    is_saved: bool,
 }
 
-const CASES: &[KeepCase] = &[
-    KeepCase { name: "shared by much", shared: 4_000, asked_before: false, is_kept: true },
-    KeepCase { name: "mostly its own", shared: 3_999, asked_before: false, is_kept: false },
-    KeepCase { name: "asked for again", shared: 3_000, asked_before: true, is_kept: true },
-    KeepCase { name: "too short to fetch", shared: 900, asked_before: true, is_kept: false },
+const SAVE_CASES: &[SaveCase] = &[
+    SaveCase {
+        name: "mostly shared",
+        shared_tokens: 4_000,
+        requested_before: false,
+        is_saved: true,
+    },
+    SaveCase {
+        name: "less than two thirds shared",
+        shared_tokens: 3_999,
+        requested_before: false,
+        is_saved: false,
+    },
+    SaveCase {
+        name: "requested before",
+        shared_tokens: 3_000,
+        requested_before: true,
+        is_saved: true,
+    },
+    SaveCase {
+        name: "too short to fetch",
+        shared_tokens: 900,
+        requested_before: true,
+        is_saved: false,
+    },
 ];
 
-/// A caller waits for a part to be read that was read seconds ago.
-/// The engine that had it dropped it, and the store never got it: only what was asked for a second time
-/// went there. Kept for all first prompts, the store is full of what nobody asks for again.
+/// Prefixes must be in the store before a second request asks for them, but prompts that are mostly
+/// unshared must not fill it.
 #[test]
-fn parts_are_kept_that_come_with_little_else() {
-    for case in CASES {
+fn prompts_that_are_mostly_shared_are_saved() {
+    for case in SAVE_CASES {
         let now = Instant::now();
         let mut book = ServerBook::default();
         book.sync(&engines(&["e1", "e2"]), now);
-        let shared = [(11, case.shared)];
+        let shared_parts = [(11, case.shared_tokens)];
         let (table, weights) = (table(Vec::new(), Vec::new()), WeightsTable::default());
         let choose = |book: &ServerBook, call: &CallFacts| {
             let request = EngineRequest {
@@ -58,15 +77,15 @@
                 now,
                 boot_now: BootTime(100_000),
             };
-            book.choose_engine(&request).expect("an engine")
+            book.choose_engine(&request).expect("an engine is chosen")
         };
-        if case.asked_before {
-            let before = prompt_call("before", &shared, now);
+        if case.requested_before {
+            let before = prompt_call("before", &shared_parts, now);
             let mut choice = choose(&book, &before);
             choice.save_to = None;
             book.begin_prompt(&before, &choice, now);
         }
-        let call = prompt_call("call", &shared, now);
-        assert_eq!(choose(&book, &call).save_to.is_some(), case.is_kept, "{}", case.name);
+        let call = prompt_call("call", &shared_parts, now);
+        assert_eq!(choose(&book, &call).save_to.is_some(), case.is_saved, "{}", case.name);
     }
 }
--- a/crates/dispatch/tests/choices.rs
+++ b/crates/dispatch/tests/choices.rs
@@ -1,4 +1,4 @@
-//! Which server a call goes to.
+//! Choice of the server for a call.
 
 mod support;
 
@@ -35,10 +35,10 @@
 use support::zone;
 use tokio::time::Instant;
 
-const RECORD: &[(u64, u32)] = &[(11, 2_500), (12, 3_800)];
-const NAMES: &[&str] = &["e1", "e2", "e3", "e4"];
+const SHARED_PARTS: &[(u64, u32)] = &[(11, 2_500), (12, 3_800)];
+const ENGINE_NAMES: &[&str] = &["e1", "e2", "e3", "e4"];
 
-struct ChoiceWorld {
+struct ChoiceFixture {
     book: ServerBook,
     table: RouteTable,
     weights: WeightsTable,
@@ -46,27 +46,27 @@
     boot_now: BootTime,
 }
 
-impl ChoiceWorld {
-    fn new() -> ChoiceWorld {
+impl ChoiceFixture {
+    fn new() -> ChoiceFixture {
         let now = Instant::now();
         let mut book = ServerBook::default();
-        book.sync(&engines(NAMES), now);
+        book.sync(&engines(ENGINE_NAMES), now);
         let table = table(Vec::new(), Vec::new());
         let weights = WeightsTable::default();
-        ChoiceWorld { book, table, weights, now, boot_now: BootTime(100_000) }
+        ChoiceFixture { book, table, weights, now, boot_now: BootTime(100_000) }
     }
 
-    /// So many engines and other routers, which have nothing under way.
-    fn fleet(engine_count: usize, routers: usize) -> ChoiceWorld {
-        let mut world = ChoiceWorld::new();
+    /// A fleet with this many engines and other routers, all idle.
+    fn fleet(engine_count: usize, routers: usize) -> ChoiceFixture {
+        let mut fixture = ChoiceFixture::new();
         let names: Vec<String> = (0..engine_count).map(|number| format!("e{number}")).collect();
         let names: Vec<&str> = names.iter().map(String::as_str).collect();
-        world.book.sync(&engines(&names), world.now);
+        fixture.book.sync(&engines(&names), fixture.now);
         for number in 0..routers {
             let host = Some(HostName::new(&format!("host-{number}")));
-            world.book.hear(&GossipMessage { host, ..GossipMessage::default() }, world.now);
+            fixture.book.hear(&GossipMessage { host, ..GossipMessage::default() }, fixture.now);
         }
-        world
+        fixture
     }
 
     fn choose(&self, call: &CallFacts, excluded: &[ServerKey]) -> Option<EngineChoice> {
@@ -86,8 +86,8 @@
     }
 
     fn send(&mut self, id: &str) -> EngineChoice {
-        let call = prompt_call(id, RECORD, self.now);
-        let choice = self.choose(&call, &[]).expect("an engine");
+        let call = prompt_call(id, SHARED_PARTS, self.now);
+        let choice = self.choose(&call, &[]).expect("an engine is chosen");
         self.book.begin_prompt(&call, &choice, self.now);
         choice
     }
@@ -97,104 +97,107 @@
     }
 }
 
-/// Two routers that know nothing send the same prompt to the same engine.
+/// Routers without any shared state must send the same prompt to the same engine.
 #[test]
-fn routers_agree_on_a_home() {
-    let call = prompt_call("c", RECORD, Instant::now());
-    let first = ChoiceWorld::new().choose(&call, &[]).expect("an engine");
-    let second = ChoiceWorld::new().choose(&call, &[]).expect("an engine");
+fn routers_agree_on_the_home_engine() {
+    let call = prompt_call("c", SHARED_PARTS, Instant::now());
+    let first = ChoiceFixture::new().choose(&call, &[]).expect("an engine is chosen");
+    let second = ChoiceFixture::new().choose(&call, &[]).expect("an engine is chosen");
     assert_eq!(first.server.name, second.server.name);
 }
 
-/// In a large fleet whose gossip is fast, prompts that no engine has must still meet at one engine: scattered,
-/// their shared parts are read once by each.
+/// Scattered prompts would make each engine prefill their shared prefix. A short gossip interval
+/// must not cause that.
 #[test]
-fn unknown_prompts_go_home_in_a_large_fleet() {
-    let mut world = ChoiceWorld::fleet(140, 65);
-    world.book.set_gossip_interval(Duration::from_millis(66));
+fn uncached_prompts_go_to_their_home_engine_in_a_large_fleet() {
+    let mut fixture = ChoiceFixture::fleet(140, 65);
+    fixture.book.set_gossip_interval(Duration::from_millis(66));
     let reasons = (0..200).map(|number| {
-        let call = prompt_call(&format!("c{number}"), &[(number, 6_300)], world.now);
-        world.choose(&call, &[]).expect("an engine").reason
+        let call = prompt_call(&format!("c{number}"), &[(number, 6_300)], fixture.now);
+        fixture.choose(&call, &[]).expect("an engine is chosen").reason
     });
-    let homes = reasons.filter(|reason| *reason == ChoiceReason::Home).count();
-    assert!(190 <= homes, "{homes} of 200 went home");
+    let home_count = reasons.filter(|reason| *reason == ChoiceReason::Home).count();
+    assert!(190 <= home_count, "{home_count} of 200 prompts went to their home engine");
 }
 
-/// Prompts wait behind others at their home while engines beside it are idle.
-/// A long backlog sends them elsewhere, and what home has read is fetched, not read again.
+/// With a long backlog at its home engine, a prompt goes elsewhere and fetches the prefix instead
+/// of prefilling it again.
 #[test]
-fn a_busy_home_is_left_and_asked_for_its_parts() {
-    let mut world = ChoiceWorld::new();
-    let home = ChoiceWorld::name(&world.send("c1"));
-    world.now += Duration::from_secs(1);
-    let choices: Vec<EngineChoice> = (0..6).map(|turn| world.send(&format!("d{turn}"))).collect();
-    let left = choices.iter().find(|choice| ChoiceWorld::name(choice) != home);
-    let left = left.expect("another engine");
-    assert!(left.fetch.is_some(), "its parts are fetched");
-    assert_eq!(left.read_tokens, 2_000.0, "only its own tokens are read");
+fn a_busy_home_engine_is_bypassed_and_its_prefix_fetched() {
+    let mut fixture = ChoiceFixture::new();
+    let home = ChoiceFixture::name(&fixture.send("c1"));
+    fixture.now += Duration::from_secs(1);
+    let choices: Vec<EngineChoice> =
+        (0..6).map(|number| fixture.send(&format!("d{number}"))).collect();
+    let alternative = choices.iter().find(|choice| ChoiceFixture::name(choice) != home);
+    let alternative = alternative.expect("another engine is chosen");
+    assert!(alternative.fetch.is_some(), "the prefix is fetched");
+    assert_eq!(alternative.read_tokens, 2_000.0, "only the unshared tokens are prefilled");
 }
 
-struct ReadyCase {
+struct FetchCase {
     name: &'static str,
     /// Milliseconds since the prompt was sent to the first engine.
     after_ms: u64,
-    /// The engine or the store has said that it has the parts.
-    is_told: bool,
+    /// Whether the engine has reported that it holds the parts.
+    is_reported: bool,
     is_fetched: bool,
 }
 
-const READY: &[ReadyCase] = &[
-    ReadyCase { name: "it waits there", after_ms: 50, is_told: false, is_fetched: false },
-    ReadyCase { name: "it has been read", after_ms: 1_000, is_told: false, is_fetched: true },
-    ReadyCase { name: "the engine says so", after_ms: 50, is_told: true, is_fetched: true },
+const FETCH_CASES: &[FetchCase] = &[
+    FetchCase { name: "still queued", after_ms: 50, is_reported: false, is_fetched: false },
+    FetchCase {
+        name: "expected to be prefilled",
+        after_ms: 1_000,
+        is_reported: false,
+        is_fetched: true,
+    },
+    FetchCase { name: "reported by the engine", after_ms: 50, is_reported: true, is_fetched: true },
 ];
 
-/// Prompts are read anew although an engine was asked for their parts.
-/// They came right after the first one, which was still waiting at that engine: there was nothing to
-/// fetch. Parts are fetched once they are expected to have been read, or are said to be there.
+/// A prefix must not be fetched from an engine at which it is still queued.
 #[test]
-fn parts_are_fetched_when_they_have_been_read() {
-    for case in READY {
-        let mut world = ChoiceWorld::new();
-        let first = world.send("c1");
-        if case.is_told {
+fn prefixes_are_fetched_once_prefilled() {
+    for case in FETCH_CASES {
+        let mut fixture = ChoiceFixture::new();
+        let first = fixture.send("c1");
+        if case.is_reported {
             let scope = scope_of(&first.salt);
             let parts = vec![(scope ^ 11, 2_500), (scope ^ 12, 3_800)];
             let server = first.server.key();
             let notice = CacheNotice { server, is_reset: false, parts };
-            world.book.hear_cache(notice, world.now);
+            fixture.book.hear_cache(notice, fixture.now);
         }
-        world.now += Duration::from_millis(case.after_ms);
-        let call = prompt_call("c2", RECORD, world.now);
-        let choice = world.choose(&call, &[first.server.key()]).expect("an engine");
+        fixture.now += Duration::from_millis(case.after_ms);
+        let call = prompt_call("c2", SHARED_PARTS, fixture.now);
+        let choice = fixture.choose(&call, &[first.server.key()]).expect("an engine is chosen");
         assert_eq!(choice.fetch.is_some(), case.is_fetched, "{}", case.name);
     }
 }
 
-/// An engine evicts a part; routers that believe otherwise send prompts to be read anew.
+/// Routers must not send prompts to an engine for a prefix that it has evicted.
 #[test]
-fn events_correct_beliefs() {
-    let mut world = ChoiceWorld::new();
-    let first = world.send("c1");
-    let call = prompt_call("c2", RECORD, world.now);
-    assert_eq!(world.choose(&call, &[]).expect("an engine").read_tokens, 2_000.0);
+fn cache_events_correct_the_estimate() {
+    let mut fixture = ChoiceFixture::new();
+    let first = fixture.send("c1");
+    let call = prompt_call("c2", SHARED_PARTS, fixture.now);
+    assert_eq!(fixture.choose(&call, &[]).expect("an engine is chosen").read_tokens, 2_000.0);
     let scope = scope_of(&first.salt);
     let parts = vec![(scope ^ 11, 0), (scope ^ 12, 0)];
     for server in [first.server.key(), ServerKey::STORE] {
         let notice = CacheNotice { server, is_reset: false, parts: parts.clone() };
-        world.book.hear_cache(notice, world.now);
+        fixture.book.hear_cache(notice, fixture.now);
     }
-    assert_eq!(world.choose(&call, &[]).expect("an engine").read_tokens, 8_300.0);
+    assert_eq!(fixture.choose(&call, &[]).expect("an engine is chosen").read_tokens, 8_300.0);
 }
 
-/// An engine that is ordered to load turns requests away, and each costs the budget a repeat.
-/// The holder of the lease tells; no router sends there until the weights are in place, or the engine
-/// has been given up and keeps what it has.
+/// An engine that loads weights refuses requests. The lease holder reports it, and routers avoid
+/// the engine until the load has finished or been abandoned.
 #[test]
-fn engines_that_load_get_nothing() {
-    let mut world = ChoiceWorld::new();
-    let call = prompt_call("c", RECORD, world.now);
-    let home = world.choose(&call, &[]).expect("an engine").server;
+fn engines_loading_weights_get_no_requests() {
+    let mut fixture = ChoiceFixture::new();
+    let call = prompt_call("c", SHARED_PARTS, fixture.now);
+    let home = fixture.choose(&call, &[]).expect("an engine is chosen").server;
     let notice = |stage| GossipMessage {
         host: Some(HostName::new("holder")),
         loading: vec![LoadingNotice {
@@ -205,53 +208,56 @@
         }],
         ..GossipMessage::default()
     };
-    world.book.hear(&notice(LoadingStage::Loading), world.now);
-    assert_ne!(world.choose(&call, &[]).expect("an engine").server, home);
-    world.book.hear(&notice(LoadingStage::GivenUp), world.now);
-    let choice = world.choose(&call, &[]).expect("an engine");
-    assert_eq!((&choice.server, choice.weights), (&home, WeightsVersion(1)), "it kept its own");
-    world.book.hear(&notice(LoadingStage::Loading), world.now);
-    world.book.hear(&notice(LoadingStage::InPlace), world.now);
-    let choice = world.choose(&call, &[]).expect("an engine");
+    fixture.book.hear(&notice(LoadingStage::Loading), fixture.now);
+    assert_ne!(fixture.choose(&call, &[]).expect("an engine is chosen").server, home);
+    fixture.book.hear(&notice(LoadingStage::GivenUp), fixture.now);
+    let choice = fixture.choose(&call, &[]).expect("an engine is chosen");
+    assert_eq!(
+        (&choice.server, choice.weights),
+        (&home, WeightsVersion(1)),
+        "the engine kept its weights"
+    );
+    fixture.book.hear(&notice(LoadingStage::Loading), fixture.now);
+    fixture.book.hear(&notice(LoadingStage::InPlace), fixture.now);
+    let choice = fixture.choose(&call, &[]).expect("an engine is chosen");
     assert_eq!((&choice.server, choice.weights), (&home, WeightsVersion(2)));
 }
 
 struct WeightsCase {
     name: &'static str,
-    /// Milliseconds since version 2 was named.
+    /// Milliseconds since version 2 was announced.
     age_ms: u64,
-    usable: bool,
+    is_usable: bool,
 }
 
-const WEIGHTS: &[WeightsCase] = &[
-    WeightsCase { name: "just named", age_ms: 10, usable: true },
-    WeightsCase { name: "well within the bound", age_ms: 4_000, usable: true },
-    WeightsCase { name: "near the bound", age_ms: 4_790, usable: false },
-    WeightsCase { name: "long ago", age_ms: 60_000, usable: false },
+const WEIGHTS_CASES: &[WeightsCase] = &[
+    WeightsCase { name: "just announced", age_ms: 10, is_usable: true },
+    WeightsCase { name: "well within the bound", age_ms: 4_000, is_usable: true },
+    WeightsCase { name: "near the bound", age_ms: 4_790, is_usable: false },
+    WeightsCase { name: "long past the bound", age_ms: 60_000, is_usable: false },
 ];
 
-/// A request begins on weights that were replaced long ago, after it waited at its engine.
-/// It was sent within the bound to an engine with a backlog of 200 ms.
-/// The expected wait is taken off the bound.
+/// A request must not start on weights past the bound after having queued at a busy engine, so the
+/// expected wait is subtracted from the bound.
 #[test]
-fn old_weights_are_left_in_time() {
-    for case in WEIGHTS {
-        let mut world = ChoiceWorld::new();
-        let busy = world.send("w1").server.key();
-        let named = BootTime(world.boot_now.0 - case.age_ms);
-        world.weights.name_version(&model(), WeightsVersion(2), named);
-        let call = prompt_call("w2", RECORD, world.now);
-        let mut others: Vec<ServerKey> = NAMES.iter().map(|name| key(name)).collect();
+fn stale_weights_are_avoided_before_the_bound() {
+    for case in WEIGHTS_CASES {
+        let mut fixture = ChoiceFixture::new();
+        let busy = fixture.send("w1").server.key();
+        let announced = BootTime(fixture.boot_now.0 - case.age_ms);
+        fixture.weights.name_version(&model(), WeightsVersion(2), announced);
+        let call = prompt_call("w2", SHARED_PARTS, fixture.now);
+        let mut others: Vec<ServerKey> = ENGINE_NAMES.iter().map(|name| key(name)).collect();
         others.retain(|name| *name != busy);
-        let choice = world.choose(&call, &others);
-        assert_eq!(choice.is_some(), case.usable, "{}", case.name);
+        let choice = fixture.choose(&call, &others);
+        assert_eq!(choice.is_some(), case.is_usable, "{}", case.name);
     }
 }
 
-/// A router that has just started reads that new weights are wanted, but not since when.
-/// It takes them for old until another router tells.
+/// A new router knows which version is wanted, but not since when. It treats older weights as long
+/// outdated until another router reports the age.
 #[test]
-fn ages_of_versions_are_told_to_new_routers() {
+fn new_routers_learn_version_ages() {
     let now = BootTime(50_000);
     let mut weights = WeightsTable::default();
     weights.name_version(&model(), WeightsVersion(1), BootTime::default());
@@ -261,178 +267,200 @@
     assert!(weights.correct_age(&model(), WeightsVersion(2), Duration::from_millis(300), now));
     assert_eq!(age(&weights), Duration::from_millis(300));
     assert!(!weights.correct_age(&model(), WeightsVersion(2), Duration::ZERO, now));
-    assert_eq!(age(&weights), Duration::from_millis(300), "the first word counts");
+    assert_eq!(age(&weights), Duration::from_millis(300), "only the first report counts");
 }
 
 #[test]
 fn unreachable_engines_are_a_last_resort() {
-    let mut world = ChoiceWorld::new();
-    let call = prompt_call("c", RECORD, world.now);
-    let home = world.choose(&call, &[]).expect("an engine").server;
-    world.book.unreachable(home.key(), world.now);
-    assert_ne!(world.choose(&call, &[]).expect("an engine").server, home);
-    for name in NAMES {
-        world.book.unreachable(key(name), world.now);
+    let mut fixture = ChoiceFixture::new();
+    let call = prompt_call("c", SHARED_PARTS, fixture.now);
+    let home = fixture.choose(&call, &[]).expect("an engine is chosen").server;
+    fixture.book.unreachable(home.key(), fixture.now);
+    assert_ne!(fixture.choose(&call, &[]).expect("an engine is chosen").server, home);
+    for name in ENGINE_NAMES {
+        fixture.book.unreachable(key(name), fixture.now);
     }
-    assert!(world.choose(&call, &[]).is_some());
-    let all: Vec<ServerKey> = NAMES.iter().map(|name| key(name)).collect();
-    assert!(world.choose(&call, &all).is_none());
+    assert!(fixture.choose(&call, &[]).is_some());
+    let all: Vec<ServerKey> = ENGINE_NAMES.iter().map(|name| key(name)).collect();
+    assert!(fixture.choose(&call, &all).is_none());
 }
 
-/// Another server answers at the address of one that has ended: it is not chosen again, although
-/// the list still has it.
+/// When another server answers at its address, a server must not be chosen again even if the list
+/// still has it.
 #[test]
-fn a_server_whose_address_is_taken_is_forgotten() {
-    let mut world = ChoiceWorld::new();
-    world.book.forget(key("e1"));
-    world.book.sync(&engines(NAMES), world.now);
-    assert!(world.book.state(key("e1")).is_none());
-    world.book.sync(&engines(&["e2", "e3"]), world.now);
-    world.book.sync(&engines(NAMES), world.now);
-    assert!(world.book.state(key("e1")).is_some(), "the list had dropped it meanwhile");
+fn a_server_whose_address_was_reused_is_removed() {
+    let mut fixture = ChoiceFixture::new();
+    fixture.book.forget(key("e1"));
+    fixture.book.sync(&engines(ENGINE_NAMES), fixture.now);
+    assert!(fixture.book.state(key("e1")).is_none());
+    fixture.book.sync(&engines(&["e2", "e3"]), fixture.now);
+    fixture.book.sync(&engines(ENGINE_NAMES), fixture.now);
+    assert!(
+        fixture.book.state(key("e1")).is_some(),
+        "the server was removed from the list and added again"
+    );
 }
 
 #[test]
-fn plain_calls_go_where_they_are_answered_first() {
+fn plain_calls_go_to_the_fastest_server() {
     let now = Instant::now();
     let mut book = ServerBook::default();
     let entries: Vec<_> = ["d1", "d2", "d3"].map(|name| Arc::new(server(name, DESK))).into();
     book.sync(&entries, now);
     let service = ServiceName::new(DESK);
     let choose = |book: &ServerBook| {
-        let server = book.choose_plain(&service, &zone(), &[], now).expect("a server");
+        let server = book.choose_plain(&service, &zone(), &[], now).expect("a server is chosen");
         server.name.to_string()
     };
     let call = prompt_call("p", &[], now);
     let mut ticket = book.begin(&call, key("d1"), now);
     let busy = LoadReport { running: 8, waiting: 9, slots: 8 };
     book.answered(&mut ticket, Some(busy), now);
-    assert_ne!(choose(&book), "d1", "full");
+    assert_ne!(choose(&book), "d1", "d1 is full");
     for _ in 0..5 {
         book.failed(key("d2"), now);
     }
-    assert_eq!(choose(&book), "d3", "d2 fails");
+    assert_eq!(choose(&book), "d3", "d2 has failed repeatedly");
 }
 
-struct BeginCase {
+struct StartCase {
     name: &'static str,
-    /// Milliseconds since version 2 was named.
+    /// Milliseconds since version 2 was announced.
     age_ms: u64,
     version: u64,
-    time_ms: Option<u64>,
+    remaining_ms: Option<u64>,
 }
 
-const BEGINS: &[BeginCase] = &[
-    BeginCase { name: "the newest", age_ms: 5_000, version: 2, time_ms: None },
-    BeginCase { name: "just replaced", age_ms: 100, version: 1, time_ms: Some(7_100) },
-    BeginCase { name: "nearly over", age_ms: 7_150, version: 1, time_ms: Some(50) },
-    BeginCase { name: "over", age_ms: 20_000, version: 1, time_ms: Some(0) },
+const START_CASES: &[StartCase] = &[
+    StartCase { name: "newest version", age_ms: 5_000, version: 2, remaining_ms: None },
+    StartCase { name: "just replaced", age_ms: 100, version: 1, remaining_ms: Some(7_100) },
+    StartCase {
+        name: "shortly before the limit",
+        age_ms: 7_150,
+        version: 1,
+        remaining_ms: Some(50),
+    },
+    StartCase { name: "past the limit", age_ms: 20_000, version: 1, remaining_ms: Some(0) },
 ];
 
-/// A request waits at a busy engine and begins on weights that are too old.
-/// It was sent in time; this router learned of the version late, and the bound counts from its naming.
-/// It is given up while there is still time, 0.8 s before the bound.
+/// A request queued at an engine must not start on weights past the bound. The bound counts from
+/// the announcement, even if this router learned of it late.
 #[test]
-fn a_request_that_has_not_begun_is_given_up_in_time() {
-    for case in BEGINS {
+fn unstarted_requests_are_abandoned_before_the_bound() {
+    for case in START_CASES {
         let now = BootTime(100_000);
         let mut weights = WeightsTable::default();
         weights.name_version(&model(), WeightsVersion(2), BootTime(now.0 - case.age_ms));
         let bound = Duration::from_secs(8);
-        let time = weights.time_to_begin(&model(), WeightsVersion(case.version), bound, now);
-        assert_eq!(time.map(|time| time.as_millis() as u64), case.time_ms, "{}", case.name);
+        let remaining = weights.time_to_begin(&model(), WeightsVersion(case.version), bound, now);
+        assert_eq!(
+            remaining.map(|remaining| remaining.as_millis() as u64),
+            case.remaining_ms,
+            "{}",
+            case.name
+        );
     }
 }
 
-struct HerdCase {
+struct HerdingCase {
     name: &'static str,
-    /// Other routers that are heard.
+    /// Number of other routers.
     routers: usize,
-    /// Engines that calls for one record go to before anybody hears of them.
-    least: usize,
-    most: usize,
+    /// Bounds of the number of engines that calls for one record are sent to before any gossip.
+    min_engines: usize,
+    max_engines: usize,
 }
 
-const HERDS: &[HerdCase] = &[
-    HerdCase { name: "a small fleet agrees on the home", routers: 5, least: 1, most: 1 },
-    HerdCase { name: "a large one spreads", routers: 90, least: 8, most: 40 },
+const HERDING_CASES: &[HerdingCase] = &[
+    HerdingCase {
+        name: "a small fleet agrees on the home engine",
+        routers: 5,
+        min_engines: 1,
+        max_engines: 1,
+    },
+    HerdingCase {
+        name: "a large fleet spreads its calls",
+        routers: 90,
+        min_engines: 8,
+        max_engines: 40,
+    },
 ];
 
-/// All routers of a large fleet send to the engine that looked least busy half a second ago.
-/// They hear of each other's sends too late to see that it is not so any more.
-/// So each call draws its engines, and the sends of that half second are spread.
+/// Routers of a large fleet must not all choose the engine that looked best in the last gossip
+/// messages.
 #[test]
-fn large_fleets_do_not_herd() {
-    for case in HERDS {
-        let world = ChoiceWorld::fleet(40, case.routers);
+fn large_fleets_avoid_herding() {
+    for case in HERDING_CASES {
+        let fixture = ChoiceFixture::fleet(40, case.routers);
         let mut chosen: Vec<ServerName> = (0..100)
-            .filter_map(|turn| {
-                let call = prompt_call(&format!("call-{turn}"), RECORD, world.now);
-                Some(world.choose(&call, &[])?.server.name.clone())
+            .filter_map(|number| {
+                let call = prompt_call(&format!("call-{number}"), SHARED_PARTS, fixture.now);
+                Some(fixture.choose(&call, &[])?.server.name.clone())
             })
             .collect();
         chosen.sort_unstable();
         chosen.dedup();
         let count = chosen.len();
-        assert!(case.least <= count && count <= case.most, "{}: {count}", case.name);
+        assert!(case.min_engines <= count && count <= case.max_engines, "{}: {count}", case.name);
     }
 }
 
-struct CommonCase {
+struct PopularCase {
     name: &'static str,
     routers: usize,
-    /// Sends of all routers for the part a second ago.
-    sends: usize,
-    /// Share of the calls that go to the engine that has the part.
-    least: f64,
-    most: f64,
+    /// Number of requests for the part one second ago.
+    request_count: usize,
+    /// Bounds of the share of calls sent to the engine that holds the part.
+    min_share: f64,
+    max_share: f64,
 }
 
-const COMMON: &[CommonCase] = &[
-    CommonCase {
-        name: "asked for once, it stays there",
+const POPULAR_CASES: &[PopularCase] = &[
+    PopularCase {
+        name: "one request in a large fleet",
         routers: 90,
-        sends: 1,
-        least: 0.5,
-        most: 1.0,
+        request_count: 1,
+        min_share: 0.5,
+        max_share: 1.0,
     },
-    CommonCase {
-        name: "asked for by all, it spreads",
+    PopularCase {
+        name: "many requests in a large fleet",
         routers: 90,
-        sends: 60,
-        least: 0.0,
-        most: 0.3,
+        request_count: 60,
+        min_share: 0.0,
+        max_share: 0.3,
     },
-    CommonCase {
-        name: "a small fleet hears in time",
+    PopularCase {
+        name: "many requests in a small fleet",
         routers: 5,
-        sends: 60,
-        least: 0.5,
-        most: 1.0,
+        request_count: 60,
+        min_share: 0.5,
+        max_share: 1.0,
     },
 ];
 
-/// All heavy prompts of a kind wait for seconds at one engine while others idle.
-/// It was the first to read the part that they share; each router knows that, and none knows yet that
-/// the others send there as well. How often the part was asked for lately tells how many that are.
+/// Routers know which engine holds a popular prefix but not that all others send there too. Its
+/// request rate must make them use other engines.
 #[test]
-fn a_part_that_all_ask_for_spreads() {
-    for case in COMMON {
-        let mut world = ChoiceWorld::fleet(40, case.routers);
-        let first = world.choose(&prompt_call("first", RECORD, world.now), &[]).expect("an engine");
+fn popular_prefixes_spread_over_engines() {
+    for case in POPULAR_CASES {
+        let mut fixture = ChoiceFixture::fleet(40, case.routers);
+        let first = fixture
+            .choose(&prompt_call("first", SHARED_PARTS, fixture.now), &[])
+            .expect("an engine is chosen");
         let holder = first.server.name.clone();
-        for turn in 0..case.sends {
-            let call = prompt_call(&format!("sent-{turn}"), RECORD, world.now);
-            let ticket = world.book.begin_prompt(&call, &first, world.now);
-            world.book.left(&ticket);
+        for number in 0..case.request_count {
+            let call = prompt_call(&format!("sent-{number}"), SHARED_PARTS, fixture.now);
+            let ticket = fixture.book.begin_prompt(&call, &first, fixture.now);
+            fixture.book.left(&ticket);
         }
-        world.now += Duration::from_secs(1);
-        let calls =
-            (0..50).map(|turn| prompt_call(&format!("later-call-{turn}"), RECORD, world.now));
-        let there = calls.filter(|call| {
-            world.choose(call, &[]).is_some_and(|choice| choice.server.name == holder)
+        fixture.now += Duration::from_secs(1);
+        let calls = (0..50)
+            .map(|number| prompt_call(&format!("later-call-{number}"), SHARED_PARTS, fixture.now));
+        let sent_to_holder = calls.filter(|call| {
+            fixture.choose(call, &[]).is_some_and(|choice| choice.server.name == holder)
         });
-        let share = there.count() as f64 / 50.0;
-        assert!(case.least <= share && share <= case.most, "{}: {share}", case.name);
+        let share = sent_to_holder.count() as f64 / 50.0;
+        assert!(case.min_share <= share && share <= case.max_share, "{}: {share}", case.name);
     }
 }
--- a/crates/dispatch/tests/progress.rs
+++ b/crates/dispatch/tests/progress.rs
@@ -1,4 +1,4 @@
-//! What may follow a send without an answer.
+//! Decisions after a send has ended without an answer.
 
 mod support;
 
@@ -19,104 +19,102 @@
     kind: RouteKind,
     max_attempts: u32,
     ends: &'static [SendEnd],
-    last: NextStep,
+    last_step: NextStep,
 }
 
 const OUTCOME_UNKNOWN: NextStep = NextStep::GiveUp(ErrorKind::OutcomeUnknown);
 
-fn cases() -> Vec<ProgressCase> {
+fn progress_cases() -> Vec<ProgressCase> {
     use SendEnd::*;
     vec![
         ProgressCase {
-            name: "a charge whose connection broke is over",
+            name: "non-idempotent, connection broken",
             kind: RouteKind::NonIdempotent,
             max_attempts: 3,
             ends: &[Broken],
-            last: OUTCOME_UNKNOWN,
+            last_step: OUTCOME_UNKNOWN,
         },
         ProgressCase {
-            name: "a charge that never left goes elsewhere",
+            name: "non-idempotent, certainly not run",
             kind: RouteKind::NonIdempotent,
             max_attempts: 1,
             ends: &[NotSent, Refused, OtherServer],
-            last: NextStep::SendAgain,
+            last_step: NextStep::SendAgain,
         },
         ProgressCase {
-            name: "other weights are no run either",
+            name: "non-idempotent, refused for other weights",
             kind: RouteKind::NonIdempotent,
             max_attempts: 1,
             ends: &[OtherWeights],
-            last: NextStep::SendAgain,
+            last_step: NextStep::SendAgain,
         },
         ProgressCase {
-            name: "a charge is over after the first unknown, whatever came before",
+            name: "non-idempotent, unknown outcome after a refusal",
             kind: RouteKind::NonIdempotent,
             max_attempts: 3,
             ends: &[Refused, Unreachable],
-            last: OUTCOME_UNKNOWN,
+            last_step: OUTCOME_UNKNOWN,
         },
         ProgressCase {
-            name: "an idempotent call uses its attempts",
+            name: "idempotent, attempts left",
             kind: RouteKind::Idempotent,
             max_attempts: 2,
             ends: &[TimedOut],
-            last: NextStep::SendAgain,
+            last_step: NextStep::SendAgain,
         },
         ProgressCase {
-            name: "and no more than these",
+            name: "idempotent, no attempts left",
             kind: RouteKind::Idempotent,
             max_attempts: 2,
             ends: &[TimedOut, TimedOut],
-            last: NextStep::GiveUp(ErrorKind::ServerTimeout),
+            last_step: NextStep::GiveUp(ErrorKind::ServerTimeout),
         },
         ProgressCase {
-            name: "refusals are no attempts",
+            name: "refusals do not count as attempts",
             kind: RouteKind::Idempotent,
             max_attempts: 2,
             ends: &[Refused, Broken],
-            last: NextStep::SendAgain,
+            last_step: NextStep::SendAgain,
         },
         ProgressCase {
-            name: "a service that refuses again and again is left alone",
+            name: "too many refusals",
             kind: RouteKind::Idempotent,
             max_attempts: 2,
             ends: &[Refused, Refused, Refused, Refused],
-            last: NextStep::GiveUp(ErrorKind::NoServer),
+            last_step: NextStep::GiveUp(ErrorKind::NoServer),
         },
         ProgressCase {
-            name: "a stream that may not be resumed is over",
+            name: "stream that cannot be resumed",
             kind: stream(false),
             max_attempts: 2,
             ends: &[Broken],
-            last: OUTCOME_UNKNOWN,
+            last_step: OUTCOME_UNKNOWN,
         },
         ProgressCase {
-            name: "a stream that may be resumed goes on",
+            name: "resumable stream",
             kind: stream(true),
             max_attempts: 2,
             ends: &[Broken],
-            last: NextStep::SendAgain,
+            last_step: NextStep::SendAgain,
         },
     ]
 }
 
 #[test]
-fn steps_after_ends() {
-    for case in cases() {
+fn ends_determine_the_next_step() {
+    for case in progress_cases() {
         let route = route(case.kind, DESK, case.max_attempts);
         let mut progress = CallProgress::default();
         let steps: Vec<NextStep> =
             case.ends.iter().map(|end| progress.after(*end, &route)).collect();
-        assert_eq!(steps.last(), Some(&case.last), "{}", case.name);
+        assert_eq!(steps.last(), Some(&case.last_step), "{}", case.name);
     }
 }
 
-/// The caller of a charge is told "not run" though a server had it.
-/// A connection breaks after the request was written; later sends are refused.
-/// The caller takes the promise, sends again, and is charged twice.
-/// Once a server may have run a call, no answer may say that it has not run.
+/// Once a server may have run a call, no error may say that it has not run: the caller would retry,
+/// and a charge could be made twice.
 #[test]
-fn not_run_is_said_only_if_certain() {
+fn not_run_is_reported_only_if_certain() {
     const ENDS: [SendEnd; 7] = [
         SendEnd::NotSent,
         SendEnd::Refused,
@@ -126,9 +124,9 @@
         SendEnd::TimedOut,
         SendEnd::Unreachable,
     ];
-    fn property(picks: Vec<u8>) -> bool {
+    fn property(choices: Vec<u8>) -> bool {
         let ends: Vec<SendEnd> =
-            picks.into_iter().map(|pick| ENDS[usize::from(pick) % ENDS.len()]).collect();
+            choices.into_iter().map(|choice| ENDS[usize::from(choice) % ENDS.len()]).collect();
         for kind in [RouteKind::NonIdempotent, RouteKind::Idempotent, stream(true)] {
             let route = route(kind, DESK, 2);
             let mut progress = CallProgress::default();
@@ -141,9 +139,9 @@
                 if let NextStep::GiveUp(kind) = step {
                     kinds.push(kind);
                 }
-                let says_not_run =
+                let reports_not_run =
                     kinds.iter().any(|kind| kind.row().disposition == Disposition::NotRun);
-                if may_have_run && says_not_run {
+                if may_have_run && reports_not_run {
                     return false;
                 }
                 if step != NextStep::SendAgain {
@@ -164,18 +162,16 @@
     arrivals: u32,
 }
 
-const ARRIVALS: &[ArrivalCase] = &[
+const ARRIVAL_CASES: &[ArrivalCase] = &[
     ArrivalCase { name: "no connection", ends: &[SendEnd::NotSent, SendEnd::NotSent], arrivals: 0 },
-    ArrivalCase { name: "turned away", ends: &[SendEnd::NotSent, SendEnd::Refused], arrivals: 1 },
+    ArrivalCase { name: "refused", ends: &[SendEnd::NotSent, SendEnd::Refused], arrivals: 1 },
     ArrivalCase { name: "broken", ends: &[SendEnd::Broken, SendEnd::NotSent], arrivals: 1 },
 ];
 
-/// Requests are refused for a spent budget while servers have room.
-/// Engines had crashed, and each router met each of them once without a connection.
-/// Such sends arrive nowhere, so that what follows them repeats nothing.
+/// Sends without a connection must not use up the retry budget.
 #[test]
-fn sends_without_a_connection_arrive_nowhere() {
-    for case in ARRIVALS {
+fn sends_without_a_connection_are_not_arrivals() {
+    for case in ARRIVAL_CASES {
         let route = route(RouteKind::Idempotent, DESK, 3);
         let mut progress = CallProgress::default();
         for end in case.ends {
@@ -185,39 +181,42 @@
     }
 }
 
-struct ElsewhereCase {
+struct FailoverCase {
     name: &'static str,
     kind: RouteKind,
     max_attempts: u32,
     ends: &'static [SendEnd],
-    may: bool,
+    is_allowed: bool,
 }
 
-fn elsewheres() -> Vec<ElsewhereCase> {
+fn failover_cases() -> Vec<FailoverCase> {
     use SendEnd::*;
-    let case =
-        |name, kind, max_attempts, ends, may| ElsewhereCase { name, kind, max_attempts, ends, may };
+    let case = |name, kind, max_attempts, ends, is_allowed| FailoverCase {
+        name,
+        kind,
+        max_attempts,
+        ends,
+        is_allowed,
+    };
     vec![
-        case("a stream that may go on", stream(true), 2, &[], true),
-        case("its attempts are used up", stream(true), 2, &[Unreachable], false),
-        case("turned away is no attempt", stream(true), 2, &[Refused, NotSent], true),
-        case("its sends are used up", stream(true), 3, &[Refused, Refused, Refused], false),
-        case("a stream that may not go on", stream(false), 3, &[], false),
-        case("a charge", RouteKind::NonIdempotent, 3, &[], false),
+        case("resumable stream", stream(true), 2, &[], true),
+        case("no attempts left", stream(true), 2, &[Unreachable], false),
+        case("refusals do not count as attempts", stream(true), 2, &[Refused, NotSent], true),
+        case("no sends left", stream(true), 3, &[Refused, Refused, Refused], false),
+        case("stream that cannot be resumed", stream(false), 3, &[], false),
+        case("non-idempotent", RouteKind::NonIdempotent, 3, &[], false),
     ]
 }
 
-/// A visitor's answer is cut off in the middle, and nobody goes on with it.
-/// Its first engine was given up; the second was silent for a second and took no new connection, being
-/// busy. It was given up as well, though the route allowed no third: now it is waited for.
+/// A slow server must not be abandoned if the route does not allow another send.
 #[test]
-fn a_silent_server_is_given_up_only_for_another() {
-    for case in elsewheres() {
+fn a_silent_server_is_abandoned_only_for_another() {
+    for case in failover_cases() {
         let route = route(case.kind, DESK, case.max_attempts);
         let mut progress = CallProgress::default();
         for end in case.ends {
             progress.after(*end, &route);
         }
-        assert_eq!(progress.may_go_elsewhere(&route), case.may, "{}", case.name);
+        assert_eq!(progress.may_go_elsewhere(&route), case.is_allowed, "{}", case.name);
     }
 }
--- a/crates/dispatch/tests/support/mod.rs
+++ b/crates/dispatch/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Small fixtures.
+//! Shared fixtures.
 #![allow(dead_code)]
 
 use std::sync::Arc;
@@ -57,7 +57,7 @@
     }
 }
 
-/// The key of a server that has never told of its start.
+/// Key of a server that has not reported its incarnation.
 pub(crate) fn key(name: &str) -> ServerKey {
     ServerKey::of(&ServerName::new(name), None)
 }
@@ -140,7 +140,7 @@
     RouteTable::new(config(routes, teams))
 }
 
-/// A call with these shared parts and 2,000 tokens of its own.
+/// A call with these shared parts and an unshared part of 2,000 tokens.
 pub(crate) fn prompt_call(id: &str, shared: &[(u64, u32)], now: Instant) -> CallFacts {
     let mut prompt: Vec<PromptPart> =
         shared.iter().map(|(hash, tokens)| PromptPart { hash: *hash, tokens: *tokens }).collect();
