--- a/crates/dispatch/src/backlog.rs
+++ b/crates/dispatch/src/backlog.rs
@@ -7,7 +7,7 @@
 pub(crate) const URGENCY_LEVELS: usize = 10;
 /// The first levels are for requests that can still be answered in time.
 const TIMELY_LEVELS: u8 = 5;
-/// Priorities from this one on share their timely levels.
+/// Priorities above this number share its timely levels.
 const MAX_TIMELY_PRIORITY: u8 = 2;
 
 /// Urgency of a request at an engine, 0 first.
--- a/crates/dispatch/src/call_shape.rs
+++ b/crates/dispatch/src/call_shape.rs
@@ -5,7 +5,7 @@
 
 /// Streams with fewer events end before a gap matters.
 const MIN_CHAT_EVENTS: u32 = 3;
-/// Prompts from this length on noticeably delay the streams on the same engine.
+/// Minimum length of a prompt that noticeably delays the streams on the same engine.
 const MIN_HEAVY_TOKENS: u32 = 3_000;
 
 /// How a call interacts with the streams on its engine.
--- a/crates/dispatch/src/own_reach.rs
+++ b/crates/dispatch/src/own_reach.rs
@@ -16,13 +16,13 @@
 const MAX_RETRY_GAP: Duration = Duration::from_secs(3);
 /// Duration of a connection attempt until it times out.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
-/// Silent servers from which on a local fault is suspected.
-const MIN_SILENT: usize = 2;
-/// Minimum ratio of silent to heard servers. A host in one of three or four zones of equal size
-/// that is cut off from the others stays below it.
-const MIN_SILENT_PER_HEARD: usize = 4;
-/// Upper bound of a suspicion from the first server that is heard on.
-const MAX_SUSPICION: Duration = Duration::from_secs(3);
+/// Minimum number of silent servers for suspecting a local fault.
+const MIN_SILENT_SERVERS: usize = 2;
+/// Minimum ratio of silent to responding servers for suspecting a local fault. A host that is cut
+/// off from two or three other zones of the size of its own stays below it.
+const MIN_SILENT_TO_HEARD: usize = 4;
+/// Maximum duration of a suspicion after the first server has responded.
+const MAX_SUSPICION_TIME: Duration = Duration::from_secs(3);
 /// A suspicion that recurs within this time continues the previous one with its upper bound. Being
 /// as long as that bound, it leaves servers judged by their silence for at least half of the time.
 const SUSPICION_MEMORY: Duration = Duration::from_secs(3);
@@ -33,10 +33,11 @@
 /// out. While nearly all recently tried servers are silent, this host is suspected instead, and the
 /// silence is not counted against them.
 ///
-/// Server failures are still detected. If one or a few servers are down, those that are heard
-/// outnumber them. A host whose zone is cut off hears its own servers, which prevents the suspicion
-/// or limits its duration. A host that hears no server at all stays suspect, since no other choice
-/// of server would help. A refused connection is an answer and always counts against the server.
+/// Server failures are still detected. If one or a few servers are down, the responding ones
+/// outnumber them. A host whose zone is cut off still reaches the servers of its zone, which
+/// prevents the suspicion or limits its duration. A host that reaches no server at all remains
+/// suspected, since no other choice of server would help. A refused connection is a response and
+/// always counts against the server.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct OwnReach {
     attempts: IndexMap<ServerKey, ConnectAttempt>,
@@ -61,7 +62,7 @@
     supported_at: Instant,
     /// When it ends unless extended.
     end: Instant,
-    /// Latest possible end, set once a server was heard.
+    /// Latest possible end, set once a server has responded.
     latest_end: Option<Instant>,
 }
 
@@ -95,7 +96,7 @@
             self.suspect(count, now);
         } else if let Some(suspicion) = &mut self.suspicion {
             suspicion.end = suspicion.end.min(now);
-            suspicion.latest_end.get_or_insert(now + MAX_SUSPICION);
+            suspicion.latest_end.get_or_insert(now + MAX_SUSPICION_TIME);
         }
     }
 
@@ -137,9 +138,9 @@
         self.suspicion.map(|suspicion| suspicion.end).filter(|end| now < *end)
     }
 
-    /// Counts recently tried servers by result. Servers heard only before most of the silent ones
-    /// fell silent are left out, as they do not show that the link works now. The median is used
-    /// because some servers may have been down for long.
+    /// Counts recently tried servers by result. Servers that responded only before most of the
+    /// silent ones fell silent are left out, as they do not show that the link works now. The
+    /// median is used because some servers may have been down for long.
     pub(crate) fn count(&self, now: Instant) -> ReachCount {
         let recent = || self.attempts.values().filter(|attempt| attempt.is_recent(now));
         let silent = || recent().filter(|attempt| attempt.end == ConnectEnd::Silent);
@@ -159,7 +160,7 @@
             self.suspicion.filter(|suspicion| now < suspicion.supported_at + SUSPICION_MEMORY);
         let mut latest_end = last.and_then(|last| last.latest_end);
         if 0 < count.heard {
-            latest_end.get_or_insert(now + MAX_SUSPICION);
+            latest_end.get_or_insert(now + MAX_SUSPICION_TIME);
         }
         let expiry = now + MAX_ATTEMPT_AGE;
         let end = latest_end.map_or(expiry, |latest_end| expiry.min(latest_end));
@@ -172,7 +173,7 @@
 
 impl ReachCount {
     fn suggests_local_fault(self) -> bool {
-        MIN_SILENT <= self.silent && MIN_SILENT_PER_HEARD * self.heard <= self.silent
+        MIN_SILENT_SERVERS <= self.silent && MIN_SILENT_TO_HEARD * self.heard <= self.silent
     }
 }
 
--- a/crates/dispatch/src/stall_meter.rs
+++ b/crates/dispatch/src/stall_meter.rs
@@ -9,7 +9,7 @@
 
 /// A chat is near the limit if its longest gap is at least this share of the accepted gap.
 const NEAR_LIMIT_SHARE: f64 = 0.65;
-/// Share of chats near the limit from which on long prompts are kept away from chats entirely.
+/// Share of chats near the limit at which long prompts are kept away from chats entirely.
 const SATURATION_SHARE: f64 = 0.1;
 /// Time constant of the exponential decay of the counts.
 const DECAY_TIME: Duration = Duration::from_secs(4);
