--- a/crates/entry/src/daemon.rs
+++ b/crates/entry/src/daemon.rs
@@ -1,4 +1,4 @@
-//! Start and planned stop of the process.
+//! Process startup and graceful shutdown.
 
 use std::io;
 use std::net::SocketAddr;
@@ -21,28 +21,28 @@
 use crate::telemetry::install_metrics;
 use crate::traffic::TrafficThread;
 
-/// Why the daemon could not start or go on.
+/// An error that prevents the daemon from starting or makes it exit.
 #[derive(Debug, Display, Error)]
 pub enum StartError {
-    /// An address cannot be listened on.
+    /// A listening socket could not be listening.
     #[display("cannot listen on {address}: {reason}")]
     Listen {
-        /// The address.
+        /// The configured address.
         address: SocketAddr,
-        /// What the system said.
+        /// The error of the operating system.
         reason: io::Error,
     },
-    /// A thread could not be started or has failed.
+    /// A thread could not be started, or failed.
     #[display("{what}: {reason}")]
     Thread {
-        /// What it is for.
+        /// The purpose of the thread.
         what: &'static str,
-        /// What the system said.
+        /// The cause, as text.
         reason: String,
     },
 }
 
-/// Runs the daemon until it has stopped as planned.
+/// Runs the daemon until it is shut down.
 pub fn run(mut settings: EntrySettings, path: &Path) -> Result<(), StartError> {
     let _log_guard = install_logging();
     install_metrics();
@@ -77,20 +77,20 @@
     }
 }
 
-/// The steps of a planned stop.
+/// Cancellation tokens for the stages of a graceful shutdown.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct StopTokens {
-    /// The process was told to stop: it is not ready any more, and its answers close their
-    /// connections.
+    /// Shutdown was requested: readiness checks fail, and every response carries
+    /// `connection: close`.
     pub(crate) begun: CancellationToken,
-    /// The balancer has taken the process out: idle connections are closed, and it ends as soon as
-    /// nothing is open.
+    /// The load balancer has had time to remove this host: idle connections are closed, and new
+    /// requests are rejected.
     pub(crate) closing: CancellationToken,
-    /// All requests have ended, or the time for the stop is over.
+    /// All requests have completed, or the shutdown timeout has elapsed.
     pub(crate) ended: CancellationToken,
 }
 
-/// Listens, and puts the port that the system chose in place of port 0.
+/// Opens a listener. If `address` has port 0, replaces it with the port that was assigned.
 fn listen(address: &mut SocketAddr) -> Result<TcpListener, StartError> {
     let open = || {
         let listener = TcpListener::bind(*address)?;
@@ -98,9 +98,9 @@
         let bound = listener.local_addr()?;
         Ok((listener, bound))
     };
-    let opened = open();
+    let listening = open();
     let (listener, bound) =
-        opened.map_err(|reason| StartError::Listen { address: *address, reason })?;
+        listening.map_err(|reason| StartError::Listen { address: *address, reason })?;
     *address = bound;
     Ok(listener)
 }
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,8 +1,8 @@
 //! The daemon on an entry host of the consortium platform.
 //!
-//! One thread keeps what is agreed and known (`control`), one carries callers' requests
-//! (`traffic`); they share snapshots and books (`state`). Decisions are in `fulmargate-dispatch`,
-//! the platform's formats in `fulmargate-consortium`.
+//! The `control` thread maintains configuration, membership and server state; the `traffic` thread
+//! proxies callers' requests. They share `state`. Routing decisions are made in
+//! `fulmargate-dispatch`; `fulmargate-consortium` defines the platform's wire formats.
 
 mod control;
 mod daemon;
--- a/crates/entry/src/main.rs
+++ b/crates/entry/src/main.rs
@@ -7,13 +7,13 @@
 use fulmargate_entry::run;
 use fulmargate_settings::EntrySettings;
 
-const EXIT_SETTINGS: u8 = 2;
-const EXIT_START: u8 = 3;
+const EXIT_INVALID_SETTINGS: u8 = 2;
+const EXIT_STARTUP_FAILED: u8 = 3;
 
 /// Routes language-model traffic on an entry host of the consortium platform.
-/// SIGTERM and SIGINT begin a planned stop: readiness goes first, open requests finish, then it leaves.
-/// SIGHUP reads the settings again and says what has changed.
-/// Exit codes: 0 stopped as planned, 2 settings refused, 3 could not start (such as a port in use).
+/// SIGTERM and SIGINT start a graceful shutdown: readiness checks fail, open requests finish, the process exits.
+/// SIGHUP reloads the settings and logs what has changed.
+/// Exit codes: 0 graceful shutdown, 2 invalid settings, 3 startup failure (such as a port in use).
 #[derive(FromArgs)]
 struct EntryArgs {
     /// the settings file (JSON); docs/operators/entry.md lists its keys
@@ -31,7 +31,7 @@
         Ok(settings) => settings,
         Err(err) => {
             eprintln!("{err}");
-            return ExitCode::from(EXIT_SETTINGS);
+            return ExitCode::from(EXIT_INVALID_SETTINGS);
         }
     };
     if args.check {
@@ -42,7 +42,7 @@
         Ok(()) => ExitCode::SUCCESS,
         Err(err) => {
             eprintln!("{err}");
-            ExitCode::from(EXIT_START)
+            ExitCode::from(EXIT_STARTUP_FAILED)
         }
     }
 }
--- a/crates/entry/src/sockets.rs
+++ b/crates/entry/src/sockets.rs
@@ -1,4 +1,4 @@
-//! Options of connections.
+//! TCP socket options.
 
 use std::io;
 use std::os::fd::AsFd;
@@ -8,21 +8,21 @@
 use nix::sys::socket::sockopt;
 use tokio::net::TcpStream;
 
-/// Probes that may stay unanswered before the system gives a connection up; with a user timeout it
-/// is that timeout that counts.
-const MOST_PROBES: u32 = 3;
+/// Unanswered keepalive probes before the connection is dropped. Linux uses the user timeout instead
+/// where one is set.
+const MAX_KEEPALIVE_PROBES: u32 = 3;
 
-/// Sends without delay, and has the system notice a peer that fell silent: no reset would ever
-/// come, and what waits for it would wait for ever. Bytes that are not confirmed within `silence`
-/// break the connection; an idle one is probed at that pace.
-pub(crate) fn watch_peer(stream: &TcpStream, silence: Duration) -> io::Result<()> {
+/// Disables Nagle's algorithm and enables detection of a peer that has vanished without a reset.
+/// The connection fails when sent data stays unacknowledged for `timeout`; an idle connection is
+/// probed at that interval.
+pub(crate) fn watch_peer(stream: &TcpStream, timeout: Duration) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = stream.as_fd();
-    let seconds = silence.as_secs().max(1) as u32;
-    setsockopt(&socket, sockopt::TcpUserTimeout, &(silence.as_millis() as u32))?;
+    let seconds = timeout.as_secs().max(1) as u32;
+    setsockopt(&socket, sockopt::TcpUserTimeout, &(timeout.as_millis() as u32))?;
     setsockopt(&socket, sockopt::KeepAlive, &true)?;
     setsockopt(&socket, sockopt::TcpKeepIdle, &seconds)?;
     setsockopt(&socket, sockopt::TcpKeepInterval, &seconds)?;
-    setsockopt(&socket, sockopt::TcpKeepCount, &MOST_PROBES)?;
+    setsockopt(&socket, sockopt::TcpKeepCount, &MAX_KEEPALIVE_PROBES)?;
     Ok(())
 }
--- a/crates/entry/src/state.rs
+++ b/crates/entry/src/state.rs
@@ -1,14 +1,14 @@
-//! What the threads share.
+//! State shared by the control and traffic threads.
 
 mod boot_clock;
-mod loading_board;
-mod noted_connect;
+mod connect_outcome;
+mod loading_registry;
 mod shared_state;
 mod status;
 
 pub(crate) use boot_clock::boot_now;
-pub(crate) use loading_board::LoadingBoard;
-pub(crate) use noted_connect::note_connect;
+pub(crate) use connect_outcome::note_connect;
+pub(crate) use loading_registry::LoadingRegistry;
 pub(crate) use shared_state::CrashSighting;
 pub(crate) use shared_state::FleetView;
 pub(crate) use shared_state::SharedState;
--- a/crates/entry/src/state/boot_clock.rs
+++ b/crates/entry/src/state/boot_clock.rs
@@ -1,16 +1,16 @@
-//! The clock that goes on while the host is suspended.
+//! A monotonic clock that includes the time during which the host is suspended.
 
 use fulmargate_dispatch::BootTime;
 use nix::time::ClockId;
 use nix::time::clock_gettime;
 
-/// Now. A host without this clock reads zero: ages then never pass a bound, which the first read
-/// at the start would show.
+/// Returns the time since boot, or zero if the clock cannot be read; ages computed from it are then zero
+/// as well.
 pub(crate) fn boot_now() -> BootTime {
     match clock_gettime(ClockId::CLOCK_BOOTTIME) {
         Ok(time) => BootTime(time.tv_sec() as u64 * 1_000 + time.tv_nsec() as u64 / 1_000_000),
         Err(err) => {
-            tracing::error!("the boot clock cannot be read: {err}");
+            tracing::error!("cannot read CLOCK_BOOTTIME: {err}");
             BootTime::default()
         }
     }
--- a/crates/entry/src/state/noted_connect.rs
+++ b/crates/entry/src/state/connect_outcome.rs
@@ -1,4 +1,4 @@
-//! Tells the book how connections end, and the log what that says of the host.
+//! Records the outcomes of connection attempts, and logs when this host suspects its own network.
 
 use std::sync::Arc;
 
@@ -12,49 +12,49 @@
 
 use crate::state::SharedState;
 use crate::telemetry::count_connect;
-use crate::telemetry::count_doubt;
+use crate::telemetry::count_local_network_suspicion;
 
-/// A connection to the server was tried, by whichever thread.
+/// Records the outcome of a connection attempt to the server. Both threads call this.
 pub(crate) fn note_connect(state: &Arc<SharedState>, server: ServerKey, end: ConnectEnd) {
     count_connect(end.name());
     let now = Instant::now();
     let mut book = state.book();
     book.tried(server, end, now);
-    let news = book.reach_news(now);
+    let change = book.reach_news(now);
     drop(book);
-    let Some(news) = news else { return };
-    tell(state, news);
-    if matches!(news, ReachNews::Doubted(_)) {
-        spawn_local(watch_doubt(state.clone()));
+    let Some(change) = change else { return };
+    log_reachability(state, change);
+    if matches!(change, ReachNews::Doubted(_)) {
+        spawn_local(wait_for_recovery(state.clone()));
     }
 }
 
-/// Tells when the doubt is over, also if no connection is tried any more.
-async fn watch_doubt(state: Arc<SharedState>) {
+/// Logs the end of the suspicion even if no further connection is attempted.
+async fn wait_for_recovery(state: Arc<SharedState>) {
     loop {
         let now = Instant::now();
         let end = state.book().doubt_end(now);
         let Some(end) = end else { break };
         sleep_until(end).await;
     }
-    let news = state.book().reach_news(Instant::now());
-    if let Some(news) = news {
-        tell(&state, news);
+    let change = state.book().reach_news(Instant::now());
+    if let Some(change) = change {
+        log_reachability(&state, change);
     }
 }
 
-fn tell(state: &SharedState, news: ReachNews) {
-    let kind = match news {
+fn log_reachability(state: &SharedState, change: ReachNews) {
+    let kind = match change {
         ReachNews::Doubted(_) => EventKind::OwnReachDoubted,
         ReachNews::Restored(..) => EventKind::OwnReachRestored,
     };
     if kind == EventKind::OwnReachDoubted {
-        count_doubt();
+        count_local_network_suspicion();
     }
     if !state.lines.allows(kind, Instant::now()) {
         return;
     }
-    match news {
+    match change {
         ReachNews::Doubted(count) => {
             tracing::warn!(
                 event = kind.number(),
@@ -63,13 +63,13 @@
                 heard = count.heard,
             );
         }
-        ReachNews::Restored(count, time) => {
+        ReachNews::Restored(count, duration) => {
             tracing::info!(
                 event = kind.number(),
                 name = kind.name(),
                 silent = count.silent,
                 heard = count.heard,
-                for_ms = time.as_millis() as u64,
+                for_ms = duration.as_millis() as u64,
             );
         }
     }
--- a/crates/entry/src/state/shared_state.rs
+++ b/crates/entry/src/state/shared_state.rs
@@ -1,4 +1,4 @@
-//! Snapshots and books shared by control and traffic.
+//! Snapshots and lock-protected state shared by the control and traffic threads.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -30,49 +30,48 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-use crate::state::LoadingBoard;
+use crate::state::LoadingRegistry;
 use crate::state::boot_now;
-use crate::telemetry::LineBudget;
+use crate::telemetry::LogRateLimiter;
 use crate::traffic::WaitRoom;
 
-/// Requests with a key are refused this much before the bound on taken keys, and none is refused for
-/// want of a route this much before the bound on configurations: clocks of two hosts
-/// drift apart by less than a thousandth, 5 ms in 5 s; the rest is allowance for a busy host.
-const PROOF_MARGIN: Duration = Duration::from_millis(100);
+/// Safety margin subtracted from the bounds on key revocation and on configuration age. Covers clock drift
+/// between hosts and scheduling delays.
+const PROOF_EXPIRY_MARGIN: Duration = Duration::from_millis(100);
 
-/// Starts of a host are told apart by so many numbers.
-const QUOTA_STARTS: u64 = 1 << 16;
-/// Twice the longest pause between two reports of a router. One that is silent for longer keeps a part of
-/// each quota.
+/// Number of distinct start identifiers that the quota protocol uses for one host.
+const QUOTA_START_ID_COUNT: u64 = 1 << 16;
+/// A router that sends no usage report for this long counts as unreachable, and a part of each quota stays
+/// reserved for it. Twice the longest report interval.
 const QUOTA_REACH_TIMEOUT: Duration = Duration::from_millis(1_200);
-/// Hosts are away for less when they are restarted or cut off.
+/// An unreachable router counts as terminated after this time. Longer than a restart or a network
+/// partition usually takes.
 const QUOTA_END_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// All that both threads use. Each lock is held for one short step.
+/// State used by both threads. Locks are held only briefly.
 pub(crate) struct SharedState {
     pub(crate) settings: EntrySettings,
-    /// Drawn at each start.
+    /// Random identifier of this process start.
     pub(crate) incarnation: Incarnation,
-    /// The configuration in force.
+    /// The active configuration; none until one has been loaded.
     pub(crate) table: ArcSwapOption<RouteTable>,
-    /// The weights wanted.
+    /// The target weights version of each model.
     pub(crate) weights: ArcSwap<WeightsTable>,
-    /// Members and lease, for status.
+    /// Members and lease, shown on the status page.
     pub(crate) fleet: ArcSwap<FleetView>,
-    /// Requests that callers wait for.
+    /// Requests whose response has not started.
     pub(crate) open_requests: AtomicUsize,
-    /// Connections of callers.
+    /// Open connections from callers.
     pub(crate) open_connections: AtomicUsize,
-    /// Crashes seen here, to be told to the other routers.
+    /// Crashes detected on this host, to be published to the other routers.
     pub(crate) crash_sender: UnboundedSender<CrashSighting>,
-    /// Engines under order by this router, for the others.
-    pub(crate) loading: LoadingBoard,
-    /// Prompts that wait here for an engine.
+    /// Engines that are loading weights on this router's order.
+    pub(crate) loading: LoadingRegistry,
+    /// Prompts that are queued for an engine.
     pub(crate) waiting: WaitRoom,
-    /// The newest epoch of the store that an answer has shown.
+    /// The newest store epoch seen in any response of the store.
     epoch: watch::Sender<StoreEpoch>,
-    /// Bounds the log.
-    pub(crate) lines: LineBudget,
+    pub(crate) lines: LogRateLimiter,
     proof: Mutex<ConfigProof>,
     book: Mutex<ServerBook>,
     budget: Mutex<RepeatBudget>,
@@ -80,12 +79,12 @@
     crashes: Mutex<CrashTracker>,
 }
 
-/// What the routers' own topic says, for status.
+/// Content of the routers' fleet topic, shown on the status page.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct FleetView {
-    /// Hosts whose start was read.
+    /// Hosts that have announced their start.
     pub(crate) members: Vec<HostName>,
-    /// The newest lease.
+    /// The most recent lease.
     pub(crate) lease: Option<HeldLease>,
 }
 
@@ -94,31 +93,30 @@
 pub(crate) struct CrashSighting {
     /// Fingerprint of the request.
     pub(crate) print: u128,
-    /// The server.
     pub(crate) server: Arc<ServerEntry>,
 }
 
 impl SharedState {
-    /// Nothing is known yet.
+    /// Creates the state without a configuration, servers or quotas.
     pub(crate) fn new(
         settings: EntrySettings,
         crash_sender: UnboundedSender<CrashSighting>,
     ) -> SharedState {
         let bounds = settings.bounds;
-        let repeats = RepeatConf {
+        let retry_conf = RepeatConf {
             ratio: bounds.repeat_ratio,
             slack: bounds.repeat_slack,
             window: bounds.repeat_window(),
         };
-        let before = |bound: Duration| bound.saturating_sub(PROOF_MARGIN);
+        let before = |bound: Duration| bound.saturating_sub(PROOF_EXPIRY_MARGIN);
         let mut proof =
             ConfigProof::new(before(bounds.key_revoke()), before(bounds.config_apply()));
-        // Until the routers' topic tells otherwise.
+        // The store may have been restored from a backup; the fleet topic shows whether it was.
         proof.doubt(StoreEpoch(0), boot_now());
         let incarnation = Incarnation(uuid::Uuid::new_v4().as_u64_pair().0);
         let quotas = QuotaTracker::new(
             settings.host.clone(),
-            (incarnation.0 % QUOTA_STARTS) as u16,
+            (incarnation.0 % QUOTA_START_ID_COUNT) as u16,
             quota_conf(&bounds),
         );
         SharedState {
@@ -130,19 +128,19 @@
             open_requests: AtomicUsize::new(0),
             open_connections: AtomicUsize::new(0),
             crash_sender,
-            loading: LoadingBoard::default(),
+            loading: LoadingRegistry::default(),
             waiting: WaitRoom::default(),
             epoch: watch::Sender::default(),
-            lines: LineBudget::default(),
+            lines: LogRateLimiter::default(),
             proof: Mutex::new(proof),
             book: Mutex::default(),
-            budget: Mutex::new(RepeatBudget::new(repeats, Instant::now())),
+            budget: Mutex::new(RepeatBudget::new(retry_conf, Instant::now())),
             quotas: Mutex::new(quotas),
             crashes: Mutex::new(CrashTracker::new(CrashConf::default())),
         }
     }
 
-    /// An answer of the store has shown this epoch.
+    /// Records a store epoch seen in a response.
     pub(crate) fn note_epoch(&self, epoch: StoreEpoch) {
         self.epoch.send_if_modified(|newest| {
             let is_newer = *newest < epoch;
@@ -151,48 +149,48 @@
         });
     }
 
-    /// Waits until an answer has shown a later epoch than this. A read that waits for records may have fallen
-    /// silent when the store went away, and would tell of its return seconds after another call did.
+    /// Waits for an epoch later than `epoch`. Lets a long poll whose connection died with the store reconnect
+    /// as soon as any other call has reached the restarted store.
     pub(crate) async fn epoch_after(&self, epoch: StoreEpoch) -> StoreEpoch {
         let mut newest = self.epoch.subscribe();
         match newest.wait_for(|newest| epoch < *newest).await {
             Ok(newest) => *newest,
-            // The sender lives as long as this value.
+            // Unreachable: `self` owns the sender.
             Err(_) => std::future::pending().await,
         }
     }
 
-    /// The age of the proof that the configuration is the newest.
+    /// Tracks when the configuration was last confirmed to be the newest.
     pub(crate) fn proof(&self) -> MutexGuard<'_, ConfigProof> {
         lock(&self.proof)
     }
 
-    /// Whether requests with a key may be admitted at this moment.
+    /// Returns whether requests with an API key may be admitted now.
     pub(crate) fn admits_keys(&self) -> bool {
         self.proof().admits(boot_now())
     }
 
-    /// Whether a request may be refused at this moment for want of a route or key.
+    /// Returns whether a request with an unknown route or key may be rejected now.
     pub(crate) fn refuses_unknown(&self) -> bool {
         self.proof().refuses(boot_now())
     }
 
-    /// Beliefs about servers.
+    /// Load, health and weights of the backend servers.
     pub(crate) fn book(&self) -> MutexGuard<'_, ServerBook> {
         lock(&self.book)
     }
 
-    /// The budget of repeats.
+    /// The retry budget.
     pub(crate) fn budget(&self) -> MutexGuard<'_, RepeatBudget> {
         lock(&self.budget)
     }
 
-    /// What teams may still use.
+    /// The teams' quotas.
     pub(crate) fn quotas(&self) -> MutexGuard<'_, QuotaTracker> {
         lock(&self.quotas)
     }
 
-    /// Requests that crash servers.
+    /// Requests that are suspected or known to crash servers.
     pub(crate) fn crashes(&self) -> MutexGuard<'_, CrashTracker> {
         lock(&self.crashes)
     }
@@ -208,7 +206,7 @@
     }
 }
 
-/// A book is whole after each step, so that a thread that panicked leaves a usable one.
+/// Ignores poisoning: every operation leaves the value consistent, so it is usable after a panic.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/entry/src/state/status.rs
+++ b/crates/entry/src/state/status.rs
@@ -1,4 +1,4 @@
-//! The daemon's word on itself.
+//! The status report of the daemon.
 
 use fulmargate_dispatch::BootTime;
 use fulmargate_dispatch::EntryStatus;
@@ -12,17 +12,16 @@
 use crate::state::SharedState;
 use crate::state::boot_now;
 
-/// All that operators ask for, at this moment.
+/// Returns the current status for operators.
 ///
-/// Each lock is taken in a statement of its own. A guard made within the literal below would be held
-/// to the literal's end, and the next lock of the same book would wait for itself for ever, and all
-/// other threads with it.
+/// Each lock is taken in a separate statement: a guard created inside the struct literal would live until
+/// the end of the literal, and the next lock of the same mutex would deadlock.
 pub(crate) fn entry_status(state: &SharedState) -> EntryStatus {
     let now = boot_now();
     let proof_age = state.proof().age(now);
     let admits_keys = state.admits_keys();
-    let heard = state.book().live_peers(Instant::now());
-    let servers = server_list(state);
+    let live_peers = state.book().live_peers(Instant::now());
+    let servers = server_statuses(state);
     let fleet = state.fleet.load();
     let weights = state.weights.load();
     let targets = weights.targets().map(|(model, target)| WantedWeights {
@@ -38,7 +37,7 @@
         admits_keys,
         weights: targets.collect(),
         members: fleet.members.clone(),
-        heard,
+        heard: live_peers,
         lease: fleet.lease.as_ref().map(|lease| lease_status(lease, now)),
         servers,
     }
@@ -52,7 +51,7 @@
     }
 }
 
-fn server_list(state: &SharedState) -> Vec<ServerStatus> {
+fn server_statuses(state: &SharedState) -> Vec<ServerStatus> {
     let now = Instant::now();
     let book = state.book();
     let status = |server: &ServerState| {
--- a/crates/entry/src/telemetry.rs
+++ b/crates/entry/src/telemetry.rs
@@ -1,19 +1,19 @@
-//! What the daemon tells of itself.
+//! Logging and metrics.
 
-mod line_budget;
+mod log_rate_limiter;
 mod logging;
-mod metric_book;
+mod prometheus;
 
-pub(crate) use line_budget::LineBudget;
+pub(crate) use log_rate_limiter::LogRateLimiter;
 pub(crate) use logging::install_logging;
-pub(crate) use metric_book::count_connect;
-pub(crate) use metric_book::count_doubt;
-pub(crate) use metric_book::count_given;
-pub(crate) use metric_book::count_quota;
-pub(crate) use metric_book::count_refused;
-pub(crate) use metric_book::count_send;
-pub(crate) use metric_book::install_metrics;
-pub(crate) use metric_book::record_answer;
-pub(crate) use metric_book::record_wait;
-pub(crate) use metric_book::render_metrics;
-pub(crate) use metric_book::topic_label;
+pub(crate) use prometheus::count_connect;
+pub(crate) use prometheus::count_given;
+pub(crate) use prometheus::count_local_network_suspicion;
+pub(crate) use prometheus::count_quota_request;
+pub(crate) use prometheus::count_refused;
+pub(crate) use prometheus::count_send;
+pub(crate) use prometheus::install_metrics;
+pub(crate) use prometheus::record_engine_wait;
+pub(crate) use prometheus::record_response;
+pub(crate) use prometheus::render_metrics;
+pub(crate) use prometheus::topic_label;
--- a/crates/entry/src/telemetry/metric_book.rs
+++ b/crates/entry/src/telemetry/prometheus.rs
@@ -1,4 +1,4 @@
-//! Metrics in Prometheus text.
+//! Metrics in the Prometheus text format.
 
 use std::sync::OnceLock;
 use std::sync::atomic::Ordering;
@@ -16,48 +16,48 @@
 use crate::state::SharedState;
 use crate::state::boot_now;
 
-/// Upper bounds in seconds; 11,000 teams make their number the cost of a histogram.
-const TIME_BUCKETS: [f64; 9] = [0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 10.0];
+/// Histogram buckets in seconds. Kept few because latency histograms are labelled by team.
+const LATENCY_BUCKETS: [f64; 9] = [0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 10.0];
 
 static HANDLE: OnceLock<Option<PrometheusHandle>> = OnceLock::new();
 
-/// Installs the recorder of the process.
+/// Installs the global metrics recorder.
 pub(crate) fn install_metrics() {
     HANDLE.get_or_init(|| {
         let builder = PrometheusBuilder::new();
         let seconds = Matcher::Suffix("_seconds".to_owned());
-        builder.set_buckets_for_metric(seconds, &TIME_BUCKETS).ok()?.install_recorder().ok()
+        builder.set_buckets_for_metric(seconds, &LATENCY_BUCKETS).ok()?.install_recorder().ok()
     });
 }
 
-/// A request goes to a server.
+/// Counts a request sent to a backend server.
 pub(crate) fn count_send(reason: &'static str) {
     metrics::counter!("fulmargate_sends_total", "reason" => reason).increment(1);
 }
 
-/// A connection to a server was tried.
+/// Counts a connection attempt to a backend server.
 pub(crate) fn count_connect(end: &'static str) {
     metrics::counter!("fulmargate_connects_total", "end" => end).increment(1);
 }
 
-/// The host takes the servers' silence for its own trouble.
-pub(crate) fn count_doubt() {
+/// Counts each time this host attributes connection failures to its own network.
+pub(crate) fn count_local_network_suspicion() {
     metrics::counter!("fulmargate_self_doubts_total").increment(1);
 }
 
-/// Records went to another router that asked for them.
+/// Counts bytes of log records served to another router.
 pub(crate) fn count_given(topic: LogTopic, bytes: usize) {
     let topic = topic_label(topic);
     metrics::counter!("fulmargate_handed_on_bytes_total", "topic" => topic).increment(bytes as u64);
 }
 
-/// Another router that asked for records was sent to the store for want of room on this host's link.
+/// Counts record requests from other routers that were rejected because this host's link is saturated.
 pub(crate) fn count_refused(topic: LogTopic) {
     metrics::counter!("fulmargate_hand_on_refusals_total", "topic" => topic_label(topic))
         .increment(1);
 }
 
-/// A topic's name in labels and log lines.
+/// Returns the topic's name in metric labels and log lines.
 pub(crate) fn topic_label(topic: LogTopic) -> &'static str {
     match topic {
         LogTopic::Operator => "operator",
@@ -66,30 +66,30 @@
     }
 }
 
-/// A prompt waited so long for an engine, and got one, was refused, or had none to wait for.
-pub(crate) fn record_wait(outcome: &'static str, took: Duration) {
+/// Records how long a prompt waited in the queue for an engine.
+pub(crate) fn record_engine_wait(outcome: &'static str, took: Duration) {
     metrics::histogram!("fulmargate_wait_seconds", "outcome" => outcome).record(took.as_secs_f64());
 }
 
-/// A request asked for tokens of its team's quota.
-pub(crate) fn count_quota(team: &TeamName, is_admitted: bool, tokens: u64) {
+/// Counts a request that is charged to its team's quota, and the tokens it asks for.
+pub(crate) fn count_quota_request(team: &TeamName, is_admitted: bool, tokens: u64) {
     let outcome = if is_admitted { "admitted" } else { "refused" };
     let labels = [("team", team.as_str().to_owned()), ("outcome", outcome.to_owned())];
     metrics::counter!("fulmargate_quota_tokens_total", &labels).increment(tokens);
     metrics::counter!("fulmargate_quota_requests_total", "outcome" => outcome).increment(1);
 }
 
-/// A request got its answer, or a stream its first event.
-pub(crate) fn record_answer(call: &CallFacts, status: u16, took: Duration) {
-    let team = call.team.as_ref().map_or("none", |team| team.as_str()).to_owned();
-    let kind = kind_name(call.route.kind);
+/// Records a finished request. For a stream, `took` covers the whole stream.
+pub(crate) fn record_response(request: &CallFacts, status: u16, took: Duration) {
+    let team = request.team.as_ref().map_or("none", |team| team.as_str()).to_owned();
+    let kind = route_kind_label(request.route.kind);
     let labels = [("team", team), ("kind", kind.to_owned())];
     metrics::histogram!("fulmargate_answer_seconds", &labels).record(took.as_secs_f64());
     metrics::counter!("fulmargate_answers_total", "kind" => kind, "status" => status.to_string())
         .increment(1);
 }
 
-/// The metrics as text. Also empties the recorder's samples, which grow until then.
+/// Renders all metrics as text. Rendering also drains the histogram samples that the recorder buffers.
 pub(crate) fn render_metrics(state: &SharedState) -> String {
     metrics::gauge!("fulmargate_open_requests")
         .set(state.open_requests.load(Ordering::Relaxed) as f64);
@@ -112,7 +112,7 @@
     }
 }
 
-fn kind_name(kind: RouteKind) -> &'static str {
+fn route_kind_label(kind: RouteKind) -> &'static str {
     match kind {
         RouteKind::Idempotent => "idempotent",
         RouteKind::NonIdempotent => "non_idempotent",
--- a/crates/entry/src/traffic/call_run/log.rs
+++ b/crates/entry/src/traffic/call_run/log.rs
@@ -9,7 +9,7 @@
 use tokio::time::Instant;
 
 use crate::state::boot_now;
-use crate::telemetry::record_answer;
+use crate::telemetry::record_response;
 use crate::traffic::answer::CallFailure;
 use crate::traffic::call_run::CallRun;
 use crate::traffic::send_attempt::SendFault;
@@ -125,7 +125,7 @@
     ) {
         self.is_told.set(true);
         let facts = self.facts();
-        record_answer(facts, status.as_u16(), facts.arrived.elapsed());
+        record_response(facts, status.as_u16(), facts.arrived.elapsed());
         if !self.state.lines.allows(kind, Instant::now()) {
             return;
         }
--- a/crates/entry/src/traffic/call_run/plan.rs
+++ b/crates/entry/src/traffic/call_run/plan.rs
@@ -18,7 +18,7 @@
 
 use crate::state::boot_now;
 use crate::telemetry::count_send;
-use crate::telemetry::record_wait;
+use crate::telemetry::record_engine_wait;
 use crate::traffic::answer::CallFailure;
 use crate::traffic::call_run::CallRun;
 use crate::traffic::call_run::ResumePoint;
@@ -132,7 +132,7 @@
         let place = enter_line(&self.state, wish);
         self.tell_waits();
         let end = timeout_at(deadline, place.wait()).await;
-        record_wait(outcome_name(end.as_ref().ok()), began.elapsed());
+        record_engine_wait(outcome_name(end.as_ref().ok()), began.elapsed());
         match end {
             Ok(WaitEnd::Taken(taken)) => Ok(Some(*taken)),
             Ok(WaitEnd::Nowhere) => Ok(None),
--- a/crates/entry/src/traffic/quota_charge.rs
+++ b/crates/entry/src/traffic/quota_charge.rs
@@ -9,7 +9,7 @@
 use tokio::time::Instant;
 
 use crate::state::SharedState;
-use crate::telemetry::count_quota;
+use crate::telemetry::count_quota_request;
 use crate::traffic::answer::CallFailure;
 
 /// Tokens of a quota. They are given back when it is dropped and nothing ran.
@@ -34,7 +34,7 @@
         let cost = quota.cost(facts.stated_tokens);
         let name = &team.name;
         let answer = state.quotas().admit(name, &quota, cost, Instant::now());
-        count_quota(name, answer.is_ok(), cost);
+        count_quota_request(name, answer.is_ok(), cost);
         match answer {
             Ok(()) => {
                 let (state, team) = (state.clone(), name.clone());
