--- a/crates/entry/src/state/connect_outcome.rs
+++ b/crates/entry/src/state/connect_outcome.rs
@@ -18,10 +18,10 @@
 pub(crate) fn note_connect(state: &Arc<SharedState>, server: ServerKey, end: ConnectEnd) {
     count_connect(end.name());
     let now = Instant::now();
-    let mut book = state.book();
-    book.tried(server, end, now);
-    let change = book.reach_news(now);
-    drop(book);
+    let mut servers = state.book();
+    servers.tried(server, end, now);
+    let change = servers.reach_news(now);
+    drop(servers);
     let Some(change) = change else { return };
     log_reachability(state, change);
     if matches!(change, ReachNews::Doubted(_)) {
--- a/crates/entry/src/state/status.rs
+++ b/crates/entry/src/state/status.rs
@@ -53,7 +53,7 @@
 
 fn server_statuses(state: &SharedState) -> Vec<ServerStatus> {
     let now = Instant::now();
-    let book = state.book();
+    let tracked = state.book();
     let status = |server: &ServerState| {
         let entry = server.entry();
         let models = entry.models.keys();
@@ -62,12 +62,12 @@
             service: entry.service.clone(),
             zone: entry.zone.clone(),
             is_open: server.is_open(now),
-            open: book.open_at(entry.key()),
+            open: tracked.open_at(entry.key()),
             failure_share: server.failure_share(now),
             weights: models
                 .filter_map(|model| Some((model.clone(), server.weights(model)?)))
                 .collect(),
         }
     };
-    book.states().map(status).collect()
+    tracked.states().map(status).collect()
 }
--- a/crates/entry/src/traffic/prompt_queue.rs
+++ b/crates/entry/src/traffic/prompt_queue.rs
@@ -84,7 +84,7 @@
         if requests.is_empty() {
             return;
         }
-        let ends = with_view(state, |book, view| requests.serve(book, view));
+        let ends = with_view(state, |servers, view| requests.serve(servers, view));
         for (number, end) in ends.unwrap_or_default() {
             let Some(sender) = senders.swap_remove(&number) else { continue };
             if let Err(WaitEnd::Taken(taken)) = sender.send(end) {
@@ -123,7 +123,7 @@
     if !state.waiting.lock().requests.goes_first(&placement.call) {
         return Placing::Wait(f64::from(placement.call.prompt_tokens()));
     }
-    with_view(state, |book, view| book.place(placement, view)).unwrap_or(Placing::Nowhere)
+    with_view(state, |servers, view| servers.place(placement, view)).unwrap_or(Placing::Nowhere)
 }
 
 /// Adds the prompt to the queue.
--- a/crates/entry/src/traffic/request_handler/plan.rs
+++ b/crates/entry/src/traffic/request_handler/plan.rs
@@ -57,11 +57,11 @@
 
     fn plan_plain(&self, service: &ServiceName) -> Option<SendPlan> {
         let now = Instant::now();
-        let mut book = self.state.book();
+        let mut servers = self.state.book();
         let zone = &self.state.settings.zone;
-        let server = book.choose_plain(service, zone, &self.excluded_servers, now)?;
-        let ticket = book.begin(self.facts(), server.key(), now);
-        drop(book);
+        let server = servers.choose_plain(service, zone, &self.excluded_servers, now)?;
+        let ticket = servers.begin(self.facts(), server.key(), now);
+        drop(servers);
         let head = self.send_head(&server);
         let in_flight = InFlightRequest::new(self.state.clone(), ticket);
         let head_deadline = self.attempt_deadline();
