--- /dev/null
+++ b/crates/entry/src/traffic/request_handler/plan.rs
@@ -0,0 +1,209 @@
+//! Chooses the server and the parameters of the next send.
+
+use std::time::Duration;
+
+use fulmargate_consortium::SendHead;
+use fulmargate_dispatch::ChoiceReason;
+use fulmargate_dispatch::PlacementRequest;
+use fulmargate_dispatch::Placing;
+use fulmargate_dispatch::RouteKind;
+use fulmargate_dispatch::ServerEntry;
+use fulmargate_dispatch::TakenEngine;
+use fulmargate_dispatch::WaitEnd;
+use fulmargate_names::ModelName;
+use fulmargate_names::ServiceName;
+use fulmargate_names::WeightsVersion;
+use tokio::time::Instant;
+use tokio::time::timeout_at;
+
+use crate::state::boot_now;
+use crate::telemetry::count_send;
+use crate::telemetry::record_engine_wait;
+use crate::traffic::in_flight_request::InFlightRequest;
+use crate::traffic::prompt_queue::enqueue;
+use crate::traffic::prompt_queue::try_place;
+use crate::traffic::request_failure::RequestFailure;
+use crate::traffic::request_handler::RequestHandler;
+use crate::traffic::request_handler::ResumePoint;
+use crate::traffic::send_attempt::SendPlan;
+
+/// An idempotent request without a response after this share of its target latency is sent to another server.
+/// A healthy server has nearly always responded by then.
+const HEDGE_DELAY_SHARE: f64 = 0.6;
+/// Interval at which an unresponsive server is probed, as a share of the target latency.
+const PROBE_INTERVAL_SHARE: f64 = 1.0;
+
+impl RequestHandler {
+    /// Plans the next send, which for a prompt may wait in the queue for an engine. Servers of a plain service
+    /// that were already tried are used again only if there is no other.
+    pub(super) async fn plan(
+        &mut self,
+        point: &ResumePoint,
+    ) -> Result<Option<SendPlan>, RequestFailure> {
+        let Some(service) = self.service() else { return Ok(None) };
+        let is_engine =
+            self.decoded.table.service(&service).is_some_and(|rule| rule.engine.is_some());
+        let model = self.facts().model.clone().filter(|_| is_engine);
+        if let Some(model) = model {
+            return self.plan_prompt(service, model, point).await;
+        }
+        let plan = self.plan_plain(&service);
+        if plan.is_some() || self.excluded_servers.is_empty() {
+            return Ok(plan);
+        }
+        self.excluded_servers.clear();
+        Ok(self.plan_plain(&service))
+    }
+
+    fn plan_plain(&self, service: &ServiceName) -> Option<SendPlan> {
+        let now = Instant::now();
+        let mut servers = self.state.book();
+        let zone = &self.state.settings.zone;
+        let server = servers.choose_plain(service, zone, &self.excluded_servers, now)?;
+        let ticket = servers.begin(self.facts(), server.key(), now);
+        drop(servers);
+        let head = self.send_head(&server);
+        let in_flight = InFlightRequest::new(self.state.clone(), ticket);
+        let head_deadline = self.attempt_deadline();
+        count_send("plain");
+        self.log_sent(&server, "plain");
+        let probe_interval = self.probe_interval();
+        Some(SendPlan { server, head, weights: None, head_deadline, probe_interval, in_flight })
+    }
+
+    async fn plan_prompt(
+        &mut self,
+        service: ServiceName,
+        model: ModelName,
+        point: &ResumePoint,
+    ) -> Result<Option<SendPlan>, RequestFailure> {
+        let team = self.facts().team.clone();
+        let placement = PlacementRequest {
+            call: self.facts().clone(),
+            service: service.clone(),
+            model: model.clone(),
+            only_weights: point.weights,
+            excluded: self.excluded_servers.clone(),
+        };
+        let Some(taken) = self.reserve_engine(placement).await? else { return Ok(None) };
+        let TakenEngine { choice, ticket } = taken;
+        // Releases the ticket on every early return below.
+        let in_flight = InFlightRequest::new(self.state.clone(), ticket);
+        // The configuration may have changed, and the key may have been revoked, while the prompt was queued.
+        self.readmit()?;
+        if self.facts().team != team || self.service() != Some(service) {
+            // The key now belongs to another team, or the route to another service. The engine was chosen with
+            // the previous team's cache salt, which would share cached prompt parts with the wrong team.
+            drop(in_flight);
+            return Box::pin(self.plan(point)).await;
+        }
+        let reason = reason_label(choice.reason);
+        count_send(reason);
+        self.log_prompt_sent(&choice, reason);
+        let start_deadline = self.start_deadline(&model, choice.weights);
+        let mut head = self.send_head(&choice.server);
+        head.weights = Some(choice.weights);
+        head.salt = Some(choice.salt);
+        head.fetch_from = choice.fetch.map(|fetch| fetch.from);
+        head.save_to = choice.save_to;
+        head.priority = Some(choice.urgency.level());
+        head.last_event.clone_from(&point.last_event);
+        Ok(Some(SendPlan {
+            server: choice.server,
+            head,
+            weights: Some(choice.weights),
+            head_deadline: self.attempt_deadline().min(start_deadline),
+            probe_interval: self.probe_interval(),
+            in_flight,
+        }))
+    }
+
+    /// Reserves an engine for the prompt, waiting in the queue if necessary.
+    async fn reserve_engine(
+        &self,
+        placement: PlacementRequest,
+    ) -> Result<Option<TakenEngine>, RequestFailure> {
+        match try_place(&self.state, &placement) {
+            Placing::Taken(taken) => return Ok(Some(*taken)),
+            Placing::Nowhere => return Ok(None),
+            Placing::Wait(_) => {}
+        }
+        let deadline = placement.call.deadline;
+        let began = Instant::now();
+        let queued = enqueue(&self.state, placement);
+        self.log_queued();
+        let end = timeout_at(deadline, queued.wait()).await;
+        record_engine_wait(wait_outcome_label(end.as_ref().ok()), began.elapsed());
+        match end {
+            Ok(WaitEnd::Taken(taken)) => Ok(Some(*taken)),
+            Ok(WaitEnd::Nowhere) => Ok(None),
+            Ok(WaitEnd::Refused(delay)) => {
+                Err(self.failure(self.progress.timeout()).with_retry_delay(delay))
+            }
+            Err(_) => Err(self.failure(self.progress.timeout())),
+        }
+    }
+
+    fn send_head(&self, server: &ServerEntry) -> SendHead {
+        let facts = self.facts();
+        SendHead {
+            server: server.name.clone(),
+            time_left: facts.deadline.saturating_duration_since(Instant::now()),
+            team: facts.team.clone(),
+            weights: None,
+            salt: None,
+            fetch_from: None,
+            save_to: None,
+            priority: None,
+            last_event: None,
+        }
+    }
+
+    /// The time at which an attempt is abandoned although its server is reachable. Only idempotent requests are
+    /// hedged: sending prompts a second time would overload busy engines further.
+    fn attempt_deadline(&self) -> Instant {
+        let facts = self.facts();
+        let route = &facts.route;
+        let is_last = route.max_attempts <= self.progress.possible_runs() + 1;
+        if is_last || route.kind != RouteKind::Idempotent {
+            return facts.deadline;
+        }
+        facts.deadline.min(Instant::now() + route.target_latency.mul_f64(HEDGE_DELAY_SHARE))
+    }
+
+    /// The latest time at which a request may start on this weights version.
+    fn start_deadline(&self, model: &ModelName, weights: WeightsVersion) -> Instant {
+        let max_age = self.state.settings.bounds.weights();
+        let targets = self.state.weights.load();
+        match targets.time_to_begin(model, weights, max_age, boot_now()) {
+            Some(time) => Instant::now() + time,
+            None => self.facts().deadline,
+        }
+    }
+
+    /// How often an unresponsive server is probed. If no other server may take over the request, this is the
+    /// route's timeout, so that the server is not abandoned before the deadline.
+    pub(crate) fn probe_interval(&self) -> Duration {
+        let route = &self.facts().route;
+        match self.progress.may_go_elsewhere(route) {
+            true => route.target_latency.mul_f64(PROBE_INTERVAL_SHARE),
+            false => route.timeout,
+        }
+    }
+}
+
+fn wait_outcome_label(end: Option<&WaitEnd>) -> &'static str {
+    match end {
+        Some(WaitEnd::Taken(_)) => "taken",
+        Some(WaitEnd::Refused(_)) => "refused",
+        Some(WaitEnd::Nowhere) | None => "none",
+    }
+}
+
+fn reason_label(reason: ChoiceReason) -> &'static str {
+    match reason {
+        ChoiceReason::Home => "home",
+        ChoiceReason::Cheaper => "cheaper",
+        ChoiceReason::LastResort => "last_resort",
+    }
+}
