--- a/crates/entry/src/control.rs
+++ b/crates/entry/src/control.rs
@@ -1,9 +1,9 @@
 //! The control thread: what is agreed and known.
 
-mod cache_calls;
+mod cache_event_client;
 mod cache_reader;
-mod cache_readers;
-mod cache_watch;
+mod cache_reader_set;
+mod cache_watcher;
 mod control_thread;
 mod epoch_watch;
 mod fleet_codec;
--- /dev/null
+++ b/crates/entry/src/control/cache_event_client.rs
@@ -0,0 +1,113 @@
+//! HTTP calls that read cache events from engines and from the prompt cache store.
+
+use std::cell::RefCell;
+use std::net::SocketAddr;
+use std::time::Duration;
+
+use fulmargate_consortium::CachePage;
+use fulmargate_consortium::CacheQuestion;
+use fulmargate_consortium::EngineClient;
+use fulmargate_consortium::MOST_PAGE_BYTES;
+use fulmargate_consortium::StoreError;
+use fulmargate_dispatch::ReadShare;
+use tokio::sync::Semaphore;
+use tokio::time::Instant;
+use tokio::time::sleep;
+
+/// Long-poll wait of a call for new events.
+const LIVE_POLL_WAIT: Duration = Duration::from_millis(400);
+/// Wait of a backfill call. Backlogged events are returned at once, but the engine accounts for
+/// calls with a shorter wait as probes.
+const BACKFILL_POLL_WAIT: Duration = Duration::from_millis(200);
+/// Added to the wait for the response timeout. Also the minimum timeout for the page body.
+const RESPONSE_GRACE: Duration = Duration::from_millis(400);
+/// Concurrent backfill calls. Each reads pages at the bandwidth allotted to backfills, so that
+/// several would saturate the link.
+const MAX_CONCURRENT_BACKFILLS: usize = 1;
+
+/// What a call is expected to return.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum ReadMode {
+    /// Events that the source has retained.
+    Backfill,
+    /// Events since the last call.
+    Live,
+}
+
+/// Issues the calls of all cache readers on this host.
+pub(crate) struct CacheEventClient {
+    engines: EngineClient,
+    /// Limits concurrent backfill calls.
+    backfill_permits: Semaphore,
+    bandwidth_share: RefCell<ReadShare>,
+}
+
+impl CacheEventClient {
+    pub(crate) fn new(link_bytes_per_s: f64) -> CacheEventClient {
+        CacheEventClient {
+            engines: EngineClient::new(),
+            backfill_permits: Semaphore::new(MAX_CONCURRENT_BACKFILLS),
+            bandwidth_share: RefCell::new(ReadShare::new(link_bytes_per_s)),
+        }
+    }
+
+    /// Reads the events of a source from sequence number `since`.
+    pub(crate) async fn read(
+        &self,
+        address: SocketAddr,
+        since: u64,
+        mode: ReadMode,
+    ) -> Result<CachePage, StoreError> {
+        match mode {
+            ReadMode::Backfill => self.read_backfill(address, since).await,
+            ReadMode::Live => self.read_live(address, since).await,
+        }
+    }
+
+    async fn read_live(&self, address: SocketAddr, since: u64) -> Result<CachePage, StoreError> {
+        let request = CacheQuestion {
+            since,
+            wait: LIVE_POLL_WAIT,
+            answer_timeout: LIVE_POLL_WAIT + RESPONSE_GRACE,
+            page_timeout: RESPONSE_GRACE,
+        };
+        self.engines
+            .cache_events(address, request, &|bytes| count_read_bytes(ReadMode::Live, bytes))
+            .await
+    }
+
+    /// Reads one page of retained events, throttled to the bandwidth allotted to backfills. A host
+    /// that takes over many sources would otherwise saturate its link, and timed-out pages would be
+    /// requested again.
+    async fn read_backfill(
+        &self,
+        address: SocketAddr,
+        since: u64,
+    ) -> Result<CachePage, StoreError> {
+        let _permit = self.backfill_permits.acquire().await;
+        let wait = self.bandwidth_share.borrow().wait(Instant::now());
+        sleep(wait).await;
+        let page_transfer_time = self.bandwidth_share.borrow().time_of(MOST_PAGE_BYTES);
+        let request = CacheQuestion {
+            since,
+            wait: BACKFILL_POLL_WAIT,
+            answer_timeout: BACKFILL_POLL_WAIT + RESPONSE_GRACE,
+            // A shorter timeout would request a slow page again and again.
+            page_timeout: page_transfer_time.max(RESPONSE_GRACE),
+        };
+        let on_bytes = |bytes: usize| {
+            count_read_bytes(ReadMode::Backfill, bytes);
+            self.bandwidth_share.borrow_mut().add(bytes, Instant::now());
+        };
+        self.engines.cache_events(address, request, &on_bytes).await
+    }
+}
+
+/// Counts received bytes, including those of calls that fail later.
+fn count_read_bytes(mode: ReadMode, bytes: usize) {
+    let kind = match mode {
+        ReadMode::Backfill => "kept",
+        ReadMode::Live => "new",
+    };
+    metrics::counter!("fulmargate_cache_read_bytes_total", "kind" => kind).increment(bytes as u64);
+}
--- a/crates/entry/src/control/cache_reader.rs
+++ b/crates/entry/src/control/cache_reader.rs
@@ -1,4 +1,4 @@
-//! Reads the cache events of one engine or of the store of cached prompts.
+//! Reads the cache events of one engine or of the prompt cache store.
 
 #[cfg(test)]
 mod tests;
@@ -18,111 +18,110 @@
 use tokio::time::Instant;
 use tokio::time::sleep;
 
-use crate::control::cache_calls::CacheCalls;
-use crate::control::cache_calls::ReadStage;
+use crate::control::cache_event_client::CacheEventClient;
+use crate::control::cache_event_client::ReadMode;
 use crate::state::SharedState;
 
-/// Pause between calls to one source: events of a busy engine come some 50 times a second, and each
-/// call costs both sides.
-const READ_PACE: Duration = Duration::from_millis(250);
-/// A page of more parts is one of many: between two calls a busy engine names some 40.
-const MOST_FOLLOWING_PARTS: usize = 128;
-/// Pause after a failed call for what is new.
-const FAILURE_PAUSE: Duration = Duration::from_millis(1_000);
+/// Delay between calls to one source. Batches the events of a busy engine, as each call
+/// has a fixed cost on both sides.
+const READ_INTERVAL: Duration = Duration::from_millis(250);
+/// A page with more parts belongs to a backfill.
+const MAX_LIVE_PARTS: usize = 128;
+/// Delay after a failed call for new events.
+const LIVE_RETRY_DELAY: Duration = Duration::from_millis(1_000);
 
-/// An engine's start or the store.
+/// An engine incarnation, or the prompt cache store.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct CacheSource {
-    /// What the parts that it names are remembered under.
+    /// Server under which the reported parts are recorded.
     pub(crate) key: ServerKey,
     pub(crate) address: SocketAddr,
     pub(crate) incarnation: Option<Incarnation>,
 }
 
-/// Reads one source on and on.
+/// Reads the events of one source in a loop.
 pub(crate) struct CacheReader {
     state: Arc<SharedState>,
-    calls: Rc<CacheCalls>,
+    client: Rc<CacheEventClient>,
     source: CacheSource,
-    /// Where to read on.
+    /// Sequence number to continue from.
     next: u64,
-    stage: ReadStage,
+    mode: ReadMode,
     epoch: Option<u64>,
-    /// Calls in a row that brought nothing.
+    /// Consecutive failed calls.
     failures: u32,
 }
 
 impl CacheReader {
-    /// Has read nothing yet.
     pub(crate) fn new(
         state: Arc<SharedState>,
-        calls: Rc<CacheCalls>,
+        client: Rc<CacheEventClient>,
         source: CacheSource,
     ) -> CacheReader {
         CacheReader {
             state,
-            calls,
+            client,
             source,
             next: 0,
-            stage: ReadStage::Behind,
+            mode: ReadMode::Backfill,
             epoch: None,
             failures: 0,
         }
     }
 
-    /// Reads until it is dropped.
     pub(crate) async fn run(mut self) {
         loop {
-            let page = self.calls.read(self.source.address, self.next, self.stage).await;
-            sleep(self.take_in(page)).await;
+            let page = self.client.read(self.source.address, self.next, self.mode).await;
+            sleep(self.handle_page(page)).await;
         }
     }
 
-    /// Takes in a page and says how long to pause.
-    fn take_in(&mut self, page: Result<CachePage, StoreError>) -> Duration {
+    /// Processes a page and returns the delay before the next call.
+    fn handle_page(&mut self, page: Result<CachePage, StoreError>) -> Duration {
         let page = match page {
             Ok(page) => page,
             Err(err) => {
-                tracing::debug!("cache events of {} are not to be had: {err}", self.source.address);
-                return self.fail();
+                tracing::debug!("could not read cache events from {}: {err}", self.source.address);
+                return self.next_retry_delay();
             }
         };
-        // Another start answers at the address. The list will name it.
-        if self.is_foreign(&page) {
-            return self.fail();
+        // Another incarnation answers at this address. The server list will replace the source.
+        if self.is_other_incarnation(&page) {
+            return self.next_retry_delay();
         }
         self.failures = 0;
-        let is_new = self.epoch.is_some_and(|epoch| epoch != page.epoch);
+        let is_new_epoch = self.epoch.is_some_and(|epoch| epoch != page.epoch);
         self.epoch = Some(page.epoch);
         self.next = page.next;
-        let is_long = MOST_FOLLOWING_PARTS < page.parts.len();
-        self.stage = if is_long { ReadStage::Behind } else { ReadStage::Following };
-        self.tell(page, is_new);
-        READ_PACE
+        let is_partial_backfill = MAX_LIVE_PARTS < page.parts.len();
+        self.mode = if is_partial_backfill { ReadMode::Backfill } else { ReadMode::Live };
+        self.publish(page, is_new_epoch);
+        READ_INTERVAL
     }
 
-    /// A call from the beginning that fails may have brought most of what is kept: made each second, such
-    /// calls fill a small link for good. One that goes on brings what is new.
-    fn fail(&mut self) -> Duration {
-        self.stage = ReadStage::Behind;
+    /// A failed call from the beginning may have transferred most of the backlog, so it is retried
+    /// with exponential backoff. A call that continues from a known position transfers only new
+    /// events.
+    fn next_retry_delay(&mut self) -> Duration {
+        self.mode = ReadMode::Backfill;
         self.failures = self.failures.saturating_add(1);
         match self.epoch {
             None => history_pause(self.failures),
-            Some(_) => FAILURE_PAUSE,
+            Some(_) => LIVE_RETRY_DELAY,
         }
     }
 
-    fn is_foreign(&self, page: &CachePage) -> bool {
+    fn is_other_incarnation(&self, page: &CachePage) -> bool {
         let expected = self.source.incarnation;
         expected.is_some() && page.incarnation.is_some() && page.incarnation != expected
     }
 
-    fn tell(&self, page: CachePage, is_new: bool) {
-        let is_reset = is_new || page.is_gap;
+    fn publish(&self, page: CachePage, is_new_epoch: bool) {
+        let is_reset = is_new_epoch || page.is_gap;
         if is_reset {
-            let gap = EventKind::EventGap;
+            let kind = EventKind::EventGap;
             let address = self.source.address;
-            tracing::info!(event = gap.number(), name = gap.name(), %address, is_new);
+            tracing::info!(event = kind.number(), name = kind.name(), %address, is_new = is_new_epoch);
         }
         if !is_reset && page.parts.is_empty() {
             return;
--- a/crates/entry/src/control/cache_reader/tests.rs
+++ b/crates/entry/src/control/cache_reader/tests.rs
@@ -1,4 +1,4 @@
-//! When a source is asked again.
+//! Delay between calls to a cache event source.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -13,84 +13,89 @@
 
 use super::CacheReader;
 use super::CacheSource;
-use crate::control::cache_calls::CacheCalls;
+use crate::control::cache_event_client::CacheEventClient;
 use crate::state::SharedState;
 
 const EXAMPLE: &str = include_str!("../../../../../examples/entry.json");
-const OWN_START: Incarnation = Incarnation(7);
+const EXPECTED_INCARNATION: Incarnation = Incarnation(7);
 
-/// How a call ends.
 #[derive(Clone, Copy, Debug)]
-enum CallEnd {
+enum CallOutcome {
     NoAnswer,
-    /// Another start of the engine answers.
-    OtherStart,
+    OtherIncarnation,
     Page,
 }
 
-struct PauseCase {
+struct DelayCase {
     name: &'static str,
-    /// How calls end, and the milliseconds until the next.
-    calls: &'static [(CallEnd, u64)],
+    /// Outcome of each call, and the milliseconds until the next.
+    calls: &'static [(CallOutcome, u64)],
 }
 
-const CASES: &[PauseCase] = &[
-    PauseCase {
-        name: "what is kept cannot be had",
+const CASES: &[DelayCase] = &[
+    DelayCase {
+        name: "backfill calls fail",
         calls: &[
-            (CallEnd::NoAnswer, 1_000),
-            (CallEnd::NoAnswer, 2_000),
-            (CallEnd::NoAnswer, 4_000),
-            (CallEnd::NoAnswer, 8_000),
-            (CallEnd::NoAnswer, 8_000),
+            (CallOutcome::NoAnswer, 1_000),
+            (CallOutcome::NoAnswer, 2_000),
+            (CallOutcome::NoAnswer, 4_000),
+            (CallOutcome::NoAnswer, 8_000),
+            (CallOutcome::NoAnswer, 8_000),
         ],
     },
-    PauseCase {
-        name: "another start answers, with all that it has kept",
-        calls: &[(CallEnd::OtherStart, 1_000), (CallEnd::OtherStart, 2_000), (CallEnd::Page, 250)],
+    DelayCase {
+        name: "another incarnation answers the backfill",
+        calls: &[
+            (CallOutcome::OtherIncarnation, 1_000),
+            (CallOutcome::OtherIncarnation, 2_000),
+            (CallOutcome::Page, 250),
+        ],
     },
-    PauseCase {
-        name: "it was had at last",
+    DelayCase {
+        name: "backfill succeeds after failures",
         calls: &[
-            (CallEnd::NoAnswer, 1_000),
-            (CallEnd::NoAnswer, 2_000),
-            (CallEnd::Page, 250),
-            (CallEnd::NoAnswer, 1_000),
+            (CallOutcome::NoAnswer, 1_000),
+            (CallOutcome::NoAnswer, 2_000),
+            (CallOutcome::Page, 250),
+            (CallOutcome::NoAnswer, 1_000),
         ],
     },
-    PauseCase {
-        name: "only what is new cannot be had",
-        calls: &[(CallEnd::Page, 250), (CallEnd::NoAnswer, 1_000), (CallEnd::NoAnswer, 1_000)],
+    DelayCase {
+        name: "only calls for new events fail",
+        calls: &[
+            (CallOutcome::Page, 250),
+            (CallOutcome::NoAnswer, 1_000),
+            (CallOutcome::NoAnswer, 1_000),
+        ],
     },
 ];
 
-/// A host's link stays full for as long as some engines do not answer in time.
-/// Each call for all that an engine has kept brings a part of it before it is given up, and the next was
-/// made a second later, from the beginning.
-/// The pause doubles, so that what comes for nothing becomes little.
+/// Guards against retrying failed backfills at a fixed interval, each of which transfers part of
+/// the backlog again and keeps the link saturated.
 #[test]
-fn failing_histories_are_asked_for_ever_more_seldom() {
+fn failed_backfills_back_off_exponentially() {
     for case in CASES {
-        let mut reader = some_reader();
-        for (index, (end, pause_ms)) in case.calls.iter().enumerate() {
-            let pause = reader.take_in(result(*end));
-            let expected = Duration::from_millis(*pause_ms);
-            assert_eq!(pause, expected, "{}, call {index}", case.name);
+        let mut reader = test_reader();
+        for (index, (outcome, delay_ms)) in case.calls.iter().enumerate() {
+            let delay = reader.handle_page(call_result(*outcome));
+            let expected = Duration::from_millis(*delay_ms);
+            assert_eq!(delay, expected, "{}, call {index}", case.name);
         }
     }
 }
 
-fn some_reader() -> CacheReader {
-    let settings = EntrySettings::parse("entry.json", EXAMPLE).expect("the example is good");
-    let calls = CacheCalls::new(settings.link_bytes_per_s());
+fn test_reader() -> CacheReader {
+    let settings = EntrySettings::parse("entry.json", EXAMPLE).expect("example settings are valid");
+    let client = CacheEventClient::new(settings.link_bytes_per_s());
     let (sender, _) = unbounded_channel();
     let state = Arc::new(SharedState::new(settings, sender));
-    let address = "127.0.0.1:1".parse().expect("an address");
-    let source = CacheSource { key: ServerKey(1), address, incarnation: Some(OWN_START) };
-    CacheReader::new(state, Rc::new(calls), source)
+    let address = "127.0.0.1:1".parse().expect("valid address");
+    let source =
+        CacheSource { key: ServerKey(1), address, incarnation: Some(EXPECTED_INCARNATION) };
+    CacheReader::new(state, Rc::new(client), source)
 }
 
-fn result(end: CallEnd) -> Result<CachePage, StoreError> {
+fn call_result(outcome: CallOutcome) -> Result<CachePage, StoreError> {
     let page = |incarnation: Incarnation| CachePage {
         incarnation: Some(incarnation),
         epoch: 1,
@@ -98,9 +103,11 @@
         is_gap: false,
         parts: Vec::new(),
     };
-    match end {
-        CallEnd::NoAnswer => Err(StoreError::NoAnswer { reason: "no answer in time".to_owned() }),
-        CallEnd::OtherStart => Ok(page(Incarnation(8))),
-        CallEnd::Page => Ok(page(OWN_START)),
+    match outcome {
+        CallOutcome::NoAnswer => {
+            Err(StoreError::NoAnswer { reason: "no answer in time".to_owned() })
+        }
+        CallOutcome::OtherIncarnation => Ok(page(Incarnation(8))),
+        CallOutcome::Page => Ok(page(EXPECTED_INCARNATION)),
     }
 }
--- a/crates/entry/src/control/control_thread.rs
+++ b/crates/entry/src/control/control_thread.rs
@@ -17,7 +17,7 @@
 use tokio::time::sleep;
 use tokio_util::sync::CancellationToken;
 
-use crate::control::cache_watch::CacheWatch;
+use crate::control::cache_watcher::CacheWatcher;
 use crate::control::fleet_watch::FleetReader;
 use crate::control::fleet_watch::FleetWatch;
 use crate::control::fleet_watch::SharedFold;
@@ -111,7 +111,7 @@
         spawn_until(&token, links.run());
         let desk = RelayForwarder::new(self.state.clone(), fold.clone(), relays.clone());
         spawn_until(&token, desk.run());
-        spawn_until(&token, CacheWatch::new(self.state.clone()).run());
+        spawn_until(&token, CacheWatcher::new(self.state.clone()).run());
         let orders = OrderScheduler::new(self.state.clone(), client, fold, reader);
         // A host that leaves gives no more orders: another takes the lease.
         spawn_until(&self.stop.begun, orders.run());
