--- a/crates/entry/src/control/control_thread.rs
+++ b/crates/entry/src/control/control_thread.rs
@@ -18,11 +18,11 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::control::cache_watcher::CacheWatcher;
-use crate::control::fleet_watch::FleetReader;
-use crate::control::fleet_watch::FleetWatch;
-use crate::control::fleet_watch::SharedFold;
+use crate::control::fleet_watcher::FleetReader;
+use crate::control::fleet_watcher::FleetWatcher;
+use crate::control::fleet_watcher::SharedFleetState;
 use crate::control::log_source::LogSource;
-use crate::control::operator_watch::OperatorWatch;
+use crate::control::operator_watcher::OperatorWatcher;
 use crate::control::order_scheduler::OrderScheduler;
 use crate::control::pages::serve_pages;
 use crate::control::peer_links::PeerLinks;
@@ -30,7 +30,7 @@
 use crate::control::record_cache::RecordCache;
 use crate::control::relay_board::SharedRelays;
 use crate::control::relay_forwarder::RelayForwarder;
-use crate::control::server_watch::ServerWatch;
+use crate::control::server_watcher::ServerWatcher;
 use crate::daemon::StartError;
 use crate::daemon::StopTokens;
 use crate::state::CrashSighting;
@@ -76,13 +76,13 @@
             let pages = serve_pages(self.state.clone(), self.stop.clone(), readiness, metrics)
                 .map_err(|err| StartError::Thread { what: "pages", reason: err.to_string() })?;
             actix_rt::spawn(pages);
-            let shelf = Rc::new(RecordCache::new(self.state.settings.link_bytes_per_s()));
+            let record_cache = Rc::new(RecordCache::new(self.state.settings.link_bytes_per_s()));
             let relays = SharedRelays::default();
             let listener =
-                PeerListener::new(self.state.clone(), shelf.clone(), relays.clone(), peers)
+                PeerListener::new(self.state.clone(), record_cache.clone(), relays.clone(), peers)
                     .map_err(|err| StartError::Thread { what: "peers", reason: err.to_string() })?;
             spawn_until(&self.stop.ended, listener.run());
-            self.start_tasks(&shelf, &relays, crashes);
+            self.start_tasks(&record_cache, &relays, crashes);
             self.serve_signals().await?;
             self.end().await;
             Ok(())
@@ -91,28 +91,34 @@
 
     fn start_tasks(
         &self,
-        shelf: &Rc<RecordCache>,
+        record_cache: &Rc<RecordCache>,
         relays: &SharedRelays,
         crashes: UnboundedReceiver<CrashSighting>,
     ) {
         let client = StoreClient::new(self.state.settings.store);
         let token = self.stop.ended.clone();
-        let fold = SharedFold::default();
+        let fleet_state = SharedFleetState::default();
         // Each watcher has a link of its own to the router that it asks.
-        let source =
-            || LogSource::new(self.state.clone(), client.clone(), fold.clone(), shelf.clone());
-        let operator = OperatorWatch::new(self.state.clone(), source());
+        let source = || {
+            LogSource::new(
+                self.state.clone(),
+                client.clone(),
+                fleet_state.clone(),
+                record_cache.clone(),
+            )
+        };
+        let operator = OperatorWatcher::new(self.state.clone(), source());
         spawn_until(&token, operator.run());
-        let servers = ServerWatch::new(self.state.clone(), source());
+        let servers = ServerWatcher::new(self.state.clone(), source());
         spawn_until(&token, servers.run());
-        let reader = FleetReader::new(self.state.clone(), source(), fold.clone());
-        spawn_until(&token, FleetWatch::new(reader.clone()).run(crashes));
-        let links = PeerLinks::new(self.state.clone(), fold.clone(), relays.clone());
+        let reader = FleetReader::new(self.state.clone(), source(), fleet_state.clone());
+        spawn_until(&token, FleetWatcher::new(reader.clone()).run(crashes));
+        let links = PeerLinks::new(self.state.clone(), fleet_state.clone(), relays.clone());
         spawn_until(&token, links.run());
-        let desk = RelayForwarder::new(self.state.clone(), fold.clone(), relays.clone());
+        let desk = RelayForwarder::new(self.state.clone(), fleet_state.clone(), relays.clone());
         spawn_until(&token, desk.run());
         spawn_until(&token, CacheWatcher::new(self.state.clone()).run());
-        let orders = OrderScheduler::new(self.state.clone(), client, fold, reader);
+        let orders = OrderScheduler::new(self.state.clone(), client, fleet_state, reader);
         // A host that leaves gives no more orders: another takes the lease.
         spawn_until(&self.stop.begun, orders.run());
         spawn_until(&token, keep_metrics(self.state.clone()));
--- a/crates/entry/src/control/fleet_codec/tests.rs
+++ b/crates/entry/src/control/fleet_codec/tests.rs
@@ -1,36 +1,36 @@
-//! Routers of two versions read each other's messages.
+//! Compatibility of gossip messages between router versions.
 
 use bincode::config::standard;
 use fulmargate_dispatch::GossipMessage;
 use fulmargate_names::HostName;
 
-use super::LENGTH_BYTES;
-use super::decode_news;
-use super::encode_news;
+use super::LENGTH_PREFIX_BYTES;
+use super::decode_gossip;
+use super::encode_gossip;
 
-fn news(link_kbps: Option<u32>) -> GossipMessage {
+fn gossip(link_kbps: Option<u32>) -> GossipMessage {
     let host = Some(HostName::new("host-1"));
     GossipMessage { host, link_kbps, ..GossipMessage::default() }
 }
 
 #[test]
-fn a_message_says_what_the_link_carries() {
+fn link_bandwidth_round_trips() {
     for link_kbps in [Some(10_000), None] {
-        let message = encode_news(&news(link_kbps)).expect("a message");
-        let heard = decode_news(&message[LENGTH_BYTES..]).expect("it is read");
-        assert_eq!(heard, news(link_kbps));
+        let message = encode_gossip(&gossip(link_kbps)).expect("encode message");
+        let decoded = decode_gossip(&message[LENGTH_PREFIX_BYTES..]).expect("decode message");
+        assert_eq!(decoded, gossip(link_kbps));
     }
 }
 
-/// While a new version is brought out, routers close their links to each other again and again.
-/// One of the earlier version sends a message without the link, and one of the later version wants it, or
-/// the earlier one finds more bytes than it knows. Each reads what it knows.
+/// Guards against routers that close their connections during a rolling upgrade because a message
+/// has fewer or more extensions than they know.
 #[test]
-fn versions_read_each_other() {
-    let earlier = bincode::serde::encode_to_vec(news(None), standard()).expect("a message");
-    assert_eq!(decode_news(&earlier).expect("the later one reads it"), news(None));
-    let later = encode_news(&news(Some(10_000))).expect("a message");
-    let read = bincode::serde::decode_from_slice(&later[LENGTH_BYTES..], standard());
-    let (heard, _): (GossipMessage, usize) = read.expect("the earlier one reads it");
-    assert_eq!(heard, news(None));
+fn messages_are_compatible_between_versions() {
+    let old_message =
+        bincode::serde::encode_to_vec(gossip(None), standard()).expect("encode message");
+    assert_eq!(decode_gossip(&old_message).expect("new version decodes old message"), gossip(None));
+    let new_message = encode_gossip(&gossip(Some(10_000))).expect("encode message");
+    let read = bincode::serde::decode_from_slice(&new_message[LENGTH_PREFIX_BYTES..], standard());
+    let (decoded, _): (GossipMessage, usize) = read.expect("old version decodes new message");
+    assert_eq!(decoded, gossip(None));
 }
--- /dev/null
+++ b/crates/entry/src/control/fleet_watcher.rs
@@ -0,0 +1,317 @@
+//! Follows the fleet topic: members, the lease, and requests that crash servers.
+
+use std::cell::Cell;
+use std::cell::RefCell;
+use std::rc::Rc;
+use std::sync::Arc;
+use std::time::Duration;
+
+use fulmargate_consortium::KeyedRecord;
+use fulmargate_consortium::ListedRecord;
+use fulmargate_consortium::StoreClient;
+use fulmargate_consortium::StoreError;
+use fulmargate_consortium::join_keyed;
+use fulmargate_consortium::split_keyed;
+use fulmargate_dispatch::FleetFold;
+use fulmargate_dispatch::FleetRecord;
+use fulmargate_dispatch::LogPosition;
+use fulmargate_dispatch::LogTopic;
+use fulmargate_names::ConfigVersion;
+use fulmargate_names::EventKind;
+use fulmargate_names::LogOffset;
+use indexmap::IndexMap;
+use tokio::sync::mpsc::UnboundedReceiver;
+use tokio::time::Instant;
+use tokio::time::sleep;
+
+use crate::control::epoch_tracker::EpochTracker;
+use crate::control::fleet_codec::decode_record;
+use crate::control::fleet_codec::encode_keyed_record;
+use crate::control::log_source::LogSource;
+use crate::control::own_records::OwnRecords;
+use crate::control::store_retry::StoreRetry;
+use crate::state::CrashSighting;
+use crate::state::FleetView;
+use crate::state::SharedState;
+use crate::state::boot_now;
+
+/// Long-poll wait of a read.
+const POLL_WAIT: Duration = Duration::from_secs(3);
+/// Added to the wait for the response timeout.
+const RESPONSE_GRACE: Duration = Duration::from_millis(700);
+const APPEND_TIMEOUT: Duration = Duration::from_millis(800);
+/// Delay for batching crash records: a crashing server breaks all its requests at once.
+const CRASH_BATCH_DELAY: Duration = Duration::from_millis(200);
+
+/// Delay after a read that returned records, so that hosts starting together don't wake every long
+/// poll with each of their records.
+const READ_BATCH_DELAY: Duration = Duration::from_millis(400);
+
+/// The fleet state, shared by the tasks of the control thread.
+pub(crate) type SharedFleetState = Rc<RefCell<FleetFold>>;
+
+type SharedOwnRecords = Rc<RefCell<OwnRecords>>;
+
+/// Applies the fleet topic to the fleet state.
+#[derive(Clone)]
+pub(crate) struct FleetReader {
+    state: Arc<SharedState>,
+    source: LogSource,
+    fleet_state: SharedFleetState,
+    own_records: SharedOwnRecords,
+    epoch: Rc<RefCell<EpochTracker>>,
+    /// The whole topic has to be listed before the next read: at the start, and after the store has
+    /// dropped the records that follow.
+    needs_listing: Rc<Cell<bool>>,
+}
+
+/// Reads the fleet topic in a loop and records crashes.
+pub(crate) struct FleetWatcher {
+    reader: FleetReader,
+    retry: StoreRetry,
+}
+
+impl FleetWatcher {
+    pub(crate) fn new(reader: FleetReader) -> FleetWatcher {
+        FleetWatcher { reader, retry: StoreRetry::new("fleet") }
+    }
+
+    /// Registers this router, then reads the topic and records crashes until it is dropped.
+    pub(crate) async fn run(mut self, crashes: UnboundedReceiver<CrashSighting>) {
+        let store = self.reader.source.store().clone();
+        actix_rt::spawn(record_crashes(store, self.reader.own_records.clone(), crashes));
+        loop {
+            let max_delay = self.reader.source.max_retry_delay();
+            match self.run_once().await {
+                Ok(()) => self.retry.succeeded(),
+                Err(err @ (StoreError::Deleted { .. } | StoreError::Restored { .. })) => {
+                    self.reader.needs_listing.set(true);
+                    self.retry.back_off_relisting(&err, max_delay).await;
+                }
+                Err(err) => self.retry.back_off(&err, max_delay).await,
+            }
+        }
+    }
+
+    /// Writes this host's records before the long poll. A failed write doesn't prevent the read:
+    /// leases of other hosts must still be seen.
+    async fn run_once(&mut self) -> Result<(), StoreError> {
+        if self.reader.needs_listing.get() {
+            self.reader.relist().await?;
+        }
+        self.register();
+        let write_result = self.publish_records().await;
+        if 0 < self.reader.read_next().await? {
+            sleep(READ_BATCH_DELAY).await;
+        }
+        write_result
+    }
+
+    async fn publish_records(&self) -> Result<(), StoreError> {
+        append_missing(self.reader.source.store(), &self.reader.own_records).await?;
+        self.publish_restore().await
+    }
+
+    /// Adds the membership record of this router. Members share the retry budget.
+    fn register(&self) {
+        let mut own_records = self.reader.own_records.borrow_mut();
+        if own_records.has_joined() {
+            return;
+        }
+        own_records.put(&FleetRecord::Joined {
+            host: self.reader.state.settings.host.clone(),
+            incarnation: self.reader.state.incarnation,
+            address: self.reader.state.settings.peers,
+            zone: self.reader.state.settings.zone.clone(),
+            link_kbps: self.reader.state.settings.link_kbps(),
+            epoch: self.reader.fleet_state.borrow().end().epoch,
+        });
+    }
+
+    /// Records which configuration was in force before a restore from a backup, and later that
+    /// operators have had time to rewrite what was lost. Starting hosts would otherwise take the
+    /// restored configuration for the newest and accept revoked keys.
+    async fn publish_restore(&self) -> Result<(), StoreError> {
+        let Some(record) = self.pending_restore_record() else { return Ok(()) };
+        let record = encode_keyed_record(&record)?;
+        let store = self.reader.source.store();
+        store.append(LogTopic::Fleet, None, &[record], APPEND_TIMEOUT).await.map(|_| ())
+    }
+
+    fn pending_restore_record(&self) -> Option<FleetRecord> {
+        let fleet_state = self.reader.fleet_state.borrow();
+        if !fleet_state.is_restored_lately() || !self.reader.source.is_reader() {
+            return None;
+        }
+        let proof = *self.reader.state.proof();
+        let is_settled = !proof.is_doubted(boot_now());
+        // A host that has just started knows no more than the store does.
+        if !is_settled && !self.reader.epoch.borrow().has_advanced() {
+            return None;
+        }
+        let config = proof.in_force();
+        let is_recorded = fleet_state.restore_note().is_some_and(|note| config <= note.config);
+        let is_due = config != ConfigVersion(0) && (!is_recorded || is_settled);
+        is_due.then(|| FleetRecord::Restored { epoch: fleet_state.end().epoch, config, is_settled })
+    }
+}
+
+impl FleetReader {
+    pub(crate) fn new(
+        state: Arc<SharedState>,
+        source: LogSource,
+        fleet_state: SharedFleetState,
+    ) -> FleetReader {
+        let epoch = Rc::new(RefCell::new(EpochTracker::new(state.clone(), "fleet")));
+        let (own_records, needs_listing) = (SharedOwnRecords::default(), Rc::new(Cell::new(true)));
+        FleetReader { state, source, fleet_state, own_records, epoch, needs_listing }
+    }
+
+    /// Reads the newest record of each key.
+    async fn relist(&self) -> Result<(), StoreError> {
+        let newest = self.source.read_newest(LogTopic::Fleet).await?;
+        let end = newest.end;
+        self.epoch.borrow_mut().record_listing(end.epoch)?;
+        self.fleet_state.borrow_mut().begin_epoch(end.epoch, boot_now());
+        let mut records = newest.records;
+        // Records written during paging are read next, from the end of the first page.
+        records.retain(|listed| listed.offset < end.offset);
+        records.sort_by_key(|listed| listed.offset);
+        let mut by_key = IndexMap::new();
+        for ListedRecord { offset, record } in records {
+            self.apply(offset, &record);
+            let bytes = join_keyed(&record.key, record.value.as_deref().unwrap_or_default())?;
+            by_key.insert(record.key, bytes);
+        }
+        self.fleet_state.borrow_mut().skip_to(end.offset);
+        self.own_records.borrow_mut().reconcile(&by_key);
+        self.needs_listing.set(false);
+        self.publish();
+        Ok(())
+    }
+
+    /// Waits for records and applies them. Returns their number.
+    async fn read_next(&self) -> Result<usize, StoreError> {
+        let from = self.fleet_state.borrow().end();
+        let page = self.source.read(LogTopic::Fleet, from, POLL_WAIT, RESPONSE_GRACE).await?;
+        self.apply_records(from, &page.records);
+        Ok(page.records.len())
+    }
+
+    /// Reads and applies the records that the store has now, as the long poll may hang. Lets a
+    /// router that lost the response to its own append see the record at once.
+    pub(crate) async fn catch_up(&self) -> Result<(), StoreError> {
+        let from = self.fleet_state.borrow().end();
+        let (topic, grace) = (LogTopic::Fleet, RESPONSE_GRACE);
+        match self.source.read_store(topic, from, Duration::ZERO, grace).await {
+            Ok(page) => self.apply_records(from, &page.records),
+            Err(StoreError::Deleted { .. } | StoreError::Restored { .. }) => self.relist().await?,
+            Err(err) => return Err(err),
+        }
+        Ok(())
+    }
+
+    fn apply_records(&self, from: LogPosition, records: &[Vec<u8>]) {
+        // The topic may have been listed in another epoch meanwhile.
+        if from.epoch != self.fleet_state.borrow().end().epoch {
+            return;
+        }
+        for (record, offset) in records.iter().zip(from.offset.0..) {
+            let offset = LogOffset(offset);
+            match split_keyed(record) {
+                Ok(record) => self.apply(offset, &record),
+                Err(err) => self.skip_unreadable(offset, &err.to_string()),
+            }
+        }
+        self.publish();
+    }
+
+    fn publish(&self) {
+        let fleet_state = self.fleet_state.borrow();
+        self.state.budget().set_hosts(fleet_state.hosts());
+        let hosts = fleet_state.fleet_hosts(boot_now()).map(|(host, _)| (host.host, host.zone));
+        self.state.quotas().set_routers(hosts, Instant::now());
+        let members = fleet_state.members().map(|(host, _)| host.clone()).collect();
+        let view = FleetView { members, lease: fleet_state.lease().cloned() };
+        self.state.fleet.store(Arc::new(view));
+        let mut proof = self.state.proof();
+        if let Some(note) = fleet_state.restore_note() {
+            proof.note_known(note.config);
+        }
+        // Confirms the configuration only if the restore precedes this process. After one seen by
+        // this router, it stays in doubt until operators have written again or have had time to.
+        if !fleet_state.is_restored_lately() && !self.epoch.borrow().has_advanced() {
+            proof.settle(fleet_state.end().epoch);
+        }
+    }
+
+    fn apply(&self, offset: LogOffset, keyed: &KeyedRecord) {
+        if offset < self.fleet_state.borrow().end().offset {
+            return;
+        }
+        let record = match decode_record(keyed.value.as_deref().unwrap_or_default()) {
+            Ok(record) => record,
+            Err(err) => {
+                self.skip_unreadable(offset, &err.to_string());
+                return;
+            }
+        };
+        self.fleet_state.borrow_mut().apply(offset, &record, boot_now());
+        if let FleetRecord::Crash { print, server, start } = &record {
+            let mut crashes = self.state.crashes();
+            crashes.note(*print, *start, Instant::now());
+            let (count, is_convicted) = (crashes.count(*print), crashes.is_convicted(*print));
+            drop(crashes);
+            let kind = match is_convicted {
+                true => EventKind::RequestConvicted,
+                false => EventKind::RequestSuspected,
+            };
+            let print = format!("{print:032x}");
+            tracing::info!(event = kind.number(), name = kind.name(), print, %server, count);
+        }
+    }
+
+    /// Skips a record that can't be decoded.
+    fn skip_unreadable(&self, offset: LogOffset, reason: &str) {
+        let kind = EventKind::PeerUnreadable;
+        tracing::warn!(event = kind.number(), name = kind.name(), %offset, reason);
+        self.fleet_state.borrow_mut().skip_to(LogOffset(offset.0 + 1));
+    }
+}
+
+async fn record_crashes(
+    client: StoreClient,
+    own_records: SharedOwnRecords,
+    mut crashes: UnboundedReceiver<CrashSighting>,
+) {
+    while let Some(first) = crashes.recv().await {
+        sleep(CRASH_BATCH_DELAY).await;
+        own_records.borrow_mut().put(&crash_record(first));
+        while let Ok(next) = crashes.try_recv() {
+            own_records.borrow_mut().put(&crash_record(next));
+        }
+        // Duplicate records are harmless; a failed write is retried after the next read.
+        if let Err(err) = append_missing(&client, &own_records).await {
+            let kind = EventKind::LogOut;
+            tracing::warn!(event = kind.number(), name = kind.name(), topic = "fleet", reason = %err);
+        }
+    }
+}
+
+fn crash_record(sighting: CrashSighting) -> FleetRecord {
+    let CrashSighting { print, server } = sighting;
+    FleetRecord::Crash { print, server: server.name.clone(), start: server.key() }
+}
+
+async fn append_missing(
+    client: &StoreClient,
+    own_records: &SharedOwnRecords,
+) -> Result<(), StoreError> {
+    let missing = own_records.borrow().missing();
+    if missing.is_empty() {
+        return Ok(());
+    }
+    client.append(LogTopic::Fleet, None, &missing, APPEND_TIMEOUT).await?;
+    own_records.borrow_mut().mark_written(&missing);
+    Ok(())
+}
--- a/crates/entry/src/control/peer_links.rs
+++ b/crates/entry/src/control/gossip_sender.rs
@@ -18,8 +18,8 @@
 use tokio::time::sleep;
 use tokio::time::sleep_until;
 
-use crate::control::fleet_codec::encode_news;
-use crate::control::fleet_watch::SharedFold;
+use crate::control::fleet_codec::encode_gossip;
+use crate::control::fleet_watcher::SharedFleetState;
 use crate::control::link_table::SharedTable;
 use crate::control::link_table::tell;
 use crate::control::relay_board::SharedRelays;
@@ -37,7 +37,7 @@
 /// One link for each router that words go to.
 pub(crate) struct PeerLinks {
     state: Arc<SharedState>,
-    fold: SharedFold,
+    fleet_state: SharedFleetState,
     relays: SharedRelays,
     table: SharedTable,
 }
@@ -63,10 +63,10 @@
     /// No links yet.
     pub(crate) fn new(
         state: Arc<SharedState>,
-        fold: SharedFold,
+        fleet_state: SharedFleetState,
         relays: SharedRelays,
     ) -> PeerLinks {
-        PeerLinks { state, fold, relays, table: SharedTable::default() }
+        PeerLinks { state, fleet_state, relays, table: SharedTable::default() }
     }
 
     /// Tells on and on: at a pace, and soon when an engine is about to load.
@@ -136,8 +136,8 @@
         let heard: IndexSet<HostName> = hosts.iter().map(|host| host.host.clone()).collect();
         // Who hears nobody knows the others by their records, however old.
         let hears_nobody = heard.is_empty();
-        let fold = self.fold.borrow();
-        let members = fold.fleet_hosts(boot_now());
+        let fleet_state = self.fleet_state.borrow();
+        let members = fleet_state.fleet_hosts(boot_now());
         let others = members
             .filter(|(host, is_new)| (*is_new || hears_nobody) && !heard.contains(&host.host));
         hosts.extend(others.map(|(host, _)| host));
@@ -153,21 +153,21 @@
 
     fn located(&self, target: GossipTarget) -> Option<PeerTarget> {
         let GossipTarget { host, subscribes } = target;
-        let address = self.fold.borrow().address_of(&host)?;
+        let address = self.fleet_state.borrow().address_of(&host)?;
         Some(PeerTarget { host, address, subscribes })
     }
 
     /// All other routers, from this one on in the order of their records: so that not all open their first
     /// links to the same ones.
     fn all_others(&self) -> Vec<PeerTarget> {
-        let fold = self.fold.borrow();
+        let fleet_state = self.fleet_state.borrow();
         let own = &self.state.settings.host;
         let target = |(host, address): (&HostName, &SocketAddr)| PeerTarget {
             host: host.clone(),
             address: *address,
             subscribes: false,
         };
-        let mut members: Vec<PeerTarget> = fold.members().map(target).collect();
+        let mut members: Vec<PeerTarget> = fleet_state.members().map(target).collect();
         if let Some(position) = members.iter().position(|target| target.host == *own) {
             members.rotate_left(position);
             members.remove(0);
@@ -217,7 +217,7 @@
 
 /// A message that cannot be written is left out.
 fn encode(news: &GossipMessage) -> Bytes {
-    match encode_news(news) {
+    match encode_gossip(news) {
         Ok(message) => Bytes::from(message),
         Err(err) => {
             tracing::error!("a message cannot be written: {err}");
--- a/crates/entry/src/control/log_source.rs
+++ b/crates/entry/src/control/log_source.rs
@@ -1,4 +1,4 @@
-//! Records of the store, from the store itself or from a router that reads it.
+//! Reads records from the store, or from a router that reads it.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -34,54 +34,52 @@
 use tokio::time::timeout;
 use tokio_util::task::AbortOnDropHandle;
 
-use crate::control::fleet_codec::STORE_HEADER;
-use crate::control::fleet_codec::STORE_OUT;
-use crate::control::fleet_codec::decode_plain;
-use crate::control::fleet_codec::encode_plain;
-use crate::control::fleet_watch::SharedFold;
+use crate::control::fleet_codec::STORE_STATE_HEADER;
+use crate::control::fleet_codec::STORE_UNREACHABLE;
+use crate::control::fleet_codec::decode_payload;
+use crate::control::fleet_codec::encode_payload;
+use crate::control::fleet_watcher::SharedFleetState;
 use crate::control::record_cache::RecordCache;
 use crate::sockets::watch_peer;
 use crate::state::SharedState;
 use crate::state::boot_now;
 
-/// A question waits for the reader's next proof, which comes by this much after the wait of a read.
-const PROOF_ALLOWANCE: Duration = Duration::from_millis(250);
-/// A router of the same zone answers within some milliseconds after the wait it was asked for.
-const ASK_ALLOWANCE: Duration = Duration::from_millis(300);
-/// A page of the newest records; it does not wait.
+/// Added to the wait of a request to a router, so that the router's next proof arrives within it.
+const PROOF_GRACE: Duration = Duration::from_millis(250);
+/// Added to the wait for the response timeout of a router in the same zone.
+const REQUEST_GRACE: Duration = Duration::from_millis(300);
+/// Timeout for a page of the newest records, which doesn't wait.
 const PAGE_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// A host that reads for itself or for others calls a store that fails this often: ten of them call
-/// three topics four times a second, well below the store's rates.
-const READER_PAUSE: Duration = Duration::from_millis(250);
-/// One that asks others learns from them when the store is back. All hosts of a large fleet calling as often
-/// as readers would call it thousands of times in an outage.
-const ASKER_PAUSE: Duration = Duration::from_millis(1_000);
-/// A reader that gave no answer is asked again after this time; until then the other one is. A host
-/// that is cut off would else cost each host of its zone a call of the store for each read.
-const FAILED_PAUSE: Duration = Duration::from_millis(2_000);
+/// Maximum retry delay of hosts that read the store themselves; they are few.
+const READER_MAX_RETRY_DELAY: Duration = Duration::from_millis(250);
+/// Maximum retry delay of hosts that read from others. Keeps a large fleet from overloading the
+/// store in an outage.
+const SUBSCRIBER_MAX_RETRY_DELAY: Duration = Duration::from_millis(1_000);
+/// A reader that failed to answer is skipped for this time in favour of the other one.
+const FAILED_READER_COOLDOWN: Duration = Duration::from_millis(2_000);
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
-const SILENT_PEER: Duration = Duration::from_millis(1_000);
+const PEER_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Records, and the moment at which nothing more had been written.
+/// Records, and the time up to which they are known to be complete.
 pub(crate) struct ProvenPage {
     pub(crate) records: Vec<Vec<u8>>,
-    /// When the question was sent that proves it; none if there is more to read.
+    /// Send time of the read that proves completeness; `None` if there is more to read.
     pub(crate) proven: Option<BootTime>,
 }
 
 /// The newest record of each key of a topic.
 pub(crate) struct NewestRecords {
     pub(crate) records: Vec<ListedRecord>,
-    /// Where to read on: pages are no snapshot, so this is where the topic ended when the first of
-    /// them was made.
+    /// Position to continue from: the end of the topic at the first page, as the pages aren't a
+    /// snapshot.
     pub(crate) end: LogPosition,
-    /// When the first page was asked for.
+    /// Send time of the request for the first page.
     pub(crate) sent: BootTime,
 }
 
-/// Why another router gave no records.
+/// Why another router returned no records.
 #[derive(Debug, Display, Error, From)]
-enum AskFault {
+enum RequestError {
     #[display("{_0}")]
     Io(std::io::Error),
     #[display("{_0}")]
@@ -90,72 +88,71 @@
     Encode(bincode::error::EncodeError),
     #[display("{_0}")]
     Decode(bincode::error::DecodeError),
-    #[display("no answer in time")]
+    #[display("request timed out")]
     TimedOut,
-    #[display("it has not got them")]
-    NotThere,
-    #[display("its link has no room for them")]
+    #[display("requested records not available")]
+    Unavailable,
+    #[display("forwarding budget exhausted")]
     OverBudget,
 }
 
-impl AskFault {
-    /// The router is well and answers what comes next. Taken for one that has failed it would be left
-    /// alone for seconds, and so would the other reader, which refuses the same records: all askers of
-    /// the zone would read each topic from the store meanwhile.
+impl RequestError {
+    /// Whether the router is healthy but over its budget. It isn't marked as failed: the other
+    /// reader refuses the same records, and all subscribers of the zone would fall back to the
+    /// store.
     fn is_refusal(&self) -> bool {
-        matches!(self, AskFault::OverBudget)
+        matches!(self, RequestError::OverBudget)
     }
 }
 
-struct AskLink {
+struct ReaderConnection {
     address: SocketAddr,
     client: SendRequest<Bytes>,
     _task: AbortOnDropHandle<()>,
 }
 
-/// Where watchers read.
+/// Source of log records for the watchers.
 #[derive(Clone)]
 pub(crate) struct LogSource {
     state: Arc<SharedState>,
     client: StoreClient,
-    fold: SharedFold,
-    shelf: Rc<RecordCache>,
-    link: Rc<RefCell<Option<AskLink>>>,
-    /// Readers that gave no answer, and when.
-    failed: Rc<RefCell<IndexMap<HostName, Instant>>>,
-    /// As of this host's last read of the store, which may be long ago: it reads there when it is refused.
-    store: Rc<Cell<SubscriberStore>>,
+    fleet_state: SharedFleetState,
+    record_cache: Rc<RecordCache>,
+    connection: Rc<RefCell<Option<ReaderConnection>>>,
+    /// Readers that failed to answer, and when.
+    failed_readers: Rc<RefCell<IndexMap<HostName, Instant>>>,
+    /// State of the store at this host's last direct read, which may be long ago.
+    store_state: Rc<Cell<SubscriberStore>>,
 }
 
 impl LogSource {
-    /// A source that keeps what it reads on the shelf.
     pub(crate) fn new(
         state: Arc<SharedState>,
         client: StoreClient,
-        fold: SharedFold,
-        shelf: Rc<RecordCache>,
+        fleet_state: SharedFleetState,
+        record_cache: Rc<RecordCache>,
     ) -> LogSource {
         LogSource {
             state,
             client,
-            fold,
-            shelf,
-            link: Rc::default(),
-            failed: Rc::default(),
-            store: Rc::new(Cell::new(SubscriberStore::InReach)),
+            fleet_state,
+            record_cache,
+            connection: Rc::default(),
+            failed_readers: Rc::default(),
+            store_state: Rc::new(Cell::new(SubscriberStore::InReach)),
         }
     }
 
-    /// The store's client, for what only the store can tell.
+    /// The store's client, for requests that only the store can answer.
     pub(crate) fn store(&self) -> &StoreClient {
         &self.client
     }
 
-    /// The longest pause between calls that fail.
-    pub(crate) fn longest_pause(&self) -> Duration {
+    /// Upper bound of the delay between failing calls.
+    pub(crate) fn max_retry_delay(&self) -> Duration {
         match self.record_source() {
-            RecordSource::Store => READER_PAUSE,
-            RecordSource::Routers(_) => ASKER_PAUSE,
+            RecordSource::Store => READER_MAX_RETRY_DELAY,
+            RecordSource::Routers(_) => SUBSCRIBER_MAX_RETRY_DELAY,
         }
     }
 
@@ -166,7 +163,7 @@
         record_source(&own, &peers, settings.few_hosts)
     }
 
-    /// The newest record of each key, from the store.
+    /// Reads the newest record of each key from the store.
     pub(crate) async fn read_newest(&self, topic: LogTopic) -> Result<NewestRecords, StoreError> {
         let sent = boot_now();
         let first = self.client.newest(topic, None, PAGE_TIMEOUT).await?;
@@ -188,60 +185,62 @@
         matches!(self.record_source(), RecordSource::Store)
     }
 
-    /// Records from a position on, as soon as there are any or the wait is over, or any call has shown that
-    /// the store has come back from a copy since.
+    /// Reads records from a position on. Returns as soon as there are any or the wait is over;
+    /// fails as soon as any call has shown that the store was restored from a backup.
     pub(crate) async fn read(
         &self,
         topic: LogTopic,
         from: LogPosition,
         wait: Duration,
-        allowance: Duration,
+        grace: Duration,
     ) -> Result<ProvenPage, StoreError> {
         tokio::select! {
-            page = self.read_anywhere(topic, from, wait, allowance) => page,
+            page = self.read_any_source(topic, from, wait, grace) => page,
             epoch = self.state.epoch_after(from.epoch) => Err(StoreError::Restored { epoch }),
         }
     }
 
-    async fn read_anywhere(
+    async fn read_any_source(
         &self,
         topic: LogTopic,
         from: LogPosition,
         wait: Duration,
-        allowance: Duration,
+        grace: Duration,
     ) -> Result<ProvenPage, StoreError> {
-        if let Some((reader, address)) = self.asked() {
-            let question = question(topic, from, wait);
-            let asked = boot_now();
-            match self.ask(address, question).await {
+        if let Some((reader, address)) = self.select_reader() {
+            let request = log_request(topic, from, wait);
+            let requested_at = boot_now();
+            match self.request_records(address, request).await {
                 Ok(answer) => {
                     metrics::counter!("fulmargate_log_reads_total", "source" => "router")
                         .increment(1);
-                    let proven = Some(answer.proven(asked));
+                    let proven = Some(answer.proven(requested_at));
                     return Ok(ProvenPage { records: answer.records, proven });
                 }
-                Err(fault) => {
-                    tracing::debug!("{reader} gave no records, the store is read: {fault}");
-                    if !fault.is_refusal() {
-                        self.failed.borrow_mut().insert(reader, Instant::now());
+                Err(err) => {
+                    tracing::debug!(
+                        "log request to {reader} failed, reading the store instead: {err}"
+                    );
+                    if !err.is_refusal() {
+                        self.failed_readers.borrow_mut().insert(reader, Instant::now());
                     }
                 }
             }
         }
-        self.read_store(topic, from, wait, allowance).await
+        self.read_store(topic, from, wait, grace).await
     }
 
-    /// The same from the store itself.
+    /// Reads from the store itself, and caches the result if other hosts may request it.
     pub(crate) async fn read_store(
         &self,
         topic: LogTopic,
         from: LogPosition,
         wait: Duration,
-        allowance: Duration,
+        grace: Duration,
     ) -> Result<ProvenPage, StoreError> {
         let sent = boot_now();
-        let result = self.client.read(topic, from, wait, wait + allowance).await;
-        self.store.set(match &result {
+        let result = self.client.read(topic, from, wait, wait + grace).await;
+        self.store_state.set(match &result {
             Ok(_) | Err(StoreError::Deleted { .. } | StoreError::Restored { .. }) => {
                 SubscriberStore::InReach
             }
@@ -252,115 +251,122 @@
         }
         let page = result?;
         metrics::counter!("fulmargate_log_reads_total", "source" => "store").increment(1);
-        let is_all = page.end <= from.after(page.records.len()).offset;
-        if self.is_asked() {
-            self.shelf.put(topic, from, &page.records, is_all.then_some(sent));
+        let is_complete = page.end <= from.after(page.records.len()).offset;
+        if self.may_serve_peers() {
+            self.record_cache.put(topic, from, &page.records, is_complete.then_some(sent));
         }
-        Ok(ProvenPage { records: page.records, proven: is_all.then_some(sent) })
+        Ok(ProvenPage { records: page.records, proven: is_complete.then_some(sent) })
     }
 
-    /// Whether others may ask this host: only then are records kept.
-    fn is_asked(&self) -> bool {
+    /// Whether other hosts may request records from this one.
+    fn may_serve_peers(&self) -> bool {
         self.state.settings.few_hosts < self.zone_peers().len() + 1
     }
 
-    /// The other hosts of this zone: those that were heard lately, and those that have started lately. A host
-    /// that has just started has heard nobody, and read the store by itself until it had.
+    /// The other hosts of this zone: live ones and recently started ones. The latter let a host
+    /// that has just started find a reader before it has received any gossip.
     fn zone_peers(&self) -> Vec<ZonePeer> {
         let settings = &self.state.settings;
         let mut peers = self.state.book().zone_peers(&settings.zone, Instant::now());
-        let heard: IndexSet<HostName> = peers.iter().map(|peer| peer.host.clone()).collect();
-        let fold = self.fold.borrow();
-        let new = fold.new_members(&settings.zone, boot_now());
-        peers.extend(new.filter(|peer| peer.host != settings.host && !heard.contains(&peer.host)));
+        let live_hosts: IndexSet<HostName> = peers.iter().map(|peer| peer.host.clone()).collect();
+        let fleet_state = self.fleet_state.borrow();
+        let recent = fleet_state.new_members(&settings.zone, boot_now());
+        peers.extend(
+            recent.filter(|peer| peer.host != settings.host && !live_hosts.contains(&peer.host)),
+        );
         peers
     }
 
-    /// Whom to ask; nobody where this host reads the store, or no reader has answered lately.
-    fn asked(&self) -> Option<(HostName, SocketAddr)> {
+    /// The reader to request from; `None` if this host reads the store or no reader has answered
+    /// recently.
+    fn select_reader(&self) -> Option<(HostName, SocketAddr)> {
         let RecordSource::Routers(readers) = self.record_source() else { return None };
-        let mut failed = self.failed.borrow_mut();
-        failed.retain(|_, at| at.elapsed() < FAILED_PAUSE);
-        let reader = readers.into_iter().find(|reader| !failed.contains_key(reader))?;
+        let mut failed_readers = self.failed_readers.borrow_mut();
+        failed_readers.retain(|_, at| at.elapsed() < FAILED_READER_COOLDOWN);
+        let reader = readers.into_iter().find(|reader| !failed_readers.contains_key(reader))?;
         let address = self.address_of(&reader)?;
         Some((reader, address))
     }
 
     fn address_of(&self, host: &HostName) -> Option<SocketAddr> {
-        self.fold.borrow().address_of(host)
+        self.fleet_state.borrow().address_of(host)
     }
 
-    async fn ask(&self, address: SocketAddr, question: LogQuestion) -> Result<LogAnswer, AskFault> {
-        let longest = Duration::from_millis(question.wait_ms) + ASK_ALLOWANCE;
-        let asking = timeout(longest, self.ask_on_link(address, question)).await;
-        let result = asking.unwrap_or(Err(AskFault::TimedOut));
-        if result.as_ref().is_err_and(|fault| !fault.is_refusal()) {
-            // A link that has fallen silent gives no answer; the next question opens another.
-            self.link.borrow_mut().take();
+    async fn request_records(
+        &self,
+        address: SocketAddr,
+        request: LogQuestion,
+    ) -> Result<LogAnswer, RequestError> {
+        let response_timeout = Duration::from_millis(request.wait_ms) + REQUEST_GRACE;
+        let outcome = timeout(response_timeout, self.request_on_connection(address, request)).await;
+        let result = outcome.unwrap_or(Err(RequestError::TimedOut));
+        if result.as_ref().is_err_and(|err| !err.is_refusal()) {
+            // The connection may be dead; the next request opens another.
+            self.connection.borrow_mut().take();
         }
         result
     }
 
-    async fn ask_on_link(
+    async fn request_on_connection(
         &self,
         address: SocketAddr,
-        question: LogQuestion,
-    ) -> Result<LogAnswer, AskFault> {
+        request: LogQuestion,
+    ) -> Result<LogAnswer, RequestError> {
         let open = self
-            .link
+            .connection
             .borrow()
             .as_ref()
-            .filter(|link| link.address == address)
-            .map(|link| link.client.clone());
+            .filter(|connection| connection.address == address)
+            .map(|connection| connection.client.clone());
         let client = match open {
             Some(client) => client,
             None => {
-                let link = connect(address).await?;
-                let client = link.client.clone();
-                *self.link.borrow_mut() = Some(link);
+                let connection = connect(address).await?;
+                let client = connection.client.clone();
+                *self.connection.borrow_mut() = Some(connection);
                 client
             }
         };
         let mut client = client.ready().await?;
-        let mut request = Request::post(format!("http://{address}/log"));
-        if self.store.get() == SubscriberStore::OutOfReach {
-            request = request.header(STORE_HEADER, STORE_OUT);
+        let mut http_request = Request::post(format!("http://{address}/log"));
+        if self.store_state.get() == SubscriberStore::OutOfReach {
+            http_request = http_request.header(STORE_STATE_HEADER, STORE_UNREACHABLE);
         }
-        let request = request.body(());
-        let (answer, mut body) = client.send_request(request.unwrap_or_default(), false)?;
-        body.send_data(Bytes::from(encode_plain(&question)?), true)?;
+        let http_request = http_request.body(());
+        let (answer, mut body) = client.send_request(http_request.unwrap_or_default(), false)?;
+        body.send_data(Bytes::from(encode_payload(&request)?), true)?;
         let answer = answer.await?;
         match answer.status() {
             StatusCode::OK => {}
-            StatusCode::TOO_MANY_REQUESTS => return Err(AskFault::OverBudget),
-            _ => return Err(AskFault::NotThere),
+            StatusCode::TOO_MANY_REQUESTS => return Err(RequestError::OverBudget),
+            _ => return Err(RequestError::Unavailable),
         }
         let mut body = answer.into_body();
         let mut bytes = Vec::new();
-        while let Some(piece) = body.data().await {
-            let piece = piece?;
-            body.flow_control().release_capacity(piece.len())?;
-            bytes.extend_from_slice(&piece);
+        while let Some(chunk) = body.data().await {
+            let chunk = chunk?;
+            body.flow_control().release_capacity(chunk.len())?;
+            bytes.extend_from_slice(&chunk);
         }
-        Ok(decode_plain(&bytes)?)
+        Ok(decode_payload(&bytes)?)
     }
 }
 
-/// A reader gives a newer proof soon after the wait of its own read.
-fn question(topic: LogTopic, from: LogPosition, wait: Duration) -> LogQuestion {
-    let wait = if wait.is_zero() { wait } else { wait + PROOF_ALLOWANCE };
+/// The reader renews its proof shortly after the wait of its own read.
+fn log_request(topic: LogTopic, from: LogPosition, wait: Duration) -> LogQuestion {
+    let wait = if wait.is_zero() { wait } else { wait + PROOF_GRACE };
     LogQuestion { topic, from: from.offset, wait_ms: wait.as_millis() as u64, epoch: from.epoch }
 }
 
-async fn connect(address: SocketAddr) -> Result<AskLink, AskFault> {
+async fn connect(address: SocketAddr) -> Result<ReaderConnection, RequestError> {
     let connecting = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
-    let stream = connecting.map_err(|_| AskFault::TimedOut)??;
-    watch_peer(&stream, SILENT_PEER)?;
+    let stream = connecting.map_err(|_| RequestError::TimedOut)??;
+    watch_peer(&stream, PEER_TIMEOUT)?;
     let (client, connection) = h2::client::handshake(stream).await?;
     let task = actix_rt::spawn(async move {
         if let Err(err) = connection.await {
-            tracing::debug!("a link to a reader has ended: {err}");
+            tracing::debug!("connection to a reader failed: {err}");
         }
     });
-    Ok(AskLink { address, client, _task: AbortOnDropHandle::new(task) })
+    Ok(ReaderConnection { address, client, _task: AbortOnDropHandle::new(task) })
 }
--- /dev/null
+++ b/crates/entry/src/control/operator_watcher.rs
@@ -0,0 +1,221 @@
+//! Follows the operator topic: configuration and weights targets.
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use fulmargate_consortium::KeyedRecord;
+use fulmargate_consortium::OperatorRecord;
+use fulmargate_consortium::StoreError;
+use fulmargate_consortium::decode_operator;
+use fulmargate_consortium::split_keyed;
+use fulmargate_dispatch::BootTime;
+use fulmargate_dispatch::LogPosition;
+use fulmargate_dispatch::LogTopic;
+use fulmargate_dispatch::RouteTable;
+use fulmargate_dispatch::RoutingConfig;
+use fulmargate_names::EventKind;
+use fulmargate_names::ModelName;
+use fulmargate_names::StoreEpoch;
+use fulmargate_names::WeightsVersion;
+use tokio::time::Instant;
+
+use crate::control::epoch_tracker::EpochTracker;
+use crate::control::log_source::LogSource;
+use crate::control::log_source::ProvenPage;
+use crate::control::store_retry::StoreRetry;
+use crate::state::SharedState;
+use crate::state::boot_now;
+
+/// Long-poll wait of a read. Until the read returns, the configuration is unproven, so the wait
+/// stays well below the bound on revoked keys (5 s). A proof from a reader may be two waits old,
+/// and a configuration must be in force within 2 to 3 s.
+const POLL_WAIT: Duration = Duration::from_millis(800);
+/// Added to the wait for the response timeout.
+const RESPONSE_GRACE: Duration = Duration::from_millis(700);
+
+/// Maintains the active configuration and the weights targets.
+pub(crate) struct OperatorWatcher {
+    state: Arc<SharedState>,
+    source: LogSource,
+    retry: StoreRetry,
+    /// Position of the next read; `None` if the topic has to be listed.
+    next: Option<LogPosition>,
+    epoch: EpochTracker,
+    /// Lower bound for the write time of the next records; `None` at process start.
+    written_after: Option<BootTime>,
+    was_proven: bool,
+    /// A record written since the active configuration could not be read. It may have revoked keys.
+    has_unreadable_record: bool,
+}
+
+impl OperatorWatcher {
+    pub(crate) fn new(state: Arc<SharedState>, source: LogSource) -> OperatorWatcher {
+        let retry = StoreRetry::new("operator");
+        let epoch = EpochTracker::new(state.clone(), "operator");
+        OperatorWatcher {
+            state,
+            source,
+            retry,
+            next: None,
+            epoch,
+            written_after: None,
+            was_proven: false,
+            has_unreadable_record: false,
+        }
+    }
+
+    /// Reads the topic in a loop.
+    pub(crate) async fn run(mut self) {
+        loop {
+            let result = match self.next {
+                Some(from) => self.read_next(from).await,
+                None => self.read_listing().await,
+            };
+            match result {
+                Ok(()) => {
+                    self.retry.succeeded();
+                    self.written_after = Some(boot_now());
+                }
+                Err(err @ (StoreError::Deleted { .. } | StoreError::Restored { .. })) => {
+                    let kind = EventKind::LogTruncated;
+                    tracing::warn!(event = kind.number(), name = kind.name(), topic = "operator", reason = %err);
+                    self.next = None;
+                    self.retry.back_off_relisting(&err, self.source.max_retry_delay()).await;
+                }
+                Err(err) => self.retry.back_off(&err, self.source.max_retry_delay()).await,
+            }
+            self.log_proof_change();
+        }
+    }
+
+    async fn read_next(&mut self, from: LogPosition) -> Result<(), StoreError> {
+        let topic = LogTopic::Operator;
+        let page = self.source.read(topic, from, POLL_WAIT, RESPONSE_GRACE).await?;
+        if !self.retry.is_failing() {
+            // The long poll was pending when these records were written.
+            self.written_after = Some(boot_now());
+        }
+        self.apply_page(from.epoch, &page);
+        self.next = Some(from.after(page.records.len()));
+        // A page may end before the topic does; only a complete read proves that nothing is newer.
+        if let Some(sent) = page.proven {
+            self.renew_proof(sent);
+        }
+        Ok(())
+    }
+
+    async fn read_listing(&mut self) -> Result<(), StoreError> {
+        let newest = self.source.read_newest(LogTopic::Operator).await?;
+        self.epoch.record_listing(newest.end.epoch)?;
+        for listed in &newest.records {
+            self.apply(&listed.record);
+        }
+        self.next = Some(newest.end);
+        self.renew_proof(newest.sent);
+        Ok(())
+    }
+
+    /// Records that nothing newer had been written at this time. That proves the active
+    /// configuration only if all records could be read.
+    fn renew_proof(&self, sent: BootTime) {
+        if self.state.table.load().is_some() && !self.has_unreadable_record {
+            self.state.proof().renew(sent);
+        }
+    }
+
+    fn apply_page(&mut self, epoch: StoreEpoch, page: &ProvenPage) {
+        for record in &page.records {
+            match split_keyed(record) {
+                Ok(record) if self.apply(&record) => self.state.proof().settle(epoch),
+                Ok(_) => {}
+                Err(err) => self.record_unreadable(&err),
+            }
+        }
+    }
+
+    /// Returns whether the record is a configuration no older than the active one. Written after a
+    /// restore from a backup, it includes all that operators had written before.
+    fn apply(&mut self, record: &KeyedRecord) -> bool {
+        match decode_operator(record) {
+            Ok(OperatorRecord::Config(config)) => return self.activate_config(*config),
+            Ok(OperatorRecord::Weights(model, version)) => self.set_weights_target(&model, version),
+            Ok(OperatorRecord::Other) => {}
+            Err(err) => self.record_unreadable(&err),
+        }
+        false
+    }
+
+    /// Activates a configuration as a whole. A delayed page may contain an older one, which is
+    /// ignored. Returns whether it is no older than the active one.
+    fn activate_config(&mut self, mut config: RoutingConfig) -> bool {
+        let version = config.version;
+        let current = self.state.table.load().as_ref().map(|table| table.version());
+        if current.is_some_and(|current| version <= current) {
+            return current == Some(version);
+        }
+        self.has_unreadable_record = false;
+        self.apply_quotas(&mut config);
+        let table = Arc::new(RouteTable::new(config));
+        let (routes, hosts, keys) = table.sizes();
+        let kind = EventKind::ConfigAccepted;
+        tracing::info!(
+            event = kind.number(),
+            name = kind.name(),
+            version = %table.version(),
+            routes,
+            hosts,
+            keys,
+        );
+        self.state.table.store(Some(table));
+        self.state.proof().put_in_force(version);
+        true
+    }
+
+    /// Keeps the previous quota where the new one is invalid; the rest of the configuration
+    /// applies.
+    fn apply_quotas(&self, config: &mut RoutingConfig) {
+        let previous = self.state.table.load_full();
+        for (team, err) in config.keep_quotas(previous.as_deref()) {
+            let kind = EventKind::ConfigUnreadable;
+            tracing::error!(
+                event = kind.number(),
+                name = kind.name(),
+                version = %config.version,
+                %team,
+                reason = %err,
+            );
+        }
+        let quotas = config.teams.iter().filter_map(|team| Some((&team.name, team.quota?)));
+        self.state.quotas().set_quotas(quotas, Instant::now());
+    }
+
+    fn set_weights_target(&self, model: &ModelName, version: WeightsVersion) {
+        let mut weights = (**self.state.weights.load()).clone();
+        // Lower bound for when the version was named: after an outage or at process start it may be
+        // long ago. Other routers report its age.
+        let named_after = self.written_after.unwrap_or_default();
+        if !weights.name_version(model, version, named_after) {
+            return;
+        }
+        self.state.weights.store(Arc::new(weights));
+        let kind = EventKind::WeightsNamed;
+        tracing::info!(event = kind.number(), name = kind.name(), %model, %version);
+    }
+
+    fn log_proof_change(&mut self) {
+        let is_proven = self.state.admits_keys();
+        if is_proven == self.was_proven {
+            return;
+        }
+        self.was_proven = is_proven;
+        let age_ms = self.state.proof().age(boot_now()).map(|age| age.as_millis() as u64);
+        let kind = if is_proven { EventKind::ConfigProven } else { EventKind::ConfigUnproven };
+        tracing::warn!(event = kind.number(), name = kind.name(), age_ms);
+    }
+
+    fn record_unreadable(&mut self, err: &StoreError) {
+        self.has_unreadable_record = true;
+        let kind = EventKind::ConfigUnreadable;
+        tracing::error!(event = kind.number(), name = kind.name(), reason = %err);
+    }
+}
--- a/crates/entry/src/control/order_scheduler.rs
+++ b/crates/entry/src/control/order_scheduler.rs
@@ -25,9 +25,9 @@
 use tokio::time::Instant;
 use tokio::time::sleep;
 
-use crate::control::fleet_codec::keyed_record;
-use crate::control::fleet_watch::FleetReader;
-use crate::control::fleet_watch::SharedFold;
+use crate::control::fleet_codec::encode_keyed_record;
+use crate::control::fleet_watcher::FleetReader;
+use crate::control::fleet_watcher::SharedFleetState;
 use crate::control::order_run::OrderRun;
 use crate::state::SharedState;
 use crate::state::boot_now;
@@ -54,7 +54,7 @@
     state: Arc<SharedState>,
     store: StoreClient,
     engines: EngineClient,
-    fold: SharedFold,
+    fleet_state: SharedFleetState,
     reader: FleetReader,
     desk: Rc<DeskState>,
     wave: OrderWave,
@@ -72,7 +72,7 @@
     pub(crate) fn new(
         state: Arc<SharedState>,
         store: StoreClient,
-        fold: SharedFold,
+        fleet_state: SharedFleetState,
         reader: FleetReader,
     ) -> OrderScheduler {
         let host = state.settings.host.clone();
@@ -82,7 +82,7 @@
             state,
             store,
             engines: EngineClient::new(),
-            fold,
+            fleet_state,
             reader,
             desk: Rc::new(desk),
             wave: OrderWave::default(),
@@ -132,15 +132,15 @@
 
     /// Takes or keeps the lease and gives the next orders. Returns how long to wait.
     async fn work_on(&self, work: OpenWork) -> Duration {
-        if !self.fold.borrow().is_read() {
+        if !self.fleet_state.borrow().is_read() {
             return IDLE_PACE;
         }
         let now = boot_now();
         let kbps = self.state.settings.link_kbps();
         let rank = self.state.book().link_rank(kbps, Instant::now());
         let step = {
-            let fold = self.fold.borrow();
-            self.desk.lease.borrow().step(&fold, work.target.learned, rank, now)
+            let fleet_state = self.fleet_state.borrow();
+            self.desk.lease.borrow().step(&fleet_state, work.target.learned, rank, now)
         };
         match step {
             LeaseStep::Act => {
@@ -163,7 +163,7 @@
             incarnation: self.state.incarnation,
             epoch: at.epoch,
         };
-        let bytes = match keyed_record(&record) {
+        let bytes = match encode_keyed_record(&record) {
             Ok(bytes) => bytes,
             Err(err) => {
                 tracing::error!("a lease record cannot be written: {err}");
@@ -185,7 +185,7 @@
     async fn look_again(&self, at: LogPosition, reason: &str) {
         self.tell_lost(reason);
         sleep(MOVED_PAUSE).await;
-        if at < self.fold.borrow().end() {
+        if at < self.fleet_state.borrow().end() {
             return;
         }
         if let Err(err) = self.reader.catch_up().await {
@@ -194,10 +194,10 @@
     }
 
     fn hold(&self, position: LogPosition, record: &FleetRecord, sent: BootTime) {
-        let mut fold = self.fold.borrow_mut();
+        let mut fleet_state = self.fleet_state.borrow_mut();
         // The reader may be behind; it applies this record again, which changes nothing.
-        if fold.end() == position {
-            fold.apply(position.offset, record, sent);
+        if fleet_state.end() == position {
+            fleet_state.apply(position.offset, record, sent);
         }
         let fence = position.fence();
         self.desk.lease.borrow_mut().appended(fence, sent);
--- a/crates/entry/src/control/own_records/tests.rs
+++ b/crates/entry/src/control/own_records/tests.rs
@@ -1,4 +1,4 @@
-//! What is written again after the store has come back from a copy.
+//! Records rewritten after a restore of the store from a backup.
 
 use fulmargate_consortium::split_keyed;
 use fulmargate_dispatch::FleetRecord;
@@ -10,15 +10,15 @@
 use fulmargate_names::ZoneName;
 use indexmap::IndexMap;
 
-use super::MOST_CRASHES;
+use super::MAX_CRASHES;
 use super::OwnRecords;
-use crate::control::fleet_codec::keyed_record;
+use crate::control::fleet_codec::encode_keyed_record;
 
 fn joined(incarnation: u64) -> FleetRecord {
     FleetRecord::Joined {
         host: HostName::new("h0"),
         incarnation: Incarnation(incarnation),
-        address: "127.0.0.1:1".parse().expect("an address"),
+        address: "127.0.0.1:1".parse().expect("valid address"),
         zone: ZoneName::new("north"),
         link_kbps: 20_000,
         epoch: StoreEpoch(0),
@@ -30,7 +30,7 @@
 }
 
 fn key_of(record: &[u8]) -> String {
-    split_keyed(record).expect("a keyed record").key
+    split_keyed(record).expect("valid keyed record").key
 }
 
 struct RewriteCase {
@@ -41,39 +41,47 @@
 
 fn cases() -> Vec<RewriteCase> {
     vec![
-        RewriteCase { name: "all is lost", listed: Vec::new(), missing: &["host/h0", "crash/7"] },
-        RewriteCase { name: "all is there", listed: vec![joined(2), crash(7, "a")], missing: &[] },
         RewriteCase {
-            name: "the copy has an earlier start of this host",
+            name: "all records are lost",
+            listed: Vec::new(),
+            missing: &["host/h0", "crash/7"],
+        },
+        RewriteCase {
+            name: "all records are present",
+            listed: vec![joined(2), crash(7, "a")],
+            missing: &[],
+        },
+        RewriteCase {
+            name: "the backup has an earlier incarnation of this host",
             listed: vec![joined(1), crash(7, "a")],
             missing: &["host/h0"],
         },
         RewriteCase {
-            name: "another host's crash is newer",
+            name: "a newer crash record of another host",
             listed: vec![joined(2), crash(7, "b")],
             missing: &[],
         },
     ]
 }
 
-/// Hosts that start find nobody at this host's address, and let requests through that crash servers.
-/// The store has lost records that it had acknowledged; nobody but their writer has them.
+/// Guards against acknowledged records that the store loses for good: starting hosts would not find
+/// this host, and would admit requests that crash servers.
 #[test]
-fn what_was_lost_is_written_again() {
+fn lost_records_are_rewritten() {
     for case in cases() {
         let mut own = OwnRecords::default();
         own.put(&joined(2));
         own.put(&crash(7, "a"));
         let first = own.missing();
-        assert_eq!(first.len(), 2, "{}: all is written once", case.name);
-        own.written(&first);
+        assert_eq!(first.len(), 2, "{}: all records are written initially", case.name);
+        own.mark_written(&first);
         assert!(own.missing().is_empty(), "{}", case.name);
         let listed: IndexMap<String, Vec<u8>> = case
             .listed
             .iter()
-            .map(|record| (record.key(), keyed_record(record).expect("bytes")))
+            .map(|record| (record.key(), encode_keyed_record(record).expect("encode record")))
             .collect();
-        own.compare(&listed);
+        own.reconcile(&listed);
         let missing = own.missing();
         let keys: Vec<String> = missing.iter().map(|bytes| key_of(bytes)).collect();
         assert_eq!(keys, case.missing, "{}", case.name);
@@ -81,8 +89,8 @@
 }
 
 #[test]
-fn crashes_that_are_kept_are_bounded() {
+fn crash_records_are_bounded() {
     let mut own = OwnRecords::default();
     (0..200).for_each(|print| own.put(&crash(print, "a")));
-    assert_eq!(own.missing().len(), MOST_CRASHES);
+    assert_eq!(own.missing().len(), MAX_CRASHES);
 }
--- a/crates/entry/src/control/peer_listener.rs
+++ b/crates/entry/src/control/peer_listener.rs
@@ -27,13 +27,13 @@
 use tokio::time::Instant;
 use tokio::time::sleep;
 
-use crate::control::fleet_codec::LENGTH_BYTES;
+use crate::control::fleet_codec::LENGTH_PREFIX_BYTES;
 use crate::control::fleet_codec::RELAY_HEADER;
 use crate::control::fleet_codec::RELAYED_PATH;
-use crate::control::fleet_codec::STORE_HEADER;
-use crate::control::fleet_codec::decode_news;
-use crate::control::fleet_codec::decode_plain;
-use crate::control::fleet_codec::encode_plain;
+use crate::control::fleet_codec::STORE_STATE_HEADER;
+use crate::control::fleet_codec::decode_gossip;
+use crate::control::fleet_codec::decode_payload;
+use crate::control::fleet_codec::encode_payload;
 use crate::control::record_cache::CacheReply;
 use crate::control::record_cache::RecordCache;
 use crate::control::relay_board::SharedRelays;
@@ -56,7 +56,7 @@
 /// The listener.
 pub(crate) struct PeerListener {
     state: Arc<SharedState>,
-    shelf: Rc<RecordCache>,
+    record_cache: Rc<RecordCache>,
     relays: SharedRelays,
     listener: TcpListener,
 }
@@ -73,11 +73,11 @@
     /// Takes over the listening socket.
     pub(crate) fn new(
         state: Arc<SharedState>,
-        shelf: Rc<RecordCache>,
+        record_cache: Rc<RecordCache>,
         relays: SharedRelays,
         listener: StdListener,
     ) -> io::Result<PeerListener> {
-        Ok(PeerListener { state, shelf, relays, listener: TcpListener::from_std(listener)? })
+        Ok(PeerListener { state, record_cache, relays, listener: TcpListener::from_std(listener)? })
     }
 
     /// Accepts links on and on.
@@ -85,8 +85,8 @@
         loop {
             match self.listener.accept().await {
                 Ok((stream, _)) => {
-                    let (state, shelf) = (self.state.clone(), self.shelf.clone());
-                    actix_rt::spawn(serve_link(state, shelf, self.relays.clone(), stream));
+                    let (state, record_cache) = (self.state.clone(), self.record_cache.clone());
+                    actix_rt::spawn(serve_link(state, record_cache, self.relays.clone(), stream));
                 }
                 Err(err) => {
                     tracing::warn!("a link could not be accepted: {err}");
@@ -99,7 +99,7 @@
 
 async fn serve_link(
     state: Arc<SharedState>,
-    shelf: Rc<RecordCache>,
+    record_cache: Rc<RecordCache>,
     relays: SharedRelays,
     stream: TcpStream,
 ) {
@@ -118,8 +118,8 @@
         match next {
             // The connection is driven by this loop, so that messages are heard beside it.
             Ok((request, respond)) if request.uri().path() == "/log" => {
-                let (state, shelf) = (state.clone(), shelf.clone());
-                actix_rt::spawn(answer_question(state, shelf, asker, request, respond));
+                let (state, record_cache) = (state.clone(), record_cache.clone());
+                actix_rt::spawn(answer_question(state, record_cache, asker, request, respond));
             }
             Ok((request, respond)) => {
                 let (state, relays) = (state.clone(), relays.clone());
@@ -137,12 +137,12 @@
 /// Records for a router that does not read the store. Without them it is told why and reads itself.
 async fn answer_question(
     state: Arc<SharedState>,
-    shelf: Rc<RecordCache>,
+    record_cache: Rc<RecordCache>,
     asker: Option<SocketAddr>,
     request: Request<RecvStream>,
     mut respond: SendResponse<Bytes>,
 ) {
-    let store = match request.headers().contains_key(STORE_HEADER) {
+    let store = match request.headers().contains_key(STORE_STATE_HEADER) {
         true => SubscriberStore::OutOfReach,
         false => SubscriberStore::InReach,
     };
@@ -154,9 +154,9 @@
             return;
         }
     }
-    let (status, encoded) = match decode_plain::<LogQuestion>(&bytes) {
+    let (status, encoded) = match decode_payload::<LogQuestion>(&bytes) {
         Ok(question) => {
-            let reply = shelf.answer(question, store).await;
+            let reply = record_cache.answer(question, store).await;
             note_reply(&state, &question, &reply, asker);
             encode_reply(reply)
         }
@@ -180,7 +180,7 @@
 
 fn encode_reply(reply: CacheReply) -> (StatusCode, Option<Vec<u8>>) {
     match reply {
-        CacheReply::Records(answer) => match encode_plain(&answer) {
+        CacheReply::Records(answer) => match encode_payload(&answer) {
             Ok(encoded) => (StatusCode::OK, Some(encoded)),
             Err(err) => {
                 tracing::error!("records cannot be handed on: {err}");
@@ -188,7 +188,7 @@
             }
         },
         CacheReply::OverBudget { .. } => (StatusCode::TOO_MANY_REQUESTS, None),
-        CacheReply::NotThere => (StatusCode::SERVICE_UNAVAILABLE, None),
+        CacheReply::Unavailable => (StatusCode::SERVICE_UNAVAILABLE, None),
     }
 }
 
@@ -200,7 +200,7 @@
 ) {
     match reply {
         CacheReply::Records(answer) => count_given(question.topic, answer.bytes()),
-        CacheReply::OverBudget { bytes, left } => {
+        CacheReply::OverBudget { bytes, remaining } => {
             count_refused(question.topic);
             let kind = EventKind::HandOnRefused;
             if !state.lines.allows(kind, Instant::now()) {
@@ -213,10 +213,10 @@
                 topic = topic_label(question.topic),
                 from = %question.from,
                 bytes,
-                left_bytes = left,
+                left_bytes = remaining,
             );
         }
-        CacheReply::NotThere => {}
+        CacheReply::Unavailable => {}
     }
 }
 
@@ -254,7 +254,7 @@
             }
             waiting.extend_from_slice(&piece);
             while let Some(message) = take_message(&mut waiting) {
-                match decode_news(&message[LENGTH_BYTES..]) {
+                match decode_gossip(&message[LENGTH_PREFIX_BYTES..]) {
                     Ok(news) => self.take_word(&news, &message),
                     Err(err) => {
                         let kind = EventKind::PeerUnreadable;
@@ -316,7 +316,7 @@
 
 /// Takes a whole message off the front, with its length.
 fn take_message(waiting: &mut BytesMut) -> Option<BytesMut> {
-    let length = waiting.first_chunk::<LENGTH_BYTES>()?;
-    let length = LENGTH_BYTES + u32::from_be_bytes(*length) as usize;
+    let length = waiting.first_chunk::<LENGTH_PREFIX_BYTES>()?;
+    let length = LENGTH_PREFIX_BYTES + u32::from_be_bytes(*length) as usize;
     (length <= waiting.len()).then(|| waiting.split_to(length))
 }
--- a/crates/entry/src/control/record_cache.rs
+++ b/crates/entry/src/control/record_cache.rs
@@ -1,4 +1,4 @@
-//! Records that this router keeps for those that ask it.
+//! Cached log records for other routers.
 
 use std::cell::RefCell;
 use std::time::Duration;
@@ -18,35 +18,32 @@
 
 use crate::state::boot_now;
 
-/// What a router keeps for others must be younger than twice the wait of a question, or than this where
-/// there is none; else they read for themselves. A read proves the moment before its wait, so that a
-/// sound reader's proof gets as old as two of its waits. The list of servers is read without one each 0.7 s.
-const LEAST_AGE: Duration = Duration::from_millis(1_200);
+/// Lower limit of [`max_proof_age`]. Covers requests without a wait: those reads are 0.7 s apart.
+const MIN_PROOF_AGE_LIMIT: Duration = Duration::from_millis(1_200);
 
-/// The topics that this router reads, kept for those that ask.
+/// Cached records of the topics that this router reads.
 pub(crate) struct RecordCache {
     caches: RefCell<IndexMap<LogTopic, LogCache>>,
     changed: Notify,
     budget: RefCell<ForwardBudget>,
 }
 
-/// What another router is told that asks for records.
+/// Response to a log request of another router.
 pub(crate) enum CacheReply {
-    /// The records.
     Records(LogAnswer),
-    /// They are here and may not go now: the asker reads the store, and asks here again afterwards.
+    /// The records exceed the forwarding budget. The requester reads the store, and comes back for
+    /// its next read.
     OverBudget {
-        /// Bytes of the records.
+        /// Size of the records.
         bytes: usize,
-        /// Bytes that may go now.
-        left: i64,
+        /// Remaining budget in bytes.
+        remaining: i64,
     },
-    /// They are not here, or are too old: the asker turns to another router for a while.
-    NotThere,
+    /// The records are missing or too old. The requester tries another router for a while.
+    Unavailable,
 }
 
 impl RecordCache {
-    /// An empty shelf on a host whose link carries so much.
     pub(crate) fn new(link_bytes_per_s: f64) -> RecordCache {
         let budget = ForwardBudget::new(link_bytes_per_s, Instant::now());
         RecordCache {
@@ -56,7 +53,8 @@
         }
     }
 
-    /// Keeps what the store has given from a position on, and when the read was sent that proved it.
+    /// Adds records read from the store, with the send time of the read if that proves them
+    /// complete.
     pub(crate) fn put(
         &self,
         topic: LogTopic,
@@ -74,47 +72,47 @@
         self.changed.notify_waiters();
     }
 
-    /// Answers another router, as soon as there is a record or a newer proof, or its wait is over. A
-    /// host that does not read itself says so at once, and so does one that may not hand on so much now.
-    pub(crate) async fn answer(&self, question: LogQuestion, store: SubscriberStore) -> CacheReply {
-        let arrived = boot_now();
-        let longest = longest_age(question);
-        let until = Instant::now() + Duration::from_millis(question.wait_ms);
-        let known = self.proven(question.topic);
+    /// Answers as soon as there is a record or a newer proof, or the wait is over. Answers at once
+    /// if this host doesn't read the topic or the budget is exhausted.
+    pub(crate) async fn answer(&self, request: LogQuestion, store: SubscriberStore) -> CacheReply {
+        let received_at = boot_now();
+        let max_age = max_proof_age(request);
+        let deadline = Instant::now() + Duration::from_millis(request.wait_ms);
+        let known_proof = self.proven(request.topic);
         loop {
             let changed = self.changed.notified();
-            let Some(answer) = self.now(question, arrived, longest) else {
-                return CacheReply::NotThere;
+            let Some(answer) = self.lookup(request, received_at, max_age) else {
+                return CacheReply::Unavailable;
             };
-            let is_news = !answer.records.is_empty() || self.proven(question.topic) != known;
-            if is_news || until <= Instant::now() {
-                return self.within_budget(answer, store);
+            let is_update = !answer.records.is_empty() || self.proven(request.topic) != known_proof;
+            if is_update || deadline <= Instant::now() {
+                return self.charge_budget(answer, store);
             }
-            // A proof that gets too old during the wait is no answer: this host has lost the store, and
-            // the asker has to read for itself while there is time.
-            let left = longest.saturating_sub(Duration::from_millis(answer.age_ms));
-            let too_old = Instant::now() + left + Duration::from_millis(1);
-            let _changed_or_over = timeout_at(until.min(too_old), changed).await;
+            // Stops waiting when the proof expires: this host has lost the store, and the requester
+            // has to read it while there is time.
+            let remaining = max_age.saturating_sub(Duration::from_millis(answer.age_ms));
+            let expires_at = Instant::now() + remaining + Duration::from_millis(1);
+            let _outcome = timeout_at(deadline.min(expires_at), changed).await;
         }
     }
 
-    fn within_budget(&self, answer: LogAnswer, store: SubscriberStore) -> CacheReply {
+    fn charge_budget(&self, answer: LogAnswer, store: SubscriberStore) -> CacheReply {
         let mut budget = self.budget.borrow_mut();
         let bytes = answer.bytes();
         match budget.try_take(bytes, store, Instant::now()) {
             true => CacheReply::Records(answer),
-            false => CacheReply::OverBudget { bytes, left: budget.left() },
+            false => CacheReply::OverBudget { bytes, remaining: budget.left() },
         }
     }
 
-    fn now(
+    fn lookup(
         &self,
-        question: LogQuestion,
-        arrived: BootTime,
-        longest: Duration,
+        request: LogQuestion,
+        received_at: BootTime,
+        max_age: Duration,
     ) -> Option<LogAnswer> {
         let caches = self.caches.borrow();
-        caches.get(&question.topic)?.answer(question.position(), longest, arrived, boot_now())
+        caches.get(&request.topic)?.answer(request.position(), max_age, received_at, boot_now())
     }
 
     fn proven(&self, topic: LogTopic) -> Option<BootTime> {
@@ -122,8 +120,9 @@
     }
 }
 
-/// The oldest proof that is an answer. A configuration must be in force within 2 to 3 s of its writing: a reader
-/// that was cut off would give its last proof for longer, and then keep the next question for its whole wait.
-fn longest_age(question: LogQuestion) -> Duration {
-    (Duration::from_millis(question.wait_ms) * 2).max(LEAST_AGE)
+/// The maximum age of a proof: twice the wait, as a read proves the time before its own wait.
+/// Bounded because a partitioned reader keeps returning its last proof, and a configuration must be
+/// in force within 2 to 3 s.
+fn max_proof_age(request: LogQuestion) -> Duration {
+    (Duration::from_millis(request.wait_ms) * 2).max(MIN_PROOF_AGE_LIMIT)
 }
--- a/crates/entry/src/control/relay_forwarder.rs
+++ b/crates/entry/src/control/relay_forwarder.rs
@@ -9,7 +9,7 @@
 use tokio::time::Instant;
 use tokio::time::sleep;
 
-use crate::control::fleet_watch::SharedFold;
+use crate::control::fleet_watcher::SharedFleetState;
 use crate::control::link_table::LinkPath;
 use crate::control::link_table::LinkTable;
 use crate::control::link_table::SharedTable;
@@ -28,7 +28,7 @@
 /// The desk.
 pub(crate) struct RelayForwarder {
     state: Arc<SharedState>,
-    fold: SharedFold,
+    fleet_state: SharedFleetState,
     relays: SharedRelays,
     table: SharedTable,
 }
@@ -37,12 +37,12 @@
     /// No links yet.
     pub(crate) fn new(
         state: Arc<SharedState>,
-        fold: SharedFold,
+        fleet_state: SharedFleetState,
         relays: SharedRelays,
     ) -> RelayForwarder {
         let path = LinkPath::Relayed(state.settings.host.clone());
         let table = SharedTable::new(LinkTable::new(path, MOST_WAITING_BYTES).into());
-        RelayForwarder { state, fold, relays, table }
+        RelayForwarder { state, fleet_state, relays, table }
     }
 
     /// Passes on and on.
@@ -71,7 +71,7 @@
 
     fn pass_on(&self, hosts: &[HostName], words: &Bytes) {
         for host in hosts {
-            let address = self.fold.borrow().address_of(host);
+            let address = self.fleet_state.borrow().address_of(host);
             if let Some(address) = address {
                 tell(&self.table, host, address, words);
             }
--- a/crates/entry/src/control/server_watch.rs
+++ b/crates/entry/src/control/server_watcher.rs
@@ -20,45 +20,43 @@
 use tokio::time::Instant;
 use tokio::time::sleep;
 
-use crate::control::epoch_watch::EpochWatch;
+use crate::control::epoch_tracker::EpochTracker;
 use crate::control::log_source::LogSource;
-use crate::control::store_contact::StoreContact;
+use crate::control::store_retry::StoreRetry;
 use crate::state::SharedState;
 use crate::state::boot_now;
 
-/// Pause between reads. All servers write about once a second, so a read that waited for a record
-/// would return some 20 times a second on each host. A server that drains must get nothing new
-/// within 2 s: pause, timeout and repeat stay below that.
-const READ_PACE: Duration = Duration::from_millis(700);
-/// The store's answers take 4 ms, and 250 ms when it is slow.
+/// Delay between reads. Long polls would return some 20 times a second, as each server writes about
+/// once a second. A draining server must receive no new requests within 2 s, which bounds delay,
+/// timeout and retry.
+const READ_INTERVAL: Duration = Duration::from_millis(700);
 const READ_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// What was last told of a server.
+/// The last logged state of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct KnownServer {
     stage: ServerStage,
     incarnation: Option<Incarnation>,
 }
 
-/// Keeps the table of servers and hands it to the book.
-pub(crate) struct ServerWatch {
+/// Maintains the server table and publishes it to the shared state.
+pub(crate) struct ServerWatcher {
     state: Arc<SharedState>,
     source: LogSource,
-    contact: StoreContact,
+    retry: StoreRetry,
     table: ServerTable,
     known: IndexMap<ServerName, KnownServer>,
     next: Option<LogPosition>,
-    epoch: EpochWatch,
+    epoch: EpochTracker,
 }
 
-impl ServerWatch {
-    /// Knows nothing yet.
-    pub(crate) fn new(state: Arc<SharedState>, source: LogSource) -> ServerWatch {
-        let epoch = EpochWatch::new(state.clone(), "servers");
-        ServerWatch {
+impl ServerWatcher {
+    pub(crate) fn new(state: Arc<SharedState>, source: LogSource) -> ServerWatcher {
+        let epoch = EpochTracker::new(state.clone(), "servers");
+        ServerWatcher {
             state,
             source,
-            contact: StoreContact::new("servers"),
+            retry: StoreRetry::new("servers"),
             table: ServerTable::default(),
             known: IndexMap::new(),
             next: None,
@@ -66,49 +64,49 @@
         }
     }
 
-    /// Reads on and on.
+    /// Reads the topic in a loop.
     pub(crate) async fn run(mut self) {
         loop {
             let result = match self.next {
-                Some(from) => self.read_on(from).await,
-                None => self.read_all().await,
+                Some(from) => self.read_next(from).await,
+                None => self.read_listing().await,
             };
             match result {
-                Ok(is_all) => {
-                    self.contact.held();
+                Ok(is_complete) => {
+                    self.retry.succeeded();
                     self.publish();
-                    if is_all {
-                        sleep(READ_PACE).await;
+                    if is_complete {
+                        sleep(READ_INTERVAL).await;
                     }
                 }
                 Err(err @ (StoreError::Deleted { .. } | StoreError::Restored { .. })) => {
                     self.next = None;
-                    self.contact.begin_anew(&err, self.source.longest_pause()).await;
+                    self.retry.back_off_relisting(&err, self.source.max_retry_delay()).await;
                 }
-                Err(err) => self.contact.lost(&err, self.source.longest_pause()).await,
+                Err(err) => self.retry.back_off(&err, self.source.max_retry_delay()).await,
             }
         }
     }
 
     /// Returns whether all records were read.
-    async fn read_on(&mut self, from: LogPosition) -> Result<bool, StoreError> {
+    async fn read_next(&mut self, from: LogPosition) -> Result<bool, StoreError> {
         let topic = LogTopic::Servers;
         let page = self.source.read(topic, from, Duration::ZERO, READ_TIMEOUT).await?;
-        self.note_contact(page.proven.unwrap_or_else(boot_now));
+        self.record_contact(page.proven.unwrap_or_else(boot_now));
         for record in &page.records {
             match split_keyed(record) {
                 Ok(record) => self.apply(&record),
-                Err(err) => self.tell_unusable(&err.to_string()),
+                Err(err) => self.log_unusable_entry(&err.to_string()),
             }
         }
         self.next = Some(from.after(page.records.len()));
         Ok(page.proven.is_some())
     }
 
-    async fn read_all(&mut self) -> Result<bool, StoreError> {
+    async fn read_listing(&mut self) -> Result<bool, StoreError> {
         let newest = self.source.read_newest(LogTopic::Servers).await?;
-        self.note_contact(newest.sent);
-        if self.epoch.listed(newest.end.epoch)? {
+        self.record_contact(newest.sent);
+        if self.epoch.record_listing(newest.end.epoch)? {
             self.table.restored(boot_now());
         }
         let names = newest.records.iter().map(|listed| ServerName::new(&listed.record.key));
@@ -121,7 +119,7 @@
         Ok(true)
     }
 
-    fn note_contact(&mut self, sent: BootTime) {
+    fn record_contact(&mut self, sent: BootTime) {
         if self.table.contact(sent, boot_now()) {
             let kind = EventKind::ServersLapsed;
             let servers = self.known.len();
@@ -138,10 +136,12 @@
         match decode_server(&record.key, value) {
             Ok(entry) => {
                 if !self.table.put(entry) {
-                    self.tell_unusable(&format!("an earlier start of {name} speaks"));
+                    self.log_unusable_entry(&format!(
+                        "entry from an earlier incarnation of {name}"
+                    ));
                 }
             }
-            Err(err) => self.tell_unusable(&err.to_string()),
+            Err(err) => self.log_unusable_entry(&err.to_string()),
         }
     }
 
@@ -151,17 +151,17 @@
             Ok(entry) => {
                 let name = entry.name.clone();
                 if !self.table.put_listed(entry, boot_now()) {
-                    self.tell_unusable(&format!(
-                        "{name} has left, or an earlier start of it speaks"
+                    self.log_unusable_entry(&format!(
+                        "{name} was removed, or the entry is from an earlier incarnation"
                     ));
                 }
             }
-            Err(err) => self.tell_unusable(&err.to_string()),
+            Err(err) => self.log_unusable_entry(&err.to_string()),
         }
     }
 
-    /// Others may write to the list as often as they like, so that these lines are bounded.
-    fn tell_unusable(&self, reason: &str) {
+    /// Rate-limited, since other writers can append invalid entries at any rate.
+    fn log_unusable_entry(&self, reason: &str) {
         let kind = EventKind::ServerEntryUnusable;
         if self.state.lines.allows(kind, Instant::now()) {
             tracing::warn!(event = kind.number(), name = kind.name(), reason);
@@ -171,20 +171,20 @@
     fn publish(&mut self) {
         self.table.expire(boot_now());
         self.state.book().sync(&self.table.usable(), Instant::now());
-        self.tell_changes();
+        self.log_changes();
     }
 
-    fn tell_changes(&mut self) {
+    fn log_changes(&mut self) {
         let mut known = IndexMap::new();
         for entry in self.table.entries() {
             let server = KnownServer { stage: entry.stage, incarnation: entry.incarnation };
             known.insert(entry.name.clone(), server);
             let kind = match (self.known.get(&entry.name), entry.stage) {
                 (None, ServerStage::Ready) => EventKind::ServerListed,
-                (Some(before), _) if before.incarnation != entry.incarnation => {
+                (Some(previous), _) if previous.incarnation != entry.incarnation => {
                     EventKind::ServerRestarted
                 }
-                (Some(before), ServerStage::Draining) if before.stage == ServerStage::Ready => {
+                (Some(previous), ServerStage::Draining) if previous.stage == ServerStage::Ready => {
                     EventKind::ServerLeaving
                 }
                 _ => continue,
--- /dev/null
+++ b/crates/entry/src/control/store_retry.rs
@@ -0,0 +1,64 @@
+//! Retries of store calls for one topic.
+
+use std::time::Duration;
+
+use fulmargate_consortium::StoreError;
+use fulmargate_names::EventKind;
+use tokio::time::Instant;
+use tokio::time::sleep;
+
+/// Delay before the first retry, on a new connection: the previous one may have hung.
+const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Failures until the delay reaches its maximum, in equal steps.
+const BACKOFF_STEPS: u32 = 5;
+/// Relisting a topic again within this time is delayed.
+const MIN_RELIST_INTERVAL: Duration = Duration::from_millis(1_000);
+
+/// Counts consecutive failures, logs the first one and the recovery, and delays retries.
+#[derive(Debug)]
+pub(crate) struct StoreRetry {
+    topic: &'static str,
+    failures: u32,
+    last_relisted: Option<Instant>,
+}
+
+impl StoreRetry {
+    pub(crate) fn new(topic: &'static str) -> StoreRetry {
+        StoreRetry { topic, failures: 0, last_relisted: None }
+    }
+
+    /// Records a successful call.
+    pub(crate) fn succeeded(&mut self) {
+        if 0 < self.failures {
+            let kind = EventKind::LogBack;
+            let failures = self.failures;
+            tracing::info!(event = kind.number(), name = kind.name(), topic = self.topic, failures);
+        }
+        self.failures = 0;
+    }
+
+    /// Whether the last call failed.
+    pub(crate) fn is_failing(&self) -> bool {
+        0 < self.failures
+    }
+
+    /// The topic has to be listed again: at once the first time, after a delay if that repeats.
+    pub(crate) async fn back_off_relisting(&mut self, err: &StoreError, max_delay: Duration) {
+        let last = self.last_relisted.replace(Instant::now());
+        if last.is_some_and(|last| last.elapsed() < MIN_RELIST_INTERVAL) {
+            self.back_off(err, max_delay).await;
+        }
+    }
+
+    /// Records a failed call and waits before the next, longer each time.
+    pub(crate) async fn back_off(&mut self, err: &StoreError, max_delay: Duration) {
+        if self.failures == 0 {
+            let kind = EventKind::LogOut;
+            tracing::warn!(event = kind.number(), name = kind.name(), topic = self.topic, reason = %err);
+        }
+        self.failures += 1;
+        let step = (max_delay / BACKOFF_STEPS).max(INITIAL_RETRY_DELAY);
+        let delay = INITIAL_RETRY_DELAY + step * (self.failures.min(BACKOFF_STEPS) - 1);
+        sleep(delay.min(max_delay)).await;
+    }
+}
