--- a/crates/entry/src/control/connection_table.rs
+++ b/crates/entry/src/control/connection_table.rs
@@ -1,4 +1,4 @@
-//! Links to other routers, opened when there is something to say.
+//! Outgoing connections to other routers, opened on demand.
 
 #[cfg(test)]
 mod tests;
@@ -30,210 +30,214 @@
 use crate::control::fleet_codec::RELAYED_PATH;
 use crate::sockets::watch_peer;
 
-/// A router in another zone answers in 2 ms.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
-/// Messages that a router's host does not confirm for so long break the link.
-const SILENT_PEER: Duration = Duration::from_millis(1_000);
-/// A router that could not be reached is tried again after this time.
-const RETRY_PAUSE: Duration = Duration::from_millis(1_000);
-/// A router that could not be reached is no relay for so long.
-const FAILURE_MEMORY: Duration = Duration::from_secs(5);
-/// Links that are opened at the same time. A new process on a small host that opened all at once had
-/// no time left, lost them all to their timeout, and with them its reads of the store.
-const MOST_OPENING: usize = 8;
-/// Own words that may wait in a link, in bytes.
-const MOST_WAITING_BYTES: usize = 16 * 1024;
-
-/// A stream of messages to one router.
-pub(crate) struct PeerLink {
+/// A connection is closed when sent data stays unacknowledged for this time.
+const PEER_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Delay before a failed connection is retried.
+const RETRY_DELAY: Duration = Duration::from_millis(1_000);
+/// Time for which a host that could not be reached is not used as a relay.
+const FAILURE_RETENTION: Duration = Duration::from_secs(5);
+/// Concurrent connection attempts. A process on a small host that connects to a whole fleet at once
+/// runs out of CPU time and loses all attempts, and its reads of the store, to their timeouts.
+const MAX_CONCURRENT_CONNECTS: usize = 8;
+/// Default send buffer of a connection.
+const MAX_BUFFERED_BYTES: usize = 16 * 1024;
+
+/// An HTTP/2 stream of messages to one router.
+pub(crate) struct PeerConnection {
     stream: SendStream<Bytes>,
-    most_waiting_bytes: usize,
+    max_buffered_bytes: usize,
     task: AbortOnDropHandle<()>,
 }
 
-/// Why there is no link.
+/// Why a connection could not be opened or used.
 #[derive(Debug, Display, Error, From)]
-enum LinkFault {
+enum ConnectionError {
     #[display("{_0}")]
     Io(std::io::Error),
     #[display("{_0}")]
     Stream(h2::Error),
-    #[display("no connection in time")]
+    #[display("connect timed out")]
     TimedOut,
-    #[display("the other end has left: {_0}")]
+    #[display("stream reset by peer: {_0}")]
     #[from(ignore)]
     #[error(ignore)]
-    Left(h2::Reason),
-    #[display("its connection has ended")]
-    Ended,
+    Reset(h2::Reason),
+    #[display("connection closed")]
+    Closed,
 }
 
-/// What goes over links.
+/// Which messages a connection carries.
 #[derive(Clone, Debug)]
-pub(crate) enum LinkPath {
-    /// This router's own words.
-    News,
-    /// Words that this host passes on.
+pub(crate) enum StreamKind {
+    /// This router's own messages.
+    Own,
+    /// Messages that this host relays.
     Relayed(HostName),
 }
 
-/// Links by the router they lead to.
-pub(crate) struct LinkTable {
-    path: LinkPath,
-    /// Bytes that may wait in a link. A router that reads slower misses some messages.
-    most_waiting_bytes: usize,
-    links: IndexMap<HostName, PeerLink>,
-    /// Routers that could not be reached, and when they were last tried.
-    failed: IndexMap<HostName, Instant>,
-    opening: IndexSet<HostName>,
+/// Connections by the router they lead to.
+pub(crate) struct ConnectionTable {
+    stream_kind: StreamKind,
+    /// Send buffer of a connection. Messages that don't fit are dropped: the receiver is slow.
+    max_buffered_bytes: usize,
+    connections: IndexMap<HostName, PeerConnection>,
+    /// Hosts that could not be reached, and when that was last tried.
+    failed_hosts: IndexMap<HostName, Instant>,
+    connecting: IndexSet<HostName>,
 }
 
-/// Shared with the tasks that open links.
-pub(crate) type SharedTable = Rc<RefCell<LinkTable>>;
+/// Shared with the tasks that open connections.
+pub(crate) type SharedConnections = Rc<RefCell<ConnectionTable>>;
 
-impl Default for LinkTable {
-    fn default() -> LinkTable {
-        LinkTable::new(LinkPath::News, MOST_WAITING_BYTES)
+impl Default for ConnectionTable {
+    fn default() -> ConnectionTable {
+        ConnectionTable::new(StreamKind::Own, MAX_BUFFERED_BYTES)
     }
 }
 
-impl LinkTable {
-    /// No links yet.
-    pub(crate) fn new(path: LinkPath, most_waiting_bytes: usize) -> LinkTable {
-        LinkTable {
-            path,
-            most_waiting_bytes,
-            links: IndexMap::new(),
-            failed: IndexMap::new(),
-            opening: IndexSet::new(),
+impl ConnectionTable {
+    pub(crate) fn new(stream_kind: StreamKind, max_buffered_bytes: usize) -> ConnectionTable {
+        ConnectionTable {
+            stream_kind,
+            max_buffered_bytes,
+            connections: IndexMap::new(),
+            failed_hosts: IndexMap::new(),
+            connecting: IndexSet::new(),
         }
     }
 
-    /// Keeps links to these hosts only.
+    /// Keeps only connections to these hosts.
     pub(crate) fn retain(&mut self, is_kept: impl Fn(&HostName) -> bool) {
-        self.links.retain(|host, _| is_kept(host));
-        self.failed.retain(|host, at| is_kept(host) || at.elapsed() < FAILURE_MEMORY);
+        self.connections.retain(|host, _| is_kept(host));
+        self.failed_hosts.retain(|host, at| is_kept(host) || at.elapsed() < FAILURE_RETENTION);
     }
 
-    /// Whether a host could not be reached when that was last tried.
+    /// Whether the last connection attempt to a host failed.
     pub(crate) fn has_failed(&self, host: &HostName) -> bool {
-        self.failed.contains_key(host)
+        self.failed_hosts.contains_key(host)
     }
 
-    fn may_open(&self, host: &HostName) -> bool {
-        let failed = self.failed.get(host);
-        let is_paused = failed.is_some_and(|at| at.elapsed() < RETRY_PAUSE);
-        !is_paused && !self.opening.contains(host) && self.opening.len() < MOST_OPENING
+    fn can_connect(&self, host: &HostName) -> bool {
+        let last_failure = self.failed_hosts.get(host);
+        let is_paused = last_failure.is_some_and(|at| at.elapsed() < RETRY_DELAY);
+        !is_paused
+            && !self.connecting.contains(host)
+            && self.connecting.len() < MAX_CONCURRENT_CONNECTS
     }
 
     fn send(&mut self, host: &HostName, message: &Bytes) {
-        let Some(link) = self.links.get_mut(host) else { return };
-        if let Err(fault) = link.send(message) {
-            self.links.swap_remove(host);
-            self.note_failure(host, &fault.to_string());
+        let Some(connection) = self.connections.get_mut(host) else { return };
+        if let Err(err) = connection.send(message) {
+            self.connections.swap_remove(host);
+            self.record_failure(host, &err.to_string());
         }
     }
 
-    fn note_link(&mut self, host: &HostName, link: PeerLink) {
-        self.links.insert(host.clone(), link);
-        if self.failed.swap_remove(host).is_some() {
-            let up = EventKind::PeerUp;
-            tracing::info!(event = up.number(), name = up.name(), peer = %host);
+    fn add_connection(&mut self, host: &HostName, connection: PeerConnection) {
+        self.connections.insert(host.clone(), connection);
+        if self.failed_hosts.swap_remove(host).is_some() {
+            let kind = EventKind::PeerUp;
+            tracing::info!(event = kind.number(), name = kind.name(), peer = %host);
         }
     }
 
-    fn note_failure(&mut self, host: &HostName, reason: &str) {
-        if self.failed.insert(host.clone(), Instant::now()).is_none() {
-            let down = EventKind::PeerDown;
-            tracing::info!(event = down.number(), name = down.name(), peer = %host, reason);
+    fn record_failure(&mut self, host: &HostName, reason: &str) {
+        if self.failed_hosts.insert(host.clone(), Instant::now()).is_none() {
+            let kind = EventKind::PeerDown;
+            tracing::info!(event = kind.number(), name = kind.name(), peer = %host, reason);
         }
     }
 }
 
-impl PeerLink {
-    /// A message that finds no room is left out: the other router reads slowly.
-    fn send(&mut self, message: &Bytes) -> Result<(), LinkFault> {
-        self.check()?;
-        self.stream.reserve_capacity(self.most_waiting_bytes);
+impl PeerConnection {
+    /// Drops a message that doesn't fit the send buffer.
+    fn send(&mut self, message: &Bytes) -> Result<(), ConnectionError> {
+        self.check_open()?;
+        self.stream.reserve_capacity(self.max_buffered_bytes);
         if self.stream.capacity() < message.len() {
             return Ok(());
         }
         Ok(self.stream.send_data(message.clone(), false)?)
     }
 
-    /// A link to a process that has ended has no room and looks like that of a slow router. Taken for one,
-    /// it was kept for good: a host that had been started anew heard nobody, and did alone what routers share
-    /// out among them. Each word asks first, so that the link is opened again a second after.
-    fn check(&mut self) -> Result<(), LinkFault> {
+    /// Fails if the connection or its stream was closed. Its send buffer has no capacity then,
+    /// which otherwise looks like a slow receiver, and the connection would never be reopened.
+    fn check_open(&mut self) -> Result<(), ConnectionError> {
         if self.task.is_finished() {
-            return Err(LinkFault::Ended);
+            return Err(ConnectionError::Closed);
         }
-        // Asked at each word; nobody need be woken.
+        // Polled for every message, so no wake-up is needed.
         let mut context = Context::from_waker(Waker::noop());
         match self.stream.poll_reset(&mut context) {
             Poll::Pending => Ok(()),
-            Poll::Ready(Ok(reason)) => Err(LinkFault::Left(reason)),
+            Poll::Ready(Ok(reason)) => Err(ConnectionError::Reset(reason)),
             Poll::Ready(Err(err)) => Err(err.into()),
         }
     }
 }
 
-/// Sends a message over the link to a host, or opens one for the next message.
-pub(crate) fn tell(table: &SharedTable, host: &HostName, address: SocketAddr, message: &Bytes) {
-    let mut links = table.borrow_mut();
-    if links.links.contains_key(host) {
-        links.send(host, message);
-    } else if links.may_open(host) {
-        links.opening.insert(host.clone());
-        // Beside the others: a zone that is cut off would hold up all words for seconds.
-        actix_rt::spawn(open(table.clone(), host.clone(), address));
+/// Sends a message to a host. Without a connection, opens one for the next message and drops this
+/// one.
+pub(crate) fn send_or_connect(
+    table: &SharedConnections,
+    host: &HostName,
+    address: SocketAddr,
+    message: &Bytes,
+) {
+    let mut guard = table.borrow_mut();
+    if guard.connections.contains_key(host) {
+        guard.send(host, message);
+    } else if guard.can_connect(host) {
+        guard.connecting.insert(host.clone());
+        // Opened in a task: attempts to reach a partitioned zone would delay all other messages.
+        actix_rt::spawn(connect_and_insert(table.clone(), host.clone(), address));
     }
 }
 
-/// Opens a link. The next message goes over it.
-async fn open(table: SharedTable, host: HostName, address: SocketAddr) {
-    let (path, most_waiting_bytes) = {
+async fn connect_and_insert(table: SharedConnections, host: HostName, address: SocketAddr) {
+    let (stream_kind, max_buffered_bytes) = {
         let table = table.borrow();
-        (table.path.clone(), table.most_waiting_bytes)
+        (table.stream_kind.clone(), table.max_buffered_bytes)
     };
-    let result = connect(address, &path, most_waiting_bytes).await;
+    let result = connect(address, &stream_kind, max_buffered_bytes).await;
     let mut table = table.borrow_mut();
-    table.opening.swap_remove(&host);
+    table.connecting.swap_remove(&host);
     match result {
-        Ok(link) => table.note_link(&host, link),
-        Err(fault) => table.note_failure(&host, &fault.to_string()),
+        Ok(connection) => table.add_connection(&host, connection),
+        Err(err) => table.record_failure(&host, &err.to_string()),
     }
 }
 
 async fn connect(
     address: SocketAddr,
-    path: &LinkPath,
-    most_waiting_bytes: usize,
-) -> Result<PeerLink, LinkFault> {
-    let opening = open_stream(address, path, most_waiting_bytes);
-    let connecting = timeout(CONNECT_TIMEOUT, opening).await;
-    connecting.map_err(|_| LinkFault::TimedOut)?
+    stream_kind: &StreamKind,
+    max_buffered_bytes: usize,
+) -> Result<PeerConnection, ConnectionError> {
+    let connecting = open_stream(address, stream_kind, max_buffered_bytes);
+    let attempt = timeout(CONNECT_TIMEOUT, connecting).await;
+    attempt.map_err(|_| ConnectionError::TimedOut)?
 }
 
 async fn open_stream(
     address: SocketAddr,
-    path: &LinkPath,
-    most_waiting_bytes: usize,
-) -> Result<PeerLink, LinkFault> {
+    stream_kind: &StreamKind,
+    max_buffered_bytes: usize,
+) -> Result<PeerConnection, ConnectionError> {
     let stream = TcpStream::connect(address).await?;
-    watch_peer(&stream, SILENT_PEER)?;
+    watch_peer(&stream, PEER_TIMEOUT)?;
     let (mut client, connection) = h2::client::handshake(stream).await?;
     let task = actix_rt::spawn(async move {
         if let Err(err) = connection.await {
-            tracing::debug!("a link to a router has ended: {err}");
+            tracing::debug!("connection to a router failed: {err}");
         }
     });
-    let request = match path {
-        LinkPath::News => Request::post(format!("http://{address}/news")),
-        LinkPath::Relayed(own) => Request::post(format!("http://{address}{RELAYED_PATH}"))
-            .header(RELAY_HEADER, own.as_str()),
+    let request = match stream_kind {
+        StreamKind::Own => Request::post(format!("http://{address}/news")),
+        StreamKind::Relayed(relay) => Request::post(format!("http://{address}{RELAYED_PATH}"))
+            .header(RELAY_HEADER, relay.as_str()),
     };
     let request = request.body(()).unwrap_or_default();
     let (_answer, stream) = client.send_request(request, false)?;
-    Ok(PeerLink { stream, most_waiting_bytes, task: AbortOnDropHandle::new(task) })
+    Ok(PeerConnection { stream, max_buffered_bytes, task: AbortOnDropHandle::new(task) })
 }
--- a/crates/entry/src/control/connection_table/tests.rs
+++ b/crates/entry/src/control/connection_table/tests.rs
@@ -1,4 +1,4 @@
-//! Which links are opened.
+//! Connection limits and reconnects.
 
 use std::time::Duration;
 
@@ -7,103 +7,104 @@
 use tokio::net::TcpListener;
 use tokio::time::sleep;
 
-use super::LinkTable;
-use super::MOST_OPENING;
-use super::SharedTable;
-use super::open;
+use super::ConnectionTable;
+use super::MAX_CONCURRENT_CONNECTS;
+use super::SharedConnections;
+use super::connect_and_insert;
 
-/// Waits are bounded by so many looks; how long one takes is of no matter.
-const MOST_LOOKS: usize = 200;
-const LOOK_PACE: Duration = Duration::from_millis(10);
+/// Bounds each wait by a number of polls rather than by wall time.
+const MAX_POLLS: usize = 200;
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// A host that has just started answers by an old configuration, though the store is well.
-/// It opened a link to each of 90 other routers at the same time, had no processor time left, and its reads
-/// of the store timed out with the links. Only a few are opened at a time; the next follow as these are done.
+/// Guards against a starting host that connects to the whole fleet at once: its reads of the store
+/// time out with the connection attempts, and it serves an old configuration.
 #[test]
-fn few_links_are_opened_at_a_time() {
+fn concurrent_connects_are_limited() {
     let hosts: Vec<HostName> =
         (0..90).map(|number| HostName::new(&format!("host-{number}"))).collect();
-    let mut table = LinkTable::default();
+    let mut table = ConnectionTable::default();
     for host in &hosts {
-        if table.may_open(host) {
-            table.opening.insert(host.clone());
+        if table.can_connect(host) {
+            table.connecting.insert(host.clone());
         }
     }
-    assert_eq!(table.opening.len(), MOST_OPENING);
-    table.opening.swap_remove(&hosts[0]);
-    assert!(!table.may_open(&hosts[1]), "it is being opened");
-    assert!(table.may_open(&hosts[50]), "one of the first is done");
+    assert_eq!(table.connecting.len(), MAX_CONCURRENT_CONNECTS);
+    table.connecting.swap_remove(&hosts[0]);
+    assert!(!table.can_connect(&hosts[1]), "connection attempt in progress");
+    assert!(table.can_connect(&hosts[50]), "one attempt has completed");
 }
 
-/// How a link ends.
+/// How the peer closes a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum LinkEnd {
-    /// The other process ends, and its connections with it.
+enum CloseKind {
+    /// The peer process exits, and its connections close.
     Connection,
-    /// The other router gives up the stream and keeps the connection.
+    /// The peer resets the stream and keeps the connection.
     Stream,
 }
 
-struct EndCase {
+struct CloseCase {
     name: &'static str,
-    end: LinkEnd,
+    close: CloseKind,
 }
 
-const ENDS: &[EndCase] = &[
-    EndCase { name: "the other process ends", end: LinkEnd::Connection },
-    EndCase { name: "the other router drops the stream", end: LinkEnd::Stream },
+const CLOSE_CASES: &[CloseCase] = &[
+    CloseCase { name: "the peer process exits", close: CloseKind::Connection },
+    CloseCase { name: "the peer resets the stream", close: CloseKind::Stream },
 ];
 
-/// A host that has been started anew hears no other router as long as it lives, takes itself for the only
-/// one, and reads all engines' events.
-/// The others' links led to its old process. Such a link lets no byte through, and a message that finds no
-/// room in a link is left out without a word, as it is for a router that is slow; so the links stayed, and
-/// no other was opened.
+/// Guards against keeping closed connections: a restarted host would receive no gossip and take
+/// itself for the only router.
 #[test]
-fn a_link_that_has_ended_is_opened_again() {
-    for case in ENDS {
-        actix_rt::System::new().block_on(check_end(case));
+fn closed_connections_are_reopened() {
+    for case in CLOSE_CASES {
+        actix_rt::System::new().block_on(check_reconnect(case));
     }
 }
 
-async fn check_end(case: &EndCase) {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-    let address = listener.local_addr().expect("its address");
-    actix_rt::spawn(hear_once(listener, case.end));
+async fn check_reconnect(case: &CloseCase) {
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind to a free port");
+    let address = listener.local_addr().expect("local address");
+    actix_rt::spawn(serve_once(listener, case.close));
     let host = HostName::new("other");
-    let table = SharedTable::default();
-    open(table.clone(), host.clone(), address).await;
-    assert!(table.borrow().links.contains_key(&host), "{}: it opens", case.name);
-    for _ in 0..MOST_LOOKS {
+    let table = SharedConnections::default();
+    connect_and_insert(table.clone(), host.clone(), address).await;
+    assert!(
+        table.borrow().connections.contains_key(&host),
+        "{}: connection established",
+        case.name
+    );
+    for _ in 0..MAX_POLLS {
         table.borrow_mut().send(&host, &Bytes::from_static(b"a word"));
-        if !table.borrow().links.contains_key(&host) {
+        if !table.borrow().connections.contains_key(&host) {
             break;
         }
-        sleep(LOOK_PACE).await;
+        sleep(POLL_INTERVAL).await;
     }
     let table = table.borrow();
-    assert!(!table.links.contains_key(&host), "{}: the link is still there", case.name);
-    assert!(table.failed.contains_key(&host), "{}: it is to be opened again", case.name);
+    assert!(!table.connections.contains_key(&host), "{}: closed connection is kept", case.name);
+    assert!(table.failed_hosts.contains_key(&host), "{}: reconnect is scheduled", case.name);
 }
 
-/// Takes one link, hears a word and ends it.
-async fn hear_once(listener: TcpListener, end: LinkEnd) {
-    let (stream, _) = listener.accept().await.expect("a link");
-    let mut connection = h2::server::handshake(stream).await.expect("a handshake");
-    let (request, respond) = connection.accept().await.expect("a stream").expect("a good one");
+/// Accepts one connection, receives a message and closes as requested.
+async fn serve_once(listener: TcpListener, close: CloseKind) {
+    let (stream, _) = listener.accept().await.expect("accept connection");
+    let mut connection = h2::server::handshake(stream).await.expect("HTTP/2 handshake");
+    let (request, respond) =
+        connection.accept().await.expect("stream opened").expect("valid request");
     let mut body = request.into_body();
-    let heard = actix_rt::spawn(async move {
-        let word = body.data().await;
+    let received = actix_rt::spawn(async move {
+        let message = body.data().await;
         drop(respond);
-        word.is_some()
+        message.is_some()
     });
-    if end == LinkEnd::Stream {
-        // Driven until the other end leaves.
+    if close == CloseKind::Stream {
+        // Drives the connection until the peer disconnects.
         while connection.accept().await.is_some() {}
         return;
     }
     tokio::select! {
-        _ = heard => {}
+        _ = received => {}
         _ = connection.accept() => {}
     }
 }
--- a/crates/entry/src/control/gossip_sender.rs
+++ b/crates/entry/src/control/gossip_sender.rs
@@ -1,4 +1,4 @@
-//! Tells the other routers what this one has under way.
+//! Sends this router's gossip to the other routers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,105 +18,109 @@
 use tokio::time::sleep;
 use tokio::time::sleep_until;
 
+use crate::control::connection_table::SharedConnections;
+use crate::control::connection_table::send_or_connect;
 use crate::control::fleet_codec::encode_gossip;
 use crate::control::fleet_watcher::SharedFleetState;
-use crate::control::link_table::SharedTable;
-use crate::control::link_table::tell;
-use crate::control::relay_board::SharedRelays;
+use crate::control::relay_queue::SharedRelays;
 use crate::state::SharedState;
 use crate::state::boot_now;
 
-/// A router that has nothing to say says so at this pace; a word counts for 1.2 s.
-const IDLE_PACE: Duration = Duration::from_millis(400);
-/// And where relays pass it on: what a lost relay should have passed on comes with the next word, after its
-/// listeners have missed it for half a second.
-const IDLE_RELAYED: Duration = Duration::from_millis(200);
-/// Words before their turn where relays pass them on, which do so about as often.
-const URGENT_RELAYED: Duration = Duration::from_millis(50);
+/// Interval between messages without updates. A message is valid for 1.2 s.
+const IDLE_INTERVAL: Duration = Duration::from_millis(400);
+/// The same where relays forward the messages. Shorter, because receivers take 0.5 s to detect a
+/// lost relay and miss the messages of that time.
+const RELAYED_IDLE_INTERVAL: Duration = Duration::from_millis(200);
+/// Minimum interval of urgent messages where relays forward them.
+const RELAYED_URGENT_INTERVAL: Duration = Duration::from_millis(50);
 
-/// One link for each router that words go to.
-pub(crate) struct PeerLinks {
+/// Sends gossip over one connection per target.
+pub(crate) struct GossipSender {
     state: Arc<SharedState>,
     fleet_state: SharedFleetState,
     relays: SharedRelays,
-    table: SharedTable,
+    connections: SharedConnections,
 }
 
-/// A router that a word goes to, and where it listens.
+/// A router that messages are sent to, and its address.
 struct PeerTarget {
     host: HostName,
     address: SocketAddr,
     subscribes: bool,
 }
 
-/// Where the next word goes.
-struct GossipRound {
+/// Targets and intervals of the next message.
+struct GossipPlan {
     targets: Vec<PeerTarget>,
-    pace: Duration,
-    urgent_pace: Duration,
-    idle_pace: Duration,
-    /// Hosts that hear it in the end.
-    hearers: usize,
+    interval: Duration,
+    urgent_interval: Duration,
+    idle_interval: Duration,
+    /// Hosts that receive the message, directly or through relays.
+    recipients: usize,
 }
 
-impl PeerLinks {
-    /// No links yet.
+impl GossipSender {
     pub(crate) fn new(
         state: Arc<SharedState>,
         fleet_state: SharedFleetState,
         relays: SharedRelays,
-    ) -> PeerLinks {
-        PeerLinks { state, fleet_state, relays, table: SharedTable::default() }
+    ) -> GossipSender {
+        GossipSender { state, fleet_state, relays, connections: SharedConnections::default() }
     }
 
-    /// Tells on and on: at a pace, and soon when an engine is about to load.
+    /// Sends messages at an interval, and earlier when an engine is about to load weights.
     pub(crate) async fn run(self) {
         let mut was_busy = false;
-        let mut told = Instant::now();
-        let mut waited = Instant::now();
-        let mut word_bytes = 0;
-        let link = self.state.settings.link_bytes_per_s();
+        let mut last_sent = Instant::now();
+        let mut last_round = Instant::now();
+        let mut message_bytes = 0;
+        let link_bytes_per_s = self.state.settings.link_bytes_per_s();
         loop {
-            let turn = self.turn(word_bytes);
-            self.state.book().set_gossip_interval(turn.pace);
+            let plan = self.next_plan(message_bytes);
+            self.state.book().set_gossip_interval(plan.interval);
             tokio::select! {
-                () = sleep(turn.pace) => {}
-                () = self.state.loading.changed() => sleep_until(waited + turn.urgent_pace).await,
+                () = sleep(plan.interval) => {}
+                () = self.state.loading.changed() => sleep_until(last_round + plan.urgent_interval).await,
             }
-            let since = waited.elapsed().min(turn.pace);
-            waited = Instant::now();
-            let news = self.news(published_parts(link, turn.hearers, since));
-            let is_busy = is_worth_telling(&news) || self.relays.choice.borrow().is_awaiting();
-            word_bytes = 0;
-            // The last of it is said, too: that nothing is under way any more. After that a word now
-            // and then, so that the others know who is there.
-            if is_busy || was_busy || turn.idle_pace <= told.elapsed() {
-                word_bytes = self.tell(&turn.targets, news);
-                told = Instant::now();
+            let since_last_round = last_round.elapsed().min(plan.interval);
+            last_round = Instant::now();
+            let gossip = self.next_message(published_parts(
+                link_bytes_per_s,
+                plan.recipients,
+                since_last_round,
+            ));
+            let is_busy = has_updates(&gossip) || self.relays.choice.borrow().is_awaiting();
+            message_bytes = 0;
+            // The message after the last update is sent at once, to report that nothing is in
+            // progress. Later ones are keepalives.
+            if is_busy || was_busy || plan.idle_interval <= last_sent.elapsed() {
+                message_bytes = self.send(&plan.targets, gossip);
+                last_sent = Instant::now();
             }
             was_busy = is_busy;
         }
     }
 
-    fn turn(&self, word_bytes: usize) -> GossipRound {
+    fn next_plan(&self, message_bytes: usize) -> GossipPlan {
         let own = self.own_host();
         let hosts = self.fleet_hosts(&own);
-        let route = GossipTopology::new(&hosts, self.state.settings.direct_hosts);
+        let topology = GossipTopology::new(&hosts, self.state.settings.direct_hosts);
         let mut choice = self.relays.choice.borrow_mut();
-        let link = self.state.settings.link_bytes_per_s();
-        match route.targets(&own, &mut choice, Instant::now()) {
-            Some(targets) => GossipRound {
-                targets: targets.into_iter().filter_map(|target| self.located(target)).collect(),
-                pace: route.pace,
-                urgent_pace: URGENT_RELAYED,
-                idle_pace: IDLE_RELAYED,
-                hearers: hosts.len(),
+        let link_bytes_per_s = self.state.settings.link_bytes_per_s();
+        match topology.targets(&own, &mut choice, Instant::now()) {
+            Some(targets) => GossipPlan {
+                targets: targets.into_iter().filter_map(|target| self.resolve(target)).collect(),
+                interval: topology.pace,
+                urgent_interval: RELAYED_URGENT_INTERVAL,
+                idle_interval: RELAYED_IDLE_INTERVAL,
+                recipients: hosts.len(),
             },
             None => {
-                let targets = self.all_others();
-                let urgent_pace = urgent_pace(targets.len(), word_bytes, link);
-                let (pace, idle_pace, hearers) = (route.pace, IDLE_PACE, targets.len());
-                GossipRound { targets, pace, urgent_pace, idle_pace, hearers }
+                let targets = self.all_peers();
+                let urgent_interval = urgent_pace(targets.len(), message_bytes, link_bytes_per_s);
+                let (interval, idle_interval, recipients) =
+                    (topology.pace, IDLE_INTERVAL, targets.len());
+                GossipPlan { targets, interval, urgent_interval, idle_interval, recipients }
             }
         }
     }
@@ -127,39 +131,39 @@
         FleetHost { host, zone, link_kbps: settings.link_kbps() }
     }
 
-    /// The hosts that are there: those that were heard lately, those that have started lately, and this one.
-    /// Without those that cannot be reached from here or pass nothing on: others may still take them for
-    /// relays, and this host would hear nobody.
+    /// The live hosts, recently started ones and this one. Excludes hosts that can't be reached
+    /// from here and silent relays, so that they aren't chosen as relays.
     fn fleet_hosts(&self, own: &FleetHost) -> Vec<FleetHost> {
         let now = Instant::now();
         let mut hosts = self.state.book().fleet_hosts(now);
-        let heard: IndexSet<HostName> = hosts.iter().map(|host| host.host.clone()).collect();
-        // Who hears nobody knows the others by their records, however old.
-        let hears_nobody = heard.is_empty();
+        let live_hosts: IndexSet<HostName> = hosts.iter().map(|host| host.host.clone()).collect();
+        // Without any live peer, members are known only from their records, of any age.
+        let has_no_live_peers = live_hosts.is_empty();
         let fleet_state = self.fleet_state.borrow();
         let members = fleet_state.fleet_hosts(boot_now());
-        let others = members
-            .filter(|(host, is_new)| (*is_new || hears_nobody) && !heard.contains(&host.host));
+        let others = members.filter(|(host, is_new)| {
+            (*is_new || has_no_live_peers) && !live_hosts.contains(&host.host)
+        });
         hosts.extend(others.map(|(host, _)| host));
-        let (table, choice) = (self.table.borrow(), self.relays.choice.borrow());
+        let (connections, choice) = (self.connections.borrow(), self.relays.choice.borrow());
         hosts.retain(|host| {
             host.host != own.host
-                && !table.has_failed(&host.host)
+                && !connections.has_failed(&host.host)
                 && !choice.is_silent(&host.host, now)
         });
         hosts.push(own.clone());
         hosts
     }
 
-    fn located(&self, target: GossipTarget) -> Option<PeerTarget> {
+    fn resolve(&self, target: GossipTarget) -> Option<PeerTarget> {
         let GossipTarget { host, subscribes } = target;
         let address = self.fleet_state.borrow().address_of(&host)?;
         Some(PeerTarget { host, address, subscribes })
     }
 
-    /// All other routers, from this one on in the order of their records: so that not all open their first
-    /// links to the same ones.
-    fn all_others(&self) -> Vec<PeerTarget> {
+    /// All other routers, rotated to start after this one, so that not all routers connect to the
+    /// same ones first.
+    fn all_peers(&self) -> Vec<PeerTarget> {
         let fleet_state = self.fleet_state.borrow();
         let own = &self.state.settings.host;
         let target = |(host, address): (&HostName, &SocketAddr)| PeerTarget {
@@ -175,18 +179,18 @@
         members
     }
 
-    fn news(&self, most_parts: usize) -> GossipMessage {
-        let mut news = self.state.book().take_news(most_parts, Instant::now());
-        news.host = Some(self.state.settings.host.clone());
-        news.zone = Some(self.state.settings.zone.clone());
-        news.link_kbps = Some(self.state.settings.link_kbps());
-        news.loading = self.state.loading.notices();
-        news.weights = self.weights_ages();
-        news.quotas = Some(self.state.quotas().take_report());
-        news
+    fn next_message(&self, max_parts: usize) -> GossipMessage {
+        let mut gossip = self.state.book().take_news(max_parts, Instant::now());
+        gossip.host = Some(self.state.settings.host.clone());
+        gossip.zone = Some(self.state.settings.zone.clone());
+        gossip.link_kbps = Some(self.state.settings.link_kbps());
+        gossip.loading = self.state.loading.notices();
+        gossip.weights = self.weights_ages();
+        gossip.quotas = Some(self.state.quotas().take_report());
+        gossip
     }
 
-    /// Versions named lately; of older ones everybody knows that they are old.
+    /// Ages of recently named versions. Beyond the bound, the exact age is irrelevant.
     fn weights_ages(&self) -> Vec<WeightsAge> {
         let now = boot_now();
         let weights = self.state.weights.load();
@@ -195,42 +199,43 @@
             version: target.version,
             age_ms: now.since(target.learned).as_millis() as u64,
         });
-        let longest = self.state.settings.bounds.weights_ms;
-        ages.filter(|age| age.age_ms < longest).collect()
+        let max_age_ms = self.state.settings.bounds.weights_ms;
+        ages.filter(|age| age.age_ms < max_age_ms).collect()
     }
 
-    /// Tells the targets, and those that this host passes words on to. Returns the bytes of the word.
-    fn tell(&self, targets: &[PeerTarget], mut news: GossipMessage) -> usize {
-        let plain = encode(&news);
-        news.subscribes = true;
-        let wanting = encode(&news);
-        self.relays.board.borrow_mut().push_own_zone(&plain);
+    /// Sends a message to the targets and queues it for this host's subscribers. Returns its
+    /// encoded size.
+    fn send(&self, targets: &[PeerTarget], mut gossip: GossipMessage) -> usize {
+        let encoded = encode(&gossip);
+        gossip.subscribes = true;
+        let encoded_subscribing = encode(&gossip);
+        self.relays.queue.borrow_mut().push_own_zone(&encoded);
         let is_target = |host: &HostName| targets.iter().any(|target| target.host == *host);
-        self.table.borrow_mut().retain(is_target);
+        self.connections.borrow_mut().retain(is_target);
         for target in targets {
-            let message = if target.subscribes { &wanting } else { &plain };
-            tell(&self.table, &target.host, target.address, message);
+            let message = if target.subscribes { &encoded_subscribing } else { &encoded };
+            send_or_connect(&self.connections, &target.host, target.address, message);
         }
-        plain.len()
+        encoded.len()
     }
 }
 
-/// A message that cannot be written is left out.
-fn encode(news: &GossipMessage) -> Bytes {
-    match encode_gossip(news) {
+/// Returns no bytes if the message can't be encoded.
+fn encode(gossip: &GossipMessage) -> Bytes {
+    match encode_gossip(gossip) {
         Ok(message) => Bytes::from(message),
         Err(err) => {
-            tracing::error!("a message cannot be written: {err}");
+            tracing::error!("could not encode a gossip message: {err}");
             Bytes::new()
         }
     }
 }
 
-fn is_worth_telling(news: &GossipMessage) -> bool {
-    !news.loads.is_empty()
-        || !news.loading.is_empty()
-        || !news.prompts.is_empty()
-        || !news.caches.is_empty()
-        || !news.weights.is_empty()
-        || news.quotas.as_ref().is_some_and(|report| !report.counts.is_empty())
+fn has_updates(gossip: &GossipMessage) -> bool {
+    !gossip.loads.is_empty()
+        || !gossip.loading.is_empty()
+        || !gossip.prompts.is_empty()
+        || !gossip.caches.is_empty()
+        || !gossip.weights.is_empty()
+        || gossip.quotas.as_ref().is_some_and(|report| !report.counts.is_empty())
 }
--- a/crates/entry/src/control/peer_listener.rs
+++ b/crates/entry/src/control/peer_listener.rs
@@ -1,4 +1,4 @@
-//! Hears the other routers.
+//! Receives gossip and log requests from other routers.
 
 use std::io;
 use std::net::SocketAddr;
@@ -36,7 +36,7 @@
 use crate::control::fleet_codec::encode_payload;
 use crate::control::record_cache::CacheReply;
 use crate::control::record_cache::RecordCache;
-use crate::control::relay_board::SharedRelays;
+use crate::control::relay_queue::SharedRelays;
 use crate::sockets::watch_peer;
 use crate::state::SharedState;
 use crate::state::boot_now;
@@ -44,16 +44,15 @@
 use crate::telemetry::count_refused;
 use crate::telemetry::topic_label;
 
-/// A link whose other end fell silent is dropped after some of these.
-const SILENT_PEER: Duration = Duration::from_secs(5);
-/// Largest message; a fleet of 12,000 servers at 16 bytes each stays below.
-const MOST_MESSAGE_BYTES: usize = 256 * 1024;
-/// A question is some 20 bytes.
-const MOST_QUESTION_BYTES: usize = 1_024;
-/// Pause after a failed accept: without free descriptors the next one fails, too.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+/// A connection whose peer stops answering is closed after a few of these.
+const PEER_TIMEOUT: Duration = Duration::from_secs(5);
+/// Maximum message size. Fits a fleet of 12,000 servers at 16 bytes each.
+const MAX_MESSAGE_BYTES: usize = 256 * 1024;
+const MAX_REQUEST_BYTES: usize = 1_024;
+/// Delay after a failed accept. Without free file descriptors the next one would fail too.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// The listener.
+/// Accepts connections from other routers.
 pub(crate) struct PeerListener {
     state: Arc<SharedState>,
     record_cache: Rc<RecordCache>,
@@ -61,16 +60,15 @@
     listener: TcpListener,
 }
 
-/// A stream of words.
+/// A stream of gossip messages.
 struct GossipStream {
     state: Arc<SharedState>,
     relays: SharedRelays,
-    /// Who passes them on; none where they come from the router that says them.
+    /// The relay that forwards the messages; `None` if the sender is their origin.
     relay: Option<HostName>,
 }
 
 impl PeerListener {
-    /// Takes over the listening socket.
     pub(crate) fn new(
         state: Arc<SharedState>,
         record_cache: Rc<RecordCache>,
@@ -80,65 +78,76 @@
         Ok(PeerListener { state, record_cache, relays, listener: TcpListener::from_std(listener)? })
     }
 
-    /// Accepts links on and on.
+    /// Accepts connections until it is dropped.
     pub(crate) async fn run(self) {
         loop {
             match self.listener.accept().await {
                 Ok((stream, _)) => {
                     let (state, record_cache) = (self.state.clone(), self.record_cache.clone());
-                    actix_rt::spawn(serve_link(state, record_cache, self.relays.clone(), stream));
+                    actix_rt::spawn(serve_connection(
+                        state,
+                        record_cache,
+                        self.relays.clone(),
+                        stream,
+                    ));
                 }
                 Err(err) => {
-                    tracing::warn!("a link could not be accepted: {err}");
-                    sleep(ACCEPT_PAUSE).await;
+                    tracing::warn!("could not accept a peer connection: {err}");
+                    sleep(ACCEPT_RETRY_DELAY).await;
                 }
             }
         }
     }
 }
 
-async fn serve_link(
+async fn serve_connection(
     state: Arc<SharedState>,
     record_cache: Rc<RecordCache>,
     relays: SharedRelays,
     stream: TcpStream,
 ) {
-    if let Err(err) = watch_peer(&stream, SILENT_PEER) {
-        tracing::debug!("a link cannot be watched: {err}");
+    if let Err(err) = watch_peer(&stream, PEER_TIMEOUT) {
+        tracing::debug!("could not set the peer timeout: {err}");
     }
-    let asker = stream.peer_addr().ok();
+    let requester = stream.peer_addr().ok();
     let mut connection = match h2::server::handshake(stream).await {
         Ok(connection) => connection,
         Err(err) => {
-            tracing::debug!("a link was not opened: {err}");
+            tracing::debug!("HTTP/2 handshake with a peer failed: {err}");
             return;
         }
     };
     while let Some(next) = connection.accept().await {
         match next {
-            // The connection is driven by this loop, so that messages are heard beside it.
+            // Answered in a task: this loop drives the connection, including its gossip streams.
             Ok((request, respond)) if request.uri().path() == "/log" => {
                 let (state, record_cache) = (state.clone(), record_cache.clone());
-                actix_rt::spawn(answer_question(state, record_cache, asker, request, respond));
+                actix_rt::spawn(serve_log_request(
+                    state,
+                    record_cache,
+                    requester,
+                    request,
+                    respond,
+                ));
             }
             Ok((request, respond)) => {
                 let (state, relays) = (state.clone(), relays.clone());
-                let words = GossipStream { state, relays, relay: relay_of(&request) };
-                actix_rt::spawn(words.hear(request.into_body(), respond));
+                let gossip_stream = GossipStream { state, relays, relay: relay_host(&request) };
+                actix_rt::spawn(gossip_stream.receive(request.into_body(), respond));
             }
             Err(err) => {
-                tracing::debug!("a link has ended: {err}");
+                tracing::debug!("peer connection failed: {err}");
                 return;
             }
         }
     }
 }
 
-/// Records for a router that does not read the store. Without them it is told why and reads itself.
-async fn answer_question(
+/// Answers with cached records, or with a status that sends the requester elsewhere.
+async fn serve_log_request(
     state: Arc<SharedState>,
     record_cache: Rc<RecordCache>,
-    asker: Option<SocketAddr>,
+    requester: Option<SocketAddr>,
     request: Request<RecvStream>,
     mut respond: SendResponse<Bytes>,
 ) {
@@ -148,16 +157,16 @@
     };
     let mut body = request.into_body();
     let mut bytes = Vec::new();
-    while let Some(Ok(piece)) = body.data().await {
-        bytes.extend_from_slice(&piece);
-        if MOST_QUESTION_BYTES < bytes.len() {
+    while let Some(Ok(chunk)) = body.data().await {
+        bytes.extend_from_slice(&chunk);
+        if MAX_REQUEST_BYTES < bytes.len() {
             return;
         }
     }
     let (status, encoded) = match decode_payload::<LogQuestion>(&bytes) {
-        Ok(question) => {
-            let reply = record_cache.answer(question, store).await;
-            note_reply(&state, &question, &reply, asker);
+        Ok(log_request) => {
+            let reply = record_cache.answer(log_request, store).await;
+            record_reply(&state, &log_request, &reply, requester);
             encode_reply(reply)
         }
         Err(err) => {
@@ -166,15 +175,15 @@
             (StatusCode::SERVICE_UNAVAILABLE, None)
         }
     };
-    let mut head = Response::new(());
-    *head.status_mut() = status;
-    let sent = respond.send_response(head, encoded.is_none());
+    let mut response = Response::new(());
+    *response.status_mut() = status;
+    let sent = respond.send_response(response, encoded.is_none());
     let sent = sent.and_then(|mut stream| match encoded {
         Some(encoded) => stream.send_data(Bytes::from(encoded), true),
         None => Ok(()),
     });
     if let Err(err) = sent {
-        tracing::debug!("a router that asked has left: {err}");
+        tracing::debug!("could not send a log response: {err}");
     }
 }
 
@@ -183,7 +192,7 @@
         CacheReply::Records(answer) => match encode_payload(&answer) {
             Ok(encoded) => (StatusCode::OK, Some(encoded)),
             Err(err) => {
-                tracing::error!("records cannot be handed on: {err}");
+                tracing::error!("could not encode a log response: {err}");
                 (StatusCode::SERVICE_UNAVAILABLE, None)
             }
         },
@@ -192,16 +201,16 @@
     }
 }
 
-fn note_reply(
+fn record_reply(
     state: &SharedState,
-    question: &LogQuestion,
+    log_request: &LogQuestion,
     reply: &CacheReply,
-    asker: Option<SocketAddr>,
+    requester: Option<SocketAddr>,
 ) {
     match reply {
-        CacheReply::Records(answer) => count_given(question.topic, answer.bytes()),
+        CacheReply::Records(answer) => count_given(log_request.topic, answer.bytes()),
         CacheReply::OverBudget { bytes, remaining } => {
-            count_refused(question.topic);
+            count_refused(log_request.topic);
             let kind = EventKind::HandOnRefused;
             if !state.lines.allows(kind, Instant::now()) {
                 return;
@@ -209,9 +218,9 @@
             tracing::info!(
                 event = kind.number(),
                 name = kind.name(),
-                asker = asker.map(|asker| asker.to_string()),
-                topic = topic_label(question.topic),
-                from = %question.from,
+                asker = requester.map(|requester| requester.to_string()),
+                topic = topic_label(log_request.topic),
+                from = %log_request.from,
                 bytes,
                 left_bytes = remaining,
             );
@@ -220,8 +229,8 @@
     }
 }
 
-/// The host that passes the words of this stream on.
-fn relay_of(request: &Request<RecvStream>) -> Option<HostName> {
+/// The host that relays the messages of this stream.
+fn relay_host(request: &Request<RecvStream>) -> Option<HostName> {
     if request.uri().path() != RELAYED_PATH {
         return None;
     }
@@ -230,32 +239,32 @@
 }
 
 impl GossipStream {
-    async fn hear(
+    async fn receive(
         self,
         body: RecvStream,
-        // Kept until the stream ends: dropped without an answer it would reset the stream.
+        // Held until the stream ends: dropping it without a response would reset the stream.
         _respond: SendResponse<Bytes>,
     ) {
-        self.hear_on(body).await;
+        self.receive_messages(body).await;
         if let Some(relay) = &self.relay {
             self.relays.choice.borrow_mut().ended(relay, Instant::now());
         }
     }
 
-    async fn hear_on(&self, mut body: RecvStream) {
-        let mut waiting = BytesMut::new();
-        while let Some(Ok(piece)) = body.data().await {
-            if let Err(err) = body.flow_control().release_capacity(piece.len()) {
-                tracing::debug!("a link cannot go on: {err}");
+    async fn receive_messages(&self, mut body: RecvStream) {
+        let mut buffer = BytesMut::new();
+        while let Some(Ok(chunk)) = body.data().await {
+            if let Err(err) = body.flow_control().release_capacity(chunk.len()) {
+                tracing::debug!("could not release flow control capacity: {err}");
                 return;
             }
             if let Some(relay) = &self.relay {
                 self.relays.choice.borrow_mut().heard(relay, Instant::now());
             }
-            waiting.extend_from_slice(&piece);
-            while let Some(message) = take_message(&mut waiting) {
+            buffer.extend_from_slice(&chunk);
+            while let Some(message) = split_message(&mut buffer) {
                 match decode_gossip(&message[LENGTH_PREFIX_BYTES..]) {
-                    Ok(news) => self.take_word(&news, &message),
+                    Ok(gossip) => self.handle_message(&gossip, &message),
                     Err(err) => {
                         let kind = EventKind::PeerUnreadable;
                         tracing::warn!(event = kind.number(), name = kind.name(), reason = %err);
@@ -264,59 +273,59 @@
                 }
             }
             self.state.waiting.wake();
-            if MOST_MESSAGE_BYTES < waiting.len() {
+            if MAX_MESSAGE_BYTES < buffer.len() {
                 return;
             }
         }
     }
 
-    /// Takes a word in and passes it on, as far as it is for this host to do so.
-    fn take_word(&self, news: &GossipMessage, message: &[u8]) {
+    /// Applies a message and queues it for forwarding, as its path and origin require.
+    fn handle_message(&self, gossip: &GossipMessage, message: &[u8]) {
         let settings = &self.state.settings;
-        let (Some(host), Some(origin)) = (&news.host, &news.zone) else { return };
-        // A relay passes a host's own words on to it, too.
+        let (Some(host), Some(origin_zone)) = (&gossip.host, &gossip.zone) else { return };
+        // A relay also forwards a host's own messages back to it.
         if *host == settings.host {
             return;
         }
-        let way = if self.relay.is_some() { GossipPath::Relayed } else { GossipPath::Direct };
-        let mut board = self.relays.board.borrow_mut();
-        if way == GossipPath::Direct && news.subscribes {
-            board.listen(host, origin, Instant::now());
+        let path = if self.relay.is_some() { GossipPath::Relayed } else { GossipPath::Direct };
+        let mut queue = self.relays.queue.borrow_mut();
+        if path == GossipPath::Direct && gossip.subscribes {
+            queue.subscribe(host, origin_zone, Instant::now());
         }
-        if is_passed_on(way, origin, &settings.zone) {
-            match way {
-                GossipPath::Direct => board.push_own_zone(message),
-                GossipPath::Relayed => board.push_other_zone(message),
+        if is_passed_on(path, origin_zone, &settings.zone) {
+            match path {
+                GossipPath::Direct => queue.push_own_zone(message),
+                GossipPath::Relayed => queue.push_other_zone(message),
             }
         }
-        if is_taken_in(way, news.subscribes, origin, &settings.zone) {
-            take_news(&self.state, news);
+        if is_taken_in(path, gossip.subscribes, origin_zone, &settings.zone) {
+            apply_gossip(&self.state, gossip);
         }
     }
 }
 
-fn take_news(state: &SharedState, news: &GossipMessage) {
-    state.book().hear(news, Instant::now());
-    if let (Some(host), Some(report)) = (&news.host, &news.quotas) {
+fn apply_gossip(state: &SharedState, gossip: &GossipMessage) {
+    state.book().hear(gossip, Instant::now());
+    if let (Some(host), Some(report)) = (&gossip.host, &gossip.quotas) {
         state.quotas().receive(host, report, Instant::now());
     }
-    if news.weights.is_empty() {
+    if gossip.weights.is_empty() {
         return;
     }
     let mut weights = (**state.weights.load()).clone();
     let mut is_changed = false;
-    for age in &news.weights {
-        let ago = Duration::from_millis(age.age_ms);
-        is_changed |= weights.correct_age(&age.model, age.version, ago, boot_now());
+    for age in &gossip.weights {
+        let reported_age = Duration::from_millis(age.age_ms);
+        is_changed |= weights.correct_age(&age.model, age.version, reported_age, boot_now());
     }
     if is_changed {
         state.weights.store(Arc::new(weights));
     }
 }
 
-/// Takes a whole message off the front, with its length.
-fn take_message(waiting: &mut BytesMut) -> Option<BytesMut> {
-    let length = waiting.first_chunk::<LENGTH_PREFIX_BYTES>()?;
+/// Splits a complete message off the front of the buffer, including its length prefix.
+fn split_message(buffer: &mut BytesMut) -> Option<BytesMut> {
+    let length = buffer.first_chunk::<LENGTH_PREFIX_BYTES>()?;
     let length = LENGTH_PREFIX_BYTES + u32::from_be_bytes(*length) as usize;
-    (length <= waiting.len()).then(|| waiting.split_to(length))
+    (length <= buffer.len()).then(|| buffer.split_to(length))
 }
--- a/crates/entry/src/control/relay_forwarder.rs
+++ b/crates/entry/src/control/relay_forwarder.rs
@@ -1,4 +1,4 @@
-//! Passes words on to the routers that want them.
+//! Forwards relayed messages to their subscribers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,71 +9,72 @@
 use tokio::time::Instant;
 use tokio::time::sleep;
 
+use crate::control::connection_table::ConnectionTable;
+use crate::control::connection_table::SharedConnections;
+use crate::control::connection_table::StreamKind;
+use crate::control::connection_table::send_or_connect;
 use crate::control::fleet_watcher::SharedFleetState;
-use crate::control::link_table::LinkPath;
-use crate::control::link_table::LinkTable;
-use crate::control::link_table::SharedTable;
-use crate::control::link_table::tell;
-use crate::control::relay_board::SharedRelays;
+use crate::control::relay_queue::SharedRelays;
 use crate::state::SharedState;
 
-/// Words are passed on together at this pace: a message for each would cost a host with an eighth of a core
-/// most of its time, and a longer pause makes them older.
-const TURN_PACE: Duration = Duration::from_millis(40);
-/// A relay without words says that it is there at this pace: its listeners would else take it for lost.
-const IDLE_PACE: Duration = Duration::from_millis(120);
-/// What may wait in a link, in bytes: a turn of some hundred words.
-const MOST_WAITING_BYTES: usize = 64 * 1024;
+/// Messages are forwarded in batches at this interval: forwarding each by itself would cost a
+/// small host most of its CPU time.
+const FORWARD_INTERVAL: Duration = Duration::from_millis(40);
+/// Interval of batches to other zones when there are no messages, so that their relays don't take
+/// this one for lost.
+const IDLE_INTERVAL: Duration = Duration::from_millis(120);
+/// Send buffer of a connection: a batch of some hundred messages.
+const MAX_BUFFERED_BYTES: usize = 64 * 1024;
 
-/// The desk.
+/// Sends batches of relayed messages to the subscribers.
 pub(crate) struct RelayForwarder {
     state: Arc<SharedState>,
     fleet_state: SharedFleetState,
     relays: SharedRelays,
-    table: SharedTable,
+    connections: SharedConnections,
 }
 
 impl RelayForwarder {
-    /// No links yet.
     pub(crate) fn new(
         state: Arc<SharedState>,
         fleet_state: SharedFleetState,
         relays: SharedRelays,
     ) -> RelayForwarder {
-        let path = LinkPath::Relayed(state.settings.host.clone());
-        let table = SharedTable::new(LinkTable::new(path, MOST_WAITING_BYTES).into());
-        RelayForwarder { state, fleet_state, relays, table }
+        let stream_kind = StreamKind::Relayed(state.settings.host.clone());
+        let connections =
+            SharedConnections::new(ConnectionTable::new(stream_kind, MAX_BUFFERED_BYTES).into());
+        RelayForwarder { state, fleet_state, relays, connections }
     }
 
-    /// Passes on and on.
+    /// Forwards batches until it is dropped.
     pub(crate) async fn run(self) {
-        let mut spoken = Instant::now();
+        let mut last_sent = Instant::now();
         loop {
-            sleep(TURN_PACE).await;
+            sleep(FORWARD_INTERVAL).await;
             let zone = &self.state.settings.zone;
-            let turn = self.relays.board.borrow_mut().take_turn(zone, Instant::now());
-            let Some(turn) = turn else {
-                self.table.borrow_mut().retain(|_| false);
+            let batch = self.relays.queue.borrow_mut().take_batch(zone, Instant::now());
+            let Some(batch) = batch else {
+                self.connections.borrow_mut().retain(|_| false);
                 continue;
             };
-            let listeners = turn.zone_hosts.iter().chain(&turn.other_relays);
-            let listeners: IndexSet<&HostName> = listeners.collect();
-            self.table.borrow_mut().retain(|host| listeners.contains(host));
-            if turn.zone_words.is_empty() && spoken.elapsed() < IDLE_PACE {
-                self.pass_on(&turn.zone_hosts, &turn.all_words);
+            let subscribers = batch.zone_hosts.iter().chain(&batch.other_relays);
+            let subscribers: IndexSet<&HostName> = subscribers.collect();
+            self.connections.borrow_mut().retain(|host| subscribers.contains(host));
+            if batch.zone_messages.is_empty() && last_sent.elapsed() < IDLE_INTERVAL {
+                self.send_all(&batch.zone_hosts, &batch.all_messages);
                 continue;
             }
-            spoken = Instant::now();
-            self.pass_on(&turn.zone_hosts, &turn.all_words);
-            self.pass_on(&turn.other_relays, &turn.zone_words);
+            last_sent = Instant::now();
+            self.send_all(&batch.zone_hosts, &batch.all_messages);
+            self.send_all(&batch.other_relays, &batch.zone_messages);
         }
     }
 
-    fn pass_on(&self, hosts: &[HostName], words: &Bytes) {
+    fn send_all(&self, hosts: &[HostName], messages: &Bytes) {
         for host in hosts {
             let address = self.fleet_state.borrow().address_of(host);
             if let Some(address) = address {
-                tell(&self.table, host, address, words);
+                send_or_connect(&self.connections, host, address, messages);
             }
         }
     }
--- a/crates/entry/src/control/relay_queue.rs
+++ b/crates/entry/src/control/relay_queue.rs
@@ -1,4 +1,4 @@
-//! Words of other routers that this one passes on.
+//! Messages of other routers that this one relays.
 
 #[cfg(test)]
 mod tests;
@@ -15,78 +15,86 @@
 use indexmap::IndexMap;
 use tokio::time::Instant;
 
-/// A router asks again with each of its words, the slowest of which come 0.6 s apart.
-const LISTENER_AGE: Duration = Duration::from_millis(1_500);
-/// Words that wait to be passed on. A turn of 200 hosts' longest words stays below; more would only be older.
-const MOST_WAITING_BYTES: usize = 256 * 1024;
+/// Time after which a subscription expires. Each message renews it; idle ones are up to 0.6 s
+/// apart.
+const SUBSCRIPTION_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Maximum size of each buffer. Fits the longest messages of 200 hosts; a longer backlog would only
+/// be stale.
+const MAX_BUFFERED_BYTES: usize = 256 * 1024;
 
-/// The board and this router's own choice of relays, shared by the tasks of the control thread.
+/// The queue and this router's own relays, shared by the tasks of the control thread.
 #[derive(Clone, Default)]
 pub(crate) struct SharedRelays {
-    pub(crate) board: Rc<RefCell<RelayBoard>>,
+    pub(crate) queue: Rc<RefCell<RelayQueue>>,
     pub(crate) choice: Rc<RefCell<RelayChoice>>,
 }
 
-/// Who wants words, and the words since they were last passed on, as they came.
+/// Subscribers, and the messages received since the last batch.
 #[derive(Default)]
-pub(crate) struct RelayBoard {
-    /// By host, with its zone and when it last asked.
-    listeners: IndexMap<HostName, (ZoneName, Instant)>,
-    /// Words of this zone.
+pub(crate) struct RelayQueue {
+    /// By host, with its zone and the time of its last request.
+    subscribers: IndexMap<HostName, (ZoneName, Instant)>,
+    /// Messages from this zone.
     own_zone: BytesMut,
-    /// Words of other zones.
+    /// Messages from other zones.
     other_zones: BytesMut,
 }
 
-/// What is passed on in a turn.
-pub(crate) struct RelayTurn {
-    /// For hosts of this zone: all words.
-    pub(crate) all_words: Bytes,
+/// Messages to forward, and their recipients.
+pub(crate) struct RelayBatch {
+    /// For hosts of this zone: messages from all zones.
+    pub(crate) all_messages: Bytes,
     pub(crate) zone_hosts: Vec<HostName>,
-    /// For relays of other zones: the words of this one.
-    pub(crate) zone_words: Bytes,
+    /// For relays of other zones: messages from this zone.
+    pub(crate) zone_messages: Bytes,
     pub(crate) other_relays: Vec<HostName>,
 }
 
-impl RelayBoard {
-    /// A router wants to hear what others say.
-    pub(crate) fn listen(&mut self, host: &HostName, zone: &ZoneName, now: Instant) {
-        self.listeners.insert(host.clone(), (zone.clone(), now));
+impl RelayQueue {
+    /// Adds a subscription or renews it.
+    pub(crate) fn subscribe(&mut self, host: &HostName, zone: &ZoneName, now: Instant) {
+        self.subscribers.insert(host.clone(), (zone.clone(), now));
     }
 
-    /// A word of a router of this zone, with its length before it.
+    /// Adds a message of a router in this zone, including its length prefix.
     pub(crate) fn push_own_zone(&mut self, message: &[u8]) {
         push(&mut self.own_zone, message);
     }
 
-    /// A word of another zone.
+    /// Adds a message of a router in another zone, including its length prefix.
     pub(crate) fn push_other_zone(&mut self, message: &[u8]) {
         push(&mut self.other_zones, message);
     }
 
-    /// Takes what is to be passed on now; nothing where nobody listens.
-    pub(crate) fn take_turn(&mut self, own_zone: &ZoneName, now: Instant) -> Option<RelayTurn> {
-        self.listeners.retain(|_, (_, at)| now.saturating_duration_since(*at) < LISTENER_AGE);
-        let zone_words = self.own_zone.split().freeze();
-        let other_words = self.other_zones.split();
-        if self.listeners.is_empty() {
+    /// Takes the messages to forward now; `None` without subscribers.
+    pub(crate) fn take_batch(&mut self, own_zone: &ZoneName, now: Instant) -> Option<RelayBatch> {
+        self.subscribers
+            .retain(|_, (_, at)| now.saturating_duration_since(*at) < SUBSCRIPTION_TIMEOUT);
+        let zone_messages = self.own_zone.split().freeze();
+        let other_messages = self.other_zones.split();
+        if self.subscribers.is_empty() {
             return None;
         }
         let (zone_hosts, other_relays): (Vec<_>, Vec<_>) =
-            self.listeners.iter().partition(|(_, (zone, _))| zone == own_zone);
+            self.subscribers.iter().partition(|(_, (zone, _))| zone == own_zone);
         let names = |hosts: Vec<(&HostName, &(ZoneName, Instant))>| {
             hosts.into_iter().map(|(host, _)| host.clone()).collect()
         };
-        let mut all_words = BytesMut::with_capacity(zone_words.len() + other_words.len());
-        all_words.extend_from_slice(&zone_words);
-        all_words.extend_from_slice(&other_words);
+        let mut all_messages = BytesMut::with_capacity(zone_messages.len() + other_messages.len());
+        all_messages.extend_from_slice(&zone_messages);
+        all_messages.extend_from_slice(&other_messages);
         let (zone_hosts, other_relays) = (names(zone_hosts), names(other_relays));
-        Some(RelayTurn { all_words: all_words.freeze(), zone_hosts, zone_words, other_relays })
+        Some(RelayBatch {
+            all_messages: all_messages.freeze(),
+            zone_hosts,
+            zone_messages,
+            other_relays,
+        })
     }
 }
 
-fn push(waiting: &mut BytesMut, message: &[u8]) {
-    if waiting.len() + message.len() <= MOST_WAITING_BYTES {
-        waiting.extend_from_slice(message);
+fn push(buffer: &mut BytesMut, message: &[u8]) {
+    if buffer.len() + message.len() <= MAX_BUFFERED_BYTES {
+        buffer.extend_from_slice(message);
     }
 }
--- a/crates/entry/src/control/relay_queue/tests.rs
+++ b/crates/entry/src/control/relay_queue/tests.rs
@@ -1,4 +1,4 @@
-//! What is passed on, and to whom.
+//! Recipients of relayed messages, and limits of the queue.
 
 use std::time::Duration;
 
@@ -6,57 +6,56 @@
 use fulmargate_names::ZoneName;
 use tokio::time::Instant;
 
-use super::LISTENER_AGE;
-use super::MOST_WAITING_BYTES;
-use super::RelayBoard;
+use super::MAX_BUFFERED_BYTES;
+use super::RelayQueue;
+use super::SUBSCRIPTION_TIMEOUT;
 
 const NORTH: &str = "north";
 const SOUTH: &str = "south";
 
-fn board(listeners: &[(&str, &str)], now: Instant) -> RelayBoard {
-    let mut board = RelayBoard::default();
-    for (host, zone) in listeners {
-        board.listen(&HostName::new(host), &ZoneName::new(zone), now);
+fn queue(subscribers: &[(&str, &str)], now: Instant) -> RelayQueue {
+    let mut queue = RelayQueue::default();
+    for (host, zone) in subscribers {
+        queue.subscribe(&HostName::new(host), &ZoneName::new(zone), now);
     }
-    board
+    queue
 }
 
 #[test]
-fn hosts_of_the_zone_hear_all_and_others_hear_the_zone() {
+fn zone_hosts_receive_all_and_other_relays_receive_the_own_zone() {
     let now = Instant::now();
-    let mut board = board(&[("near", NORTH), ("far", SOUTH)], now);
-    board.push_own_zone(b"one");
-    board.push_other_zone(b"two");
-    let turn = board.take_turn(&ZoneName::new(NORTH), now).expect("somebody listens");
-    assert_eq!((&turn.all_words[..], &turn.zone_words[..]), (&b"onetwo"[..], &b"one"[..]));
-    assert_eq!(turn.zone_hosts, [HostName::new("near")]);
-    assert_eq!(turn.other_relays, [HostName::new("far")]);
-    let next = board.take_turn(&ZoneName::new(NORTH), now).expect("somebody listens");
-    assert!(next.all_words.is_empty(), "a word is passed on once");
+    let mut queue = queue(&[("near", NORTH), ("far", SOUTH)], now);
+    queue.push_own_zone(b"one");
+    queue.push_other_zone(b"two");
+    let batch = queue.take_batch(&ZoneName::new(NORTH), now).expect("has subscribers");
+    assert_eq!((&batch.all_messages[..], &batch.zone_messages[..]), (&b"onetwo"[..], &b"one"[..]));
+    assert_eq!(batch.zone_hosts, [HostName::new("near")]);
+    assert_eq!(batch.other_relays, [HostName::new("far")]);
+    let next = queue.take_batch(&ZoneName::new(NORTH), now).expect("has subscribers");
+    assert!(next.all_messages.is_empty(), "each message is forwarded once");
 }
 
-/// A host that has chosen another relay, or has ended, is passed words on for good, and the link of a relay
-/// fills with what nobody wants. Who does not ask again is forgotten.
+/// Guards against forwarding forever to a host that has exited or chosen another relay.
 #[test]
-fn who_does_not_ask_again_hears_nothing() {
+fn expired_subscribers_receive_nothing() {
     let now = Instant::now();
-    let mut board = board(&[("near", NORTH)], now);
+    let mut queue = queue(&[("near", NORTH)], now);
     let north = ZoneName::new(NORTH);
-    let later = now + LISTENER_AGE;
-    assert!(board.take_turn(&north, later - Duration::from_millis(1)).is_some());
-    board.push_own_zone(b"one");
-    assert!(board.take_turn(&north, later).is_none());
-    board.listen(&HostName::new("near"), &north, later);
-    let turn = board.take_turn(&north, later).expect("it has asked again");
-    assert!(turn.all_words.is_empty(), "what it did not want is not kept for it");
+    let later = now + SUBSCRIPTION_TIMEOUT;
+    assert!(queue.take_batch(&north, later - Duration::from_millis(1)).is_some());
+    queue.push_own_zone(b"one");
+    assert!(queue.take_batch(&north, later).is_none());
+    queue.subscribe(&HostName::new("near"), &north, later);
+    let batch = queue.take_batch(&north, later).expect("subscription renewed");
+    assert!(batch.all_messages.is_empty(), "messages from before the renewal are dropped");
 }
 
 #[test]
-fn what_waits_is_bounded() {
+fn buffered_bytes_are_bounded() {
     let now = Instant::now();
-    let mut board = board(&[("near", NORTH)], now);
+    let mut queue = queue(&[("near", NORTH)], now);
     let message = vec![0; 1_000];
-    (0..1_000).for_each(|_| board.push_own_zone(&message));
-    let turn = board.take_turn(&ZoneName::new(NORTH), now).expect("somebody listens");
-    assert!(turn.all_words.len() <= MOST_WAITING_BYTES);
+    (0..1_000).for_each(|_| queue.push_own_zone(&message));
+    let batch = queue.take_batch(&ZoneName::new(NORTH), now).expect("has subscribers");
+    assert!(batch.all_messages.len() <= MAX_BUFFERED_BYTES);
 }
