--- a/crates/entry/src/control.rs
+++ b/crates/entry/src/control.rs
@@ -1,4 +1,4 @@
-//! The control thread: what is agreed and known.
+//! The control thread: configuration, fleet state and gossip.
 
 mod cache_event_client;
 mod cache_reader;
@@ -12,8 +12,8 @@
 mod gossip_sender;
 mod log_source;
 mod operator_watcher;
-mod order_run;
 mod order_scheduler;
+mod order_task;
 mod own_records;
 mod pages;
 mod peer_listener;
--- a/crates/entry/src/control/connection_table/tests.rs
+++ b/crates/entry/src/control/connection_table/tests.rs
@@ -75,7 +75,7 @@
         case.name
     );
     for _ in 0..MAX_POLLS {
-        table.borrow_mut().send(&host, &Bytes::from_static(b"a word"));
+        table.borrow_mut().send(&host, &Bytes::from_static(b"message"));
         if !table.borrow().connections.contains_key(&host) {
             break;
         }
--- a/crates/entry/src/control/control_thread.rs
+++ b/crates/entry/src/control/control_thread.rs
@@ -1,4 +1,4 @@
-//! Starts the tasks of the control thread and runs the planned stop.
+//! Starts the tasks of the control thread and runs the graceful shutdown.
 
 use std::net::TcpListener;
 use std::path::PathBuf;
@@ -25,7 +25,7 @@
 use crate::control::log_source::LogSource;
 use crate::control::operator_watcher::OperatorWatcher;
 use crate::control::order_scheduler::OrderScheduler;
-use crate::control::pages::serve_pages;
+use crate::control::pages::serve_http_pages;
 use crate::control::peer_listener::PeerListener;
 use crate::control::record_cache::RecordCache;
 use crate::control::relay_forwarder::RelayForwarder;
@@ -37,27 +37,28 @@
 use crate::state::SharedState;
 use crate::telemetry::render_metrics;
 
-/// The balancer asks once a second and takes a host out after two misses; until then it still
-/// sends new connections.
-const STOP_LEAD: Duration = Duration::from_millis(2_600);
-/// Before the time for a stop is over, so that the process ends by itself.
-const STOP_MARGIN: Duration = Duration::from_millis(500);
-/// How often the stop looks for open connections.
-const STOP_PACE: Duration = Duration::from_millis(50);
-/// The recorder's samples are put into buckets at this pace, which bounds their memory.
-const UPKEEP_PACE: Duration = Duration::from_secs(5);
+/// The load balancer polls readiness every second and removes a host after two failures. Until then
+/// it sends new connections.
+const READINESS_DRAIN_DELAY: Duration = Duration::from_millis(2_600);
+/// Reserve before the shutdown deadline, so that the process exits by itself.
+const SHUTDOWN_MARGIN: Duration = Duration::from_millis(500);
+/// Interval at which the shutdown checks for open connections.
+const CONNECTION_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Interval at which recorded samples are drained into histogram buckets, which bounds their
+/// memory.
+const METRICS_UPKEEP_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Listeners of the control thread.
 pub(crate) struct ControlListeners {
-    /// For the balancer.
+    /// Readiness checks of the load balancer.
     pub(crate) readiness: TcpListener,
-    /// For readers of metrics.
+    /// Metrics scrapes.
     pub(crate) metrics: TcpListener,
-    /// For other routers.
+    /// Gossip and log requests of other routers.
     pub(crate) peers: TcpListener,
 }
 
-/// The control thread: an actix system with the tasks that talk to the store and to engines.
+/// The control thread: an actix system with the tasks that talk to the store, to engines and to
+/// other routers.
 pub(crate) struct ControlThread {
     pub(crate) state: Arc<SharedState>,
     pub(crate) stop: StopTokens,
@@ -65,7 +66,7 @@
 }
 
 impl ControlThread {
-    /// Runs until the planned stop is over.
+    /// Runs until the shutdown is complete.
     pub(crate) fn run(
         self,
         listeners: ControlListeners,
@@ -73,7 +74,7 @@
     ) -> Result<(), StartError> {
         System::new().block_on(async move {
             let ControlListeners { readiness, metrics, peers } = listeners;
-            let pages = serve_pages(self.state.clone(), self.stop.clone(), readiness, metrics)
+            let pages = serve_http_pages(self.state.clone(), self.stop.clone(), readiness, metrics)
                 .map_err(|err| StartError::Thread { what: "pages", reason: err.to_string() })?;
             actix_rt::spawn(pages);
             let record_cache = Rc::new(RecordCache::new(self.state.settings.link_bytes_per_s()));
@@ -81,10 +82,10 @@
             let listener =
                 PeerListener::new(self.state.clone(), record_cache.clone(), relays.clone(), peers)
                     .map_err(|err| StartError::Thread { what: "peers", reason: err.to_string() })?;
-            spawn_until(&self.stop.ended, listener.run());
+            spawn_until_cancelled(&self.stop.ended, listener.run());
             self.start_tasks(&record_cache, &relays, crashes);
             self.serve_signals().await?;
-            self.end().await;
+            self.shut_down().await;
             Ok(())
         })
     }
@@ -98,7 +99,7 @@
         let client = StoreClient::new(self.state.settings.store);
         let token = self.stop.ended.clone();
         let fleet_state = SharedFleetState::default();
-        // Each watcher has a link of its own to the router that it asks.
+        // Each watcher has its own connection to the router that it reads from.
         let source = || {
             LogSource::new(
                 self.state.clone(),
@@ -107,43 +108,44 @@
                 record_cache.clone(),
             )
         };
-        let operator = OperatorWatcher::new(self.state.clone(), source());
-        spawn_until(&token, operator.run());
-        let servers = ServerWatcher::new(self.state.clone(), source());
-        spawn_until(&token, servers.run());
+        let operator_watcher = OperatorWatcher::new(self.state.clone(), source());
+        spawn_until_cancelled(&token, operator_watcher.run());
+        let server_watcher = ServerWatcher::new(self.state.clone(), source());
+        spawn_until_cancelled(&token, server_watcher.run());
         let reader = FleetReader::new(self.state.clone(), source(), fleet_state.clone());
-        spawn_until(&token, FleetWatcher::new(reader.clone()).run(crashes));
+        spawn_until_cancelled(&token, FleetWatcher::new(reader.clone()).run(crashes));
         let gossip = GossipSender::new(self.state.clone(), fleet_state.clone(), relays.clone());
-        spawn_until(&token, gossip.run());
-        let desk = RelayForwarder::new(self.state.clone(), fleet_state.clone(), relays.clone());
-        spawn_until(&token, desk.run());
-        spawn_until(&token, CacheWatcher::new(self.state.clone()).run());
-        let orders = OrderScheduler::new(self.state.clone(), client, fleet_state, reader);
-        // A host that leaves gives no more orders: another takes the lease.
-        spawn_until(&self.stop.begun, orders.run());
-        spawn_until(&token, keep_metrics(self.state.clone()));
+        spawn_until_cancelled(&token, gossip.run());
+        let forwarder =
+            RelayForwarder::new(self.state.clone(), fleet_state.clone(), relays.clone());
+        spawn_until_cancelled(&token, forwarder.run());
+        spawn_until_cancelled(&token, CacheWatcher::new(self.state.clone()).run());
+        let scheduler = OrderScheduler::new(self.state.clone(), client, fleet_state, reader);
+        // Cancelled when the shutdown begins, so that another host takes the lease.
+        spawn_until_cancelled(&self.stop.begun, scheduler.run());
+        spawn_until_cancelled(&token, run_metrics_upkeep(self.state.clone()));
     }
 
-    /// Waits for the signal to stop. SIGHUP only compares settings: an unhandled one would end the
-    /// process and cut all requests.
+    /// Waits for a signal to stop. SIGHUP is handled, as it would otherwise end the process; it
+    /// only compares the settings.
     async fn serve_signals(&self) -> Result<(), StartError> {
-        let open = |kind: SignalKind| {
+        let register = |kind: SignalKind| {
             signal(kind)
                 .map_err(|err| StartError::Thread { what: "signals", reason: err.to_string() })
         };
-        let mut terminate = open(SignalKind::terminate())?;
-        let mut interrupt = open(SignalKind::interrupt())?;
-        let mut hangup = open(SignalKind::hangup())?;
+        let mut sigterm = register(SignalKind::terminate())?;
+        let mut sigint = register(SignalKind::interrupt())?;
+        let mut sighup = register(SignalKind::hangup())?;
         loop {
             tokio::select! {
-                _ = terminate.recv() => return Ok(()),
-                _ = interrupt.recv() => return Ok(()),
-                _ = hangup.recv() => self.reread(),
+                _ = sigterm.recv() => return Ok(()),
+                _ = sigint.recv() => return Ok(()),
+                _ = sighup.recv() => self.compare_settings(),
             }
         }
     }
 
-    fn reread(&self) {
+    fn compare_settings(&self) {
         let kind = EventKind::SettingsReread;
         match EntrySettings::load(&self.path) {
             Ok(settings) => {
@@ -156,31 +158,31 @@
         }
     }
 
-    /// First the balancer learns that nothing new should come, then idle connections are closed,
-    /// then the process waits for what is open.
-    async fn end(&self) {
-        let begun = EventKind::StopBegun;
+    /// Fails the readiness check, closes idle connections, then waits for the open ones.
+    async fn shut_down(&self) {
+        let kind = EventKind::StopBegun;
         let open = self.state.open_requests.load(Ordering::Relaxed);
-        tracing::info!(event = begun.number(), name = begun.name(), open);
+        tracing::info!(event = kind.number(), name = kind.name(), open);
         self.stop.begun.cancel();
-        sleep(STOP_LEAD).await;
+        sleep(READINESS_DRAIN_DELAY).await;
         self.stop.closing.cancel();
-        let rest = self.state.settings.bounds.stop_grace() - STOP_LEAD;
-        let wait = rest.saturating_sub(STOP_MARGIN);
-        let all_ended = tokio::time::timeout(wait, self.all_closed()).await.is_ok();
-        let ended = EventKind::StopEnded;
-        tracing::info!(event = ended.number(), name = ended.name(), all_ended);
+        let remaining = self.state.settings.bounds.stop_grace() - READINESS_DRAIN_DELAY;
+        let drain_timeout = remaining.saturating_sub(SHUTDOWN_MARGIN);
+        let all_ended =
+            tokio::time::timeout(drain_timeout, self.wait_for_connections()).await.is_ok();
+        let kind = EventKind::StopEnded;
+        tracing::info!(event = kind.number(), name = kind.name(), all_ended);
         self.stop.ended.cancel();
     }
 
-    async fn all_closed(&self) {
+    async fn wait_for_connections(&self) {
         while 0 < self.state.open_connections.load(Ordering::Relaxed) {
-            sleep(STOP_PACE).await;
+            sleep(CONNECTION_POLL_INTERVAL).await;
         }
     }
 }
 
-fn spawn_until(token: &CancellationToken, task: impl Future<Output = ()> + 'static) {
+fn spawn_until_cancelled(token: &CancellationToken, task: impl Future<Output = ()> + 'static) {
     let token = token.clone();
     actix_rt::spawn(async move {
         tokio::select! {
@@ -190,9 +192,9 @@
     });
 }
 
-async fn keep_metrics(state: Arc<SharedState>) {
+async fn run_metrics_upkeep(state: Arc<SharedState>) {
     loop {
-        sleep(UPKEEP_PACE).await;
+        sleep(METRICS_UPKEEP_INTERVAL).await;
         render_metrics(&state);
     }
 }
--- a/crates/entry/src/control/fleet_watcher.rs
+++ b/crates/entry/src/control/fleet_watcher.rs
@@ -239,7 +239,7 @@
             proof.note_known(note.config);
         }
         // Confirms the configuration only if the restore precedes this process. After one seen by
-        // this router, it stays in doubt until operators have written again or have had time to.
+        // this router, operators first have to write again, or have to have had time to.
         if !fleet_state.is_restored_lately() && !self.epoch.borrow().has_advanced() {
             proof.settle(fleet_state.end().epoch);
         }
--- a/crates/entry/src/control/order_scheduler.rs
+++ b/crates/entry/src/control/order_scheduler.rs
@@ -1,4 +1,4 @@
-//! Brings engines to the weights wanted, while this router holds the lease.
+//! Orders engines to load the target weights while this router holds the lease.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -28,47 +28,46 @@
 use crate::control::fleet_codec::encode_keyed_record;
 use crate::control::fleet_watcher::FleetReader;
 use crate::control::fleet_watcher::SharedFleetState;
-use crate::control::order_run::OrderRun;
+use crate::control::order_task::OrderTask;
 use crate::state::SharedState;
 use crate::state::boot_now;
 
-/// How often the desk looks for work; a version must be in place within seconds.
-const IDLE_PACE: Duration = Duration::from_millis(100);
-/// How often it looks while engines load; a load takes some 300 ms.
-const BUSY_PACE: Duration = Duration::from_millis(25);
-/// An append takes 4 ms, and 250 ms when the store is slow.
+/// Interval at which the scheduler looks for pending rollouts.
+const IDLE_INTERVAL: Duration = Duration::from_millis(100);
+/// Interval while engines load weights.
+const BUSY_INTERVAL: Duration = Duration::from_millis(25);
 const APPEND_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Records that others wrote come within this time by the read that waits for them.
-const MOVED_PAUSE: Duration = Duration::from_millis(100);
+/// Delay before reading the records of other hosts after a failed append; the pending long poll
+/// usually returns them.
+const CONFLICT_READ_DELAY: Duration = Duration::from_millis(100);
 
-/// What the order runs share with the desk.
-pub(crate) struct DeskState {
+/// State shared with the order tasks.
+pub(crate) struct SchedulerState {
     pub(crate) lease: RefCell<LeaseKeeper>,
-    /// Engines with an order under way.
-    pub(crate) under_way: RefCell<IndexSet<ServerKey>>,
+    /// Engines with an order in progress.
+    pub(crate) in_progress: RefCell<IndexSet<ServerKey>>,
 }
 
-/// The desk.
+/// Schedules the orders of a weights rollout.
 pub(crate) struct OrderScheduler {
     state: Arc<SharedState>,
     store: StoreClient,
     engines: EngineClient,
     fleet_state: SharedFleetState,
     reader: FleetReader,
-    desk: Rc<DeskState>,
+    shared: Rc<SchedulerState>,
     wave: OrderWave,
 }
 
-/// Weights that some engines lack.
-struct OpenWork {
+/// A weights target that some engines have not loaded.
+struct PendingRollout {
     model: ModelName,
     target: WeightsTarget,
     servers: Vec<WaveServer>,
 }
 
 impl OrderScheduler {
-    /// A desk without the lease.
     pub(crate) fn new(
         state: Arc<SharedState>,
         store: StoreClient,
@@ -77,37 +76,39 @@
     ) -> OrderScheduler {
         let host = state.settings.host.clone();
         let lease = LeaseKeeper::new(host, state.settings.bounds.lease());
-        let desk = DeskState { lease: RefCell::new(lease), under_way: RefCell::default() };
+        let shared = SchedulerState { lease: RefCell::new(lease), in_progress: RefCell::default() };
         OrderScheduler {
             state,
             store,
             engines: EngineClient::new(),
             fleet_state,
             reader,
-            desk: Rc::new(desk),
+            shared: Rc::new(shared),
             wave: OrderWave::default(),
         }
     }
 
-    /// Looks for work on and on.
+    /// Looks for pending rollouts in a loop.
     pub(crate) async fn run(self) {
         loop {
-            let pause = match self.next_work() {
-                Some(work) => self.work_on(work).await,
-                None => IDLE_PACE,
+            let delay = match self.next_rollout() {
+                Some(rollout) => self.advance(rollout).await,
+                None => IDLE_INTERVAL,
             };
-            sleep(pause).await;
+            sleep(delay).await;
         }
     }
 
-    fn next_work(&self) -> Option<OpenWork> {
+    fn next_rollout(&self) -> Option<PendingRollout> {
         let weights = self.state.weights.load_full();
-        let mut open = weights.targets().map(|(model, target)| self.work_of(model, target));
-        open.find(|work| work.servers.iter().any(|server| server.version < work.target.version))
+        let mut rollouts = weights.targets().map(|(model, target)| self.rollout_for(model, target));
+        rollouts.find(|rollout| {
+            rollout.servers.iter().any(|server| server.version < rollout.target.version)
+        })
     }
 
-    fn work_of(&self, model: &ModelName, target: WeightsTarget) -> OpenWork {
-        let under_way = self.desk.under_way.borrow();
+    fn rollout_for(&self, model: &ModelName, target: WeightsTarget) -> PendingRollout {
+        let in_progress = self.shared.in_progress.borrow();
         let book = self.state.book();
         let now = Instant::now();
         let table = self.state.table.load();
@@ -122,113 +123,114 @@
                     zone: state.entry().zone.clone(),
                     version: state.confirmed_weights(model)?,
                     load: state.occupancy(now),
-                    is_ordered: under_way.contains(&state.key()),
+                    is_ordered: in_progress.contains(&state.key()),
                     is_open: state.is_open(now),
                 })
             })
             .collect();
-        OpenWork { model: model.clone(), target, servers }
+        PendingRollout { model: model.clone(), target, servers }
     }
 
-    /// Takes or keeps the lease and gives the next orders. Returns how long to wait.
-    async fn work_on(&self, work: OpenWork) -> Duration {
+    /// Acquires or renews the lease and starts the next orders. Returns the delay before the next
+    /// step.
+    async fn advance(&self, rollout: PendingRollout) -> Duration {
         if !self.fleet_state.borrow().is_read() {
-            return IDLE_PACE;
+            return IDLE_INTERVAL;
         }
         let now = boot_now();
-        let kbps = self.state.settings.link_kbps();
-        let rank = self.state.book().link_rank(kbps, Instant::now());
+        let link_kbps = self.state.settings.link_kbps();
+        let link_rank = self.state.book().link_rank(link_kbps, Instant::now());
         let step = {
             let fleet_state = self.fleet_state.borrow();
-            self.desk.lease.borrow().step(&fleet_state, work.target.learned, rank, now)
+            self.shared.lease.borrow().step(&fleet_state, rollout.target.learned, link_rank, now)
         };
         match step {
             LeaseStep::Act => {
-                self.give_orders(&work);
-                BUSY_PACE
+                self.start_orders(&rollout);
+                BUSY_INTERVAL
             }
             LeaseStep::Append { at } => {
-                self.take_lease(at).await;
-                BUSY_PACE
+                self.append_lease(at).await;
+                BUSY_INTERVAL
             }
-            LeaseStep::Wait(wait) => wait.clamp(BUSY_PACE, IDLE_PACE),
+            LeaseStep::Wait(wait) => wait.clamp(BUSY_INTERVAL, IDLE_INTERVAL),
         }
     }
 
-    /// The append counts from before it was sent. If its answer is lost, the record is read back
-    /// like another's and renewed with a number that is known.
-    async fn take_lease(&self, at: LogPosition) {
+    /// Appends a lease record. The lease counts from before the append was sent. If the response is
+    /// lost, the record is read back and renewed.
+    async fn append_lease(&self, at: LogPosition) {
         let record = FleetRecord::Lease {
             host: self.state.settings.host.clone(),
             incarnation: self.state.incarnation,
             epoch: at.epoch,
         };
-        let bytes = match encode_keyed_record(&record) {
-            Ok(bytes) => bytes,
+        let encoded = match encode_keyed_record(&record) {
+            Ok(encoded) => encoded,
             Err(err) => {
-                tracing::error!("a lease record cannot be written: {err}");
+                tracing::error!("could not encode a lease record: {err}");
                 return;
             }
         };
         let sent = boot_now();
         let topic = LogTopic::Fleet;
-        match self.store.append(topic, Some(at), &[bytes], APPEND_TIMEOUT).await {
-            Ok(AppendAnswer::Written(position)) => self.hold(position, &record, sent),
-            Ok(AppendAnswer::Moved) => self.look_again(at, "the topic moved on").await,
-            // It may have been written.
-            Err(err) => self.look_again(at, &err.to_string()).await,
+        match self.store.append(topic, Some(at), &[encoded], APPEND_TIMEOUT).await {
+            Ok(AppendAnswer::Written(position)) => self.record_lease(position, &record, sent),
+            Ok(AppendAnswer::Moved) => self.catch_up_beyond(at, "topic end has moved").await,
+            // The record may have been written.
+            Err(err) => self.catch_up_beyond(at, &err.to_string()).await,
         }
     }
 
-    /// Waits until the topic is read beyond what the append rested on. Another try before that would
-    /// fail like the last one.
-    async fn look_again(&self, at: LogPosition, reason: &str) {
-        self.tell_lost(reason);
-        sleep(MOVED_PAUSE).await;
+    /// Waits until the topic is read beyond the position of a failed append. A retry before that
+    /// would fail again.
+    async fn catch_up_beyond(&self, at: LogPosition, reason: &str) {
+        self.log_lease_lost(reason);
+        sleep(CONFLICT_READ_DELAY).await;
         if at < self.fleet_state.borrow().end() {
             return;
         }
         if let Err(err) = self.reader.catch_up().await {
-            self.tell_lost(&err.to_string());
+            self.log_lease_lost(&err.to_string());
         }
     }
 
-    fn hold(&self, position: LogPosition, record: &FleetRecord, sent: BootTime) {
+    fn record_lease(&self, position: LogPosition, record: &FleetRecord, sent: BootTime) {
         let mut fleet_state = self.fleet_state.borrow_mut();
-        // The reader may be behind; it applies this record again, which changes nothing.
+        // If the reader is behind, it applies this record again, which has no effect.
         if fleet_state.end() == position {
             fleet_state.apply(position.offset, record, sent);
         }
         let fence = position.fence();
-        self.desk.lease.borrow_mut().appended(fence, sent);
-        let taken = EventKind::LeaseTaken;
-        tracing::info!(event = taken.number(), name = taken.name(), %fence);
+        self.shared.lease.borrow_mut().appended(fence, sent);
+        let kind = EventKind::LeaseTaken;
+        tracing::info!(event = kind.number(), name = kind.name(), %fence);
     }
 
-    fn tell_lost(&self, reason: &str) {
-        let lost = EventKind::LeaseLost;
-        tracing::info!(event = lost.number(), name = lost.name(), reason);
+    fn log_lease_lost(&self, reason: &str) {
+        let kind = EventKind::LeaseLost;
+        tracing::info!(event = kind.number(), name = kind.name(), reason);
     }
 
-    fn give_orders(&self, work: &OpenWork) {
+    fn start_orders(&self, rollout: &PendingRollout) {
         let wave = WaveTime {
-            age: boot_now().since(work.target.learned),
+            age: boot_now().since(rollout.target.learned),
             bound: self.state.settings.bounds.weights(),
         };
-        for key in self.wave.next(&work.servers, work.target.version, wave) {
+        for key in self.wave.next(&rollout.servers, rollout.target.version, wave) {
             let entry = self.state.book().state(key).map(|state| state.entry().clone());
             let Some(entry) = entry else { continue };
-            self.desk.under_way.borrow_mut().insert(key);
+            self.shared.in_progress.borrow_mut().insert(key);
             self.state.book().order_given(key, Instant::now());
-            self.state.loading.begin(key, &work.model, work.target.version);
-            let run = OrderRun {
+            self.state.loading.begin(key, &rollout.model, rollout.target.version);
+            let task = OrderTask {
                 state: self.state.clone(),
                 engines: self.engines.clone(),
-                desk: self.desk.clone(),
+                shared: self.shared.clone(),
                 entry,
-                model: work.model.clone(),
+                model: rollout.model.clone(),
             };
-            actix_rt::spawn(run.run());
+            actix_rt::spawn(task.run());
         }
     }
 }
--- /dev/null
+++ b/crates/entry/src/control/order_task.rs
@@ -0,0 +1,215 @@
+//! Updates the weights of one engine.
+
+#[cfg(test)]
+mod tests;
+
+use std::rc::Rc;
+use std::sync::Arc;
+use std::time::Duration;
+
+use fulmargate_consortium::EngineClient;
+use fulmargate_consortium::EngineOrder;
+use fulmargate_consortium::EngineReport;
+use fulmargate_consortium::OrderAnswer;
+use fulmargate_consortium::StoreError;
+use fulmargate_dispatch::ConnectEnd;
+use fulmargate_dispatch::ServerEntry;
+use fulmargate_names::EventKind;
+use fulmargate_names::ModelName;
+use fulmargate_names::WeightsVersion;
+use tokio::time::Instant;
+use tokio::time::sleep;
+
+use crate::control::order_scheduler::SchedulerState;
+use crate::state::SharedState;
+use crate::state::boot_now;
+use crate::state::note_connect;
+use crate::traffic::CONNECT_TIMEOUT;
+
+/// Timeout of a report. An engine answers within milliseconds; the rest allows for the CPU time of
+/// a small host that handles many reports.
+const REPORT_TIMEOUT: Duration = Duration::from_millis(700);
+/// Timeout of an order. Engines answer at once; the rest allows for a busy host.
+const ORDER_TIMEOUT: Duration = Duration::from_millis(700);
+/// Delay between reports; engines don't refresh them faster.
+const REPORT_INTERVAL: Duration = Duration::from_millis(150);
+/// Delay after an accepted order: the time that an engine takes to load weights.
+const LOAD_WAIT: Duration = Duration::from_millis(350);
+/// Limit of the wait for open requests, which end within about a second when no new ones are sent.
+const DRAIN_TIMEOUT: Duration = Duration::from_millis(900);
+/// Interval at which open requests are checked; other routers report theirs by gossip.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(25);
+/// Time after which the engine is returned to the scheduler.
+const TASK_TIMEOUT: Duration = Duration::from_secs(4);
+
+/// Polls an engine's report and sends orders until the weights are loaded.
+pub(crate) struct OrderTask {
+    pub(crate) state: Arc<SharedState>,
+    pub(crate) engines: EngineClient,
+    pub(crate) shared: Rc<SchedulerState>,
+    pub(crate) entry: Arc<ServerEntry>,
+    pub(crate) model: ModelName,
+}
+
+/// Why a task has ended. The variant names appear in the log.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum OrderOutcome {
+    /// The engine has loaded this version or a newer one.
+    InPlace(WeightsVersion),
+    /// The engine has accepted an order under a newer lease.
+    NotHolder,
+    /// The engine has restarted, or its target or address no longer applies.
+    Gone,
+    /// The engine returned no report.
+    Silent,
+    /// The engine answers, but has not loaded the weights yet.
+    Slow,
+}
+
+impl OrderTask {
+    /// Runs until the weights are loaded, the order is abandoned or the task times out.
+    pub(crate) async fn run(self) {
+        let result = tokio::time::timeout(TASK_TIMEOUT, self.update_weights()).await;
+        let outcome = result.unwrap_or(OrderOutcome::Slow);
+        let name = &self.entry.name;
+        let key = self.entry.key();
+        let kind = match outcome {
+            OrderOutcome::InPlace(version) => {
+                self.state.book().order_done(key, &self.model, version);
+                self.state.loading.done(key, version);
+                EventKind::WeightsInPlace
+            }
+            OrderOutcome::Silent => {
+                self.state.book().unreachable(key, Instant::now());
+                self.abandon();
+                EventKind::OrderRefused
+            }
+            OrderOutcome::NotHolder | OrderOutcome::Gone => {
+                self.abandon();
+                EventKind::OrderRefused
+            }
+            OrderOutcome::Slow => {
+                self.state.loading.drop_notice(key);
+                EventKind::OrderRefused
+            }
+        };
+        let model = &self.model;
+        tracing::info!(event = kind.number(), name = kind.name(), server = %name, %model, end = ?outcome);
+        self.shared.in_progress.borrow_mut().swap_remove(&key);
+    }
+
+    fn abandon(&self) {
+        self.state.book().order_given_up(self.entry.key());
+        self.state.loading.give_up(self.entry.key());
+    }
+
+    /// Waits for the requests that routers have open at the engine; they send no new ones. The
+    /// engine would reject queued requests on an earlier order.
+    async fn wait_until_idle(&self) {
+        let deadline = Instant::now() + DRAIN_TIMEOUT;
+        while Instant::now() < deadline && 0 < self.state.book().open_at(self.entry.key()) {
+            sleep(DRAIN_POLL_INTERVAL).await;
+        }
+    }
+
+    async fn update_weights(&self) -> OrderOutcome {
+        self.wait_until_idle().await;
+        loop {
+            let Some(report) = self.request_report().await else { return OrderOutcome::Silent };
+            // The engine has restarted. The server list will name the new incarnation.
+            if report.incarnation.is_some() && report.incarnation != self.entry.incarnation {
+                return OrderOutcome::Gone;
+            }
+            // The newest target: a superseded version is skipped.
+            let Some(target) = self.state.weights.load().target(&self.model) else {
+                return OrderOutcome::Gone;
+            };
+            let loaded = report.weights.get(&self.model).copied();
+            if let Some(loaded) = loaded.filter(|loaded| target.version <= *loaded) {
+                return OrderOutcome::InPlace(loaded);
+            }
+            if report.is_busy {
+                sleep(REPORT_INTERVAL).await;
+                continue;
+            }
+            match self.send_order(&report, target.version).await {
+                Some(OrderAnswer::Holds) => return OrderOutcome::InPlace(target.version),
+                Some(OrderAnswer::Accepted) => sleep(LOAD_WAIT).await,
+                Some(OrderAnswer::Superseded) => {
+                    self.shared.lease.borrow_mut().refused();
+                    return OrderOutcome::NotHolder;
+                }
+                Some(OrderAnswer::Misdirected) => return OrderOutcome::Gone,
+                // An unanswered order may have been accepted. The next report shows it, and the
+                // order count in the next order invalidates a delayed one.
+                Some(OrderAnswer::Busy | OrderAnswer::Refused(_)) | None => {
+                    sleep(REPORT_INTERVAL).await;
+                }
+            }
+        }
+    }
+
+    async fn request_report(&self) -> Option<EngineReport> {
+        let started_at = Instant::now();
+        let answer = self.engines.report(self.entry.address, REPORT_TIMEOUT).await;
+        // Reports count as connection attempts, so that a host whose own network is impaired doesn't
+        // take healthy engines for unreachable.
+        if let Some(outcome) = report_connect_end(&answer, started_at.elapsed()) {
+            note_connect(&self.state, self.entry.key(), outcome);
+        }
+        match answer {
+            Ok(report) => Some(report),
+            Err(err) => {
+                let kind = EventKind::OrderRefused;
+                tracing::warn!(event = kind.number(), name = kind.name(), server = %self.entry.name, reason = %err);
+                None
+            }
+        }
+    }
+
+    /// Sends the order if the lease is still valid. Returns `None` without an answer.
+    async fn send_order(
+        &self,
+        report: &EngineReport,
+        version: WeightsVersion,
+    ) -> Option<OrderAnswer> {
+        let fence = self.shared.lease.borrow().usable_fence(boot_now())?;
+        let order = EngineOrder {
+            model: self.model.clone(),
+            version,
+            holder: self.state.settings.host.clone(),
+            fence,
+            orders_before: report.orders,
+        };
+        let entry = &self.entry;
+        let answer = self.engines.order(entry.address, &entry.name, &order, ORDER_TIMEOUT).await;
+        let kind = EventKind::OrderGiven;
+        tracing::info!(
+            event = kind.number(),
+            name = kind.name(),
+            server = %entry.name,
+            model = %self.model,
+            %version,
+            %fence,
+            orders_before = report.orders,
+            running = report.running,
+            answer = ?answer,
+        );
+        answer.ok()
+    }
+}
+
+/// The connection outcome that a report implies. `None` if it took longer than requests wait for a
+/// connection: counted as successful, late reports would mask a saturated link, and servers would
+/// be blamed for it.
+fn report_connect_end(
+    answer: &Result<EngineReport, StoreError>,
+    elapsed: Duration,
+) -> Option<ConnectEnd> {
+    match answer {
+        Err(StoreError::NoAnswer { .. }) if REPORT_TIMEOUT <= elapsed => Some(ConnectEnd::Silent),
+        Err(StoreError::NoAnswer { .. }) => Some(ConnectEnd::Refused),
+        _ if CONNECT_TIMEOUT < elapsed => None,
+        _ => Some(ConnectEnd::Reached),
+    }
+}
--- a/crates/entry/src/control/pages.rs
+++ b/crates/entry/src/control/pages.rs
@@ -1,4 +1,4 @@
-//! Readiness for the balancer, metrics, and status for operators.
+//! HTTP pages: readiness for the load balancer, metrics, and status for operators.
 
 use std::io;
 use std::net::TcpListener;
@@ -15,16 +15,15 @@
 use crate::state::entry_status;
 use crate::telemetry::render_metrics;
 
-/// Connections that wait to be accepted: the balancer has one, a reader of metrics another.
-const MOST_PENDING: u32 = 16;
+/// Backlog of connections to accept: the load balancer and the metrics scraper have one each.
+const MAX_PENDING_CONNECTIONS: u32 = 16;
 
 struct PageState {
     state: Arc<SharedState>,
     stop: StopTokens,
 }
 
-/// Serves both listeners on one worker.
-pub(crate) fn serve_pages(
+pub(crate) fn serve_http_pages(
     state: Arc<SharedState>,
     stop: StopTokens,
     readiness: TcpListener,
@@ -38,12 +37,12 @@
             .route("/metrics", web::get().to(metrics_page))
             .route("/status", web::get().to(status_page))
     });
-    let server = server.workers(1).backlog(MOST_PENDING).disable_signals();
+    let server = server.workers(1).backlog(MAX_PENDING_CONNECTIONS).disable_signals();
     Ok(server.listen(readiness)?.listen(metrics)?.run())
 }
 
-/// A host that cannot serve most requests sends callers elsewhere: while it stops, before it knows
-/// configuration and servers, and when the configuration may have been replaced.
+/// Fails while the host is stopping, before it has a configuration and servers, and when its
+/// configuration may be outdated.
 async fn ready(page: web::Data<PageState>) -> HttpResponse {
     let is_stopping = page.stop.begun.is_cancelled();
     let is_known = page.state.table.load().is_some() && page.state.admits_keys();
