--- a/crates/entry/src/control.rs
+++ b/crates/entry/src/control.rs
@@ -1,27 +1,27 @@
-//! The control thread: what is agreed and known.
+//! The control thread: configuration, fleet state and gossip.
 
-mod cache_calls;
+mod cache_event_client;
 mod cache_reader;
-mod cache_readers;
-mod cache_watch;
+mod cache_reader_set;
+mod cache_watcher;
+mod connection_table;
 mod control_thread;
-mod epoch_watch;
+mod epoch_tracker;
 mod fleet_codec;
-mod fleet_watch;
-mod link_table;
+mod fleet_watcher;
+mod gossip_sender;
 mod log_source;
-mod operator_watch;
-mod order_run;
+mod operator_watcher;
 mod order_scheduler;
+mod order_task;
 mod own_records;
 mod pages;
-mod peer_links;
 mod peer_listener;
 mod record_cache;
-mod relay_board;
 mod relay_forwarder;
-mod server_watch;
-mod store_contact;
+mod relay_queue;
+mod server_watcher;
+mod store_retry;
 
 pub(crate) use control_thread::ControlListeners;
 pub(crate) use control_thread::ControlThread;
--- /dev/null
+++ b/crates/entry/src/control/gossip_sender.rs
@@ -0,0 +1,241 @@
+//! Sends this router's gossip to the other routers.
+
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::time::Duration;
+
+use bytes::Bytes;
+use fulmargate_dispatch::FleetHost;
+use fulmargate_dispatch::GossipMessage;
+use fulmargate_dispatch::GossipTarget;
+use fulmargate_dispatch::GossipTopology;
+use fulmargate_dispatch::WeightsAge;
+use fulmargate_dispatch::published_parts;
+use fulmargate_dispatch::urgent_pace;
+use fulmargate_names::HostName;
+use indexmap::IndexSet;
+use tokio::time::Instant;
+use tokio::time::sleep;
+use tokio::time::sleep_until;
+
+use crate::control::connection_table::SharedConnections;
+use crate::control::connection_table::send_or_connect;
+use crate::control::fleet_codec::encode_gossip;
+use crate::control::fleet_watcher::SharedFleetState;
+use crate::control::relay_queue::SharedRelays;
+use crate::state::SharedState;
+use crate::state::boot_now;
+
+/// Interval between messages without updates. A message is valid for 1.2 s.
+const IDLE_INTERVAL: Duration = Duration::from_millis(400);
+/// The same where relays forward the messages. Shorter, because receivers take 0.5 s to detect a
+/// lost relay and miss the messages of that time.
+const RELAYED_IDLE_INTERVAL: Duration = Duration::from_millis(200);
+/// Minimum interval of urgent messages where relays forward them.
+const RELAYED_URGENT_INTERVAL: Duration = Duration::from_millis(50);
+
+/// Sends gossip over one connection per target.
+pub(crate) struct GossipSender {
+    state: Arc<SharedState>,
+    fleet_state: SharedFleetState,
+    relays: SharedRelays,
+    connections: SharedConnections,
+}
+
+/// A router that messages are sent to, and its address.
+struct PeerTarget {
+    host: HostName,
+    address: SocketAddr,
+    subscribes: bool,
+}
+
+/// Targets and intervals of the next message.
+struct GossipPlan {
+    targets: Vec<PeerTarget>,
+    interval: Duration,
+    urgent_interval: Duration,
+    idle_interval: Duration,
+    /// Hosts that receive the message, directly or through relays.
+    recipients: usize,
+}
+
+impl GossipSender {
+    pub(crate) fn new(
+        state: Arc<SharedState>,
+        fleet_state: SharedFleetState,
+        relays: SharedRelays,
+    ) -> GossipSender {
+        GossipSender { state, fleet_state, relays, connections: SharedConnections::default() }
+    }
+
+    /// Sends messages at an interval, and earlier when an engine is about to load weights.
+    pub(crate) async fn run(self) {
+        let mut was_busy = false;
+        let mut last_sent = Instant::now();
+        let mut last_round = Instant::now();
+        let mut message_bytes = 0;
+        let link_bytes_per_s = self.state.settings.link_bytes_per_s();
+        loop {
+            let plan = self.next_plan(message_bytes);
+            self.state.book().set_gossip_interval(plan.interval);
+            tokio::select! {
+                () = sleep(plan.interval) => {}
+                () = self.state.loading.changed() => sleep_until(last_round + plan.urgent_interval).await,
+            }
+            let since_last_round = last_round.elapsed().min(plan.interval);
+            last_round = Instant::now();
+            let gossip = self.next_message(published_parts(
+                link_bytes_per_s,
+                plan.recipients,
+                since_last_round,
+            ));
+            let is_busy = has_updates(&gossip) || self.relays.choice.borrow().is_awaiting();
+            message_bytes = 0;
+            // The message after the last update is sent at once, to report that nothing is in
+            // progress. Later ones are keepalives.
+            if is_busy || was_busy || plan.idle_interval <= last_sent.elapsed() {
+                message_bytes = self.send(&plan.targets, gossip);
+                last_sent = Instant::now();
+            }
+            was_busy = is_busy;
+        }
+    }
+
+    fn next_plan(&self, message_bytes: usize) -> GossipPlan {
+        let own = self.own_host();
+        let hosts = self.fleet_hosts(&own);
+        let topology = GossipTopology::new(&hosts, self.state.settings.direct_hosts);
+        let mut choice = self.relays.choice.borrow_mut();
+        let link_bytes_per_s = self.state.settings.link_bytes_per_s();
+        match topology.targets(&own, &mut choice, Instant::now()) {
+            Some(targets) => GossipPlan {
+                targets: targets.into_iter().filter_map(|target| self.resolve(target)).collect(),
+                interval: topology.pace,
+                urgent_interval: RELAYED_URGENT_INTERVAL,
+                idle_interval: RELAYED_IDLE_INTERVAL,
+                recipients: hosts.len(),
+            },
+            None => {
+                let targets = self.all_peers();
+                let urgent_interval = urgent_pace(targets.len(), message_bytes, link_bytes_per_s);
+                let (interval, idle_interval, recipients) =
+                    (topology.pace, IDLE_INTERVAL, targets.len());
+                GossipPlan { targets, interval, urgent_interval, idle_interval, recipients }
+            }
+        }
+    }
+
+    fn own_host(&self) -> FleetHost {
+        let settings = &self.state.settings;
+        let (host, zone) = (settings.host.clone(), settings.zone.clone());
+        FleetHost { host, zone, link_kbps: settings.link_kbps() }
+    }
+
+    /// The live hosts, recently started ones and this one. Excludes hosts that can't be reached
+    /// from here and silent relays, so that they aren't chosen as relays.
+    fn fleet_hosts(&self, own: &FleetHost) -> Vec<FleetHost> {
+        let now = Instant::now();
+        let mut hosts = self.state.book().fleet_hosts(now);
+        let live_hosts: IndexSet<HostName> = hosts.iter().map(|host| host.host.clone()).collect();
+        // Without any live peer, members are known only from their records, of any age.
+        let has_no_live_peers = live_hosts.is_empty();
+        let fleet_state = self.fleet_state.borrow();
+        let members = fleet_state.fleet_hosts(boot_now());
+        let others = members.filter(|(host, is_new)| {
+            (*is_new || has_no_live_peers) && !live_hosts.contains(&host.host)
+        });
+        hosts.extend(others.map(|(host, _)| host));
+        let (connections, choice) = (self.connections.borrow(), self.relays.choice.borrow());
+        hosts.retain(|host| {
+            host.host != own.host
+                && !connections.has_failed(&host.host)
+                && !choice.is_silent(&host.host, now)
+        });
+        hosts.push(own.clone());
+        hosts
+    }
+
+    fn resolve(&self, target: GossipTarget) -> Option<PeerTarget> {
+        let GossipTarget { host, subscribes } = target;
+        let address = self.fleet_state.borrow().address_of(&host)?;
+        Some(PeerTarget { host, address, subscribes })
+    }
+
+    /// All other routers, rotated to start after this one, so that not all routers connect to the
+    /// same ones first.
+    fn all_peers(&self) -> Vec<PeerTarget> {
+        let fleet_state = self.fleet_state.borrow();
+        let own = &self.state.settings.host;
+        let target = |(host, address): (&HostName, &SocketAddr)| PeerTarget {
+            host: host.clone(),
+            address: *address,
+            subscribes: false,
+        };
+        let mut members: Vec<PeerTarget> = fleet_state.members().map(target).collect();
+        if let Some(position) = members.iter().position(|target| target.host == *own) {
+            members.rotate_left(position);
+            members.remove(0);
+        }
+        members
+    }
+
+    fn next_message(&self, max_parts: usize) -> GossipMessage {
+        let mut gossip = self.state.book().take_news(max_parts, Instant::now());
+        gossip.host = Some(self.state.settings.host.clone());
+        gossip.zone = Some(self.state.settings.zone.clone());
+        gossip.link_kbps = Some(self.state.settings.link_kbps());
+        gossip.loading = self.state.loading.notices();
+        gossip.weights = self.weights_ages();
+        gossip.quotas = Some(self.state.quotas().take_report());
+        gossip
+    }
+
+    /// Ages of recently named versions. Beyond the bound, the exact age is irrelevant.
+    fn weights_ages(&self) -> Vec<WeightsAge> {
+        let now = boot_now();
+        let weights = self.state.weights.load();
+        let ages = weights.targets().map(|(model, target)| WeightsAge {
+            model: model.clone(),
+            version: target.version,
+            age_ms: now.since(target.learned).as_millis() as u64,
+        });
+        let max_age_ms = self.state.settings.bounds.weights_ms;
+        ages.filter(|age| age.age_ms < max_age_ms).collect()
+    }
+
+    /// Sends a message to the targets and queues it for this host's subscribers. Returns its
+    /// encoded size.
+    fn send(&self, targets: &[PeerTarget], mut gossip: GossipMessage) -> usize {
+        let encoded = encode(&gossip);
+        gossip.subscribes = true;
+        let encoded_subscribing = encode(&gossip);
+        self.relays.queue.borrow_mut().push_own_zone(&encoded);
+        let is_target = |host: &HostName| targets.iter().any(|target| target.host == *host);
+        self.connections.borrow_mut().retain(is_target);
+        for target in targets {
+            let message = if target.subscribes { &encoded_subscribing } else { &encoded };
+            send_or_connect(&self.connections, &target.host, target.address, message);
+        }
+        encoded.len()
+    }
+}
+
+/// Returns no bytes if the message can't be encoded.
+fn encode(gossip: &GossipMessage) -> Bytes {
+    match encode_gossip(gossip) {
+        Ok(message) => Bytes::from(message),
+        Err(err) => {
+            tracing::error!("could not encode a gossip message: {err}");
+            Bytes::new()
+        }
+    }
+}
+
+fn has_updates(gossip: &GossipMessage) -> bool {
+    !gossip.loads.is_empty()
+        || !gossip.loading.is_empty()
+        || !gossip.prompts.is_empty()
+        || !gossip.caches.is_empty()
+        || !gossip.weights.is_empty()
+        || gossip.quotas.as_ref().is_some_and(|report| !report.counts.is_empty())
+}
