--- a/crates/dispatch/benches/choice.rs
+++ b/crates/dispatch/benches/choice.rs
@@ -11,8 +11,8 @@
 use fulmargate_dispatch::EngineRequest;
 use fulmargate_dispatch::GossipMessage;
 use fulmargate_dispatch::PeerLoad;
-use fulmargate_dispatch::ServerBook;
 use fulmargate_dispatch::ServerKey;
+use fulmargate_dispatch::ServerRegistry;
 use fulmargate_dispatch::Urgency;
 use fulmargate_dispatch::WeightsTable;
 use fulmargate_names::HostName;
@@ -54,7 +54,7 @@
         let names: Vec<String> = (0..size).map(|number| format!("engine-{number}")).collect();
         let refs: Vec<&str> = names.iter().map(String::as_str).collect();
         let now = Instant::now();
-        let mut book = ServerBook::default();
+        let mut book = ServerRegistry::default();
         book.sync(&engines(&refs), now);
         let words: Vec<GossipMessage> = (0..size).map(|router| word(router, &names)).collect();
         for word in &words {
--- a/crates/dispatch/src/read_share.rs
+++ b/crates/dispatch/src/bulk_read_limiter.rs
@@ -16,15 +16,15 @@
 
 /// Limits bulk reads to a share of the host's link, by the bytes received.
 #[derive(Clone, Copy, Debug)]
-pub struct ReadShare {
+pub struct BulkReadLimiter {
     bytes_per_s: f64,
     available_at: Option<Instant>,
 }
 
-impl ReadShare {
+impl BulkReadLimiter {
     /// Creates a limiter for a link of this bandwidth.
-    pub fn new(link_bytes_per_s: f64) -> ReadShare {
-        ReadShare { bytes_per_s: link_bytes_per_s * BULK_READ_SHARE, available_at: None }
+    pub fn new(link_bytes_per_s: f64) -> BulkReadLimiter {
+        BulkReadLimiter { bytes_per_s: link_bytes_per_s * BULK_READ_SHARE, available_at: None }
     }
 
     /// Records received bytes, including those of failed reads.
--- a/crates/dispatch/src/connect_end.rs
+++ b/crates/dispatch/src/connect_outcome.rs
@@ -2,7 +2,7 @@
 
 /// Outcome of a connection attempt to a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ConnectEnd {
+pub enum ConnectOutcome {
     /// The connection was established.
     Reached,
     /// The server's host refused the connection, which shows a fault of the server.
@@ -11,13 +11,13 @@
     Silent,
 }
 
-impl ConnectEnd {
+impl ConnectOutcome {
     /// Label value in metrics.
     pub fn name(self) -> &'static str {
         match self {
-            ConnectEnd::Reached => "reached",
-            ConnectEnd::Refused => "refused",
-            ConnectEnd::Silent => "silent",
+            ConnectOutcome::Reached => "reached",
+            ConnectOutcome::Refused => "refused",
+            ConnectOutcome::Silent => "silent",
         }
     }
 }
--- a/crates/dispatch/src/fading_mean.rs
+++ b/crates/dispatch/src/decaying_mean.rs
@@ -12,15 +12,15 @@
 
 /// Moving average that decays towards a baseline.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct FadingMean {
+pub(crate) struct DecayingMean {
     value: f64,
     baseline: f64,
     updated_at: Instant,
 }
 
-impl FadingMean {
-    pub(crate) fn new(baseline: f64, now: Instant) -> FadingMean {
-        FadingMean { value: baseline, baseline, updated_at: now }
+impl DecayingMean {
+    pub(crate) fn new(baseline: f64, now: Instant) -> DecayingMean {
+        DecayingMean { value: baseline, baseline, updated_at: now }
     }
 
     pub(crate) fn get(&self, now: Instant) -> f64 {
--- a/crates/dispatch/src/engine_choice.rs
+++ b/crates/dispatch/src/engine_choice.rs
@@ -24,7 +24,7 @@
 use crate::CallShape;
 use crate::DemandMeter;
 use crate::EngineRule;
-use crate::PeerSum;
+use crate::PeerTotal;
 use crate::RouteTable;
 use crate::ServerEntry;
 use crate::ServerKey;
@@ -161,7 +161,7 @@
 }
 
 /// State of the fleet that an engine's cost depends on.
-pub(crate) struct Surroundings<'a> {
+pub(crate) struct EngineContext<'a> {
     pub(crate) is_home: bool,
     pub(crate) urgency: Urgency,
     pub(crate) shape: CallShape,
@@ -173,7 +173,7 @@
     pub(crate) routers: usize,
     /// Time between two gossip messages of a router.
     pub(crate) gossip_interval_ms: f64,
-    pub(crate) others: PeerSum,
+    pub(crate) others: PeerTotal,
     /// Engines and the cache store that hold a prefix of this prompt under the same salt.
     pub(crate) sources: &'a [PromptSource],
     /// Request rates of prompt parts.
@@ -194,7 +194,7 @@
         }
         let age = self.weights.outdated_for(self.model, weights, self.boot_now);
         let max_wait = Duration::from_secs_f64(
-            self.wait_ms(state, Urgency::late(9), PeerSum::default()) / 1_000.0,
+            self.wait_ms(state, Urgency::late(9), PeerTotal::default()) / 1_000.0,
         );
         (age + max_wait < self.weights_bound || age.is_zero()).then_some(weights)
     }
@@ -219,7 +219,7 @@
         &self,
         state: &'a ServerState,
         weights: WeightsVersion,
-        context: &Surroundings<'_>,
+        context: &EngineContext<'_>,
     ) -> Candidate<'a> {
         let salt = self.salt(weights);
         let cached_tokens = self.known_tokens(state, scope_of(&salt));
@@ -268,7 +268,7 @@
     /// Estimated queueing time. The routers' own counts are more recent than the engine's report,
     /// which is used only if no other router has reported open requests. Engines prefill in order
     /// of arrival, so the whole queue counts regardless of urgency.
-    fn wait_ms(&self, state: &ServerState, urgency: Urgency, others: PeerSum) -> f64 {
+    fn wait_ms(&self, state: &ServerState, urgency: Urgency, others: PeerTotal) -> f64 {
         let mut tokens = match is_on(Mechanism::ArrivalOrder) {
             true => queued_tokens(state, others),
             false => state.backlog.before(urgency) + others.backlog.before(urgency),
@@ -302,7 +302,7 @@
     }
 }
 
-fn queued_tokens(state: &ServerState, others: PeerSum) -> f64 {
+fn queued_tokens(state: &ServerState, others: PeerTotal) -> f64 {
     state.backlog.total() + others.backlog.total()
 }
 
--- a/crates/dispatch/src/engine_choice/interference.rs
+++ b/crates/dispatch/src/engine_choice/interference.rs
@@ -1,8 +1,8 @@
 //! Cost of sharing an engine with other requests, including those not yet reported by gossip.
 
+use super::EngineContext;
 use super::EngineRequest;
 use super::PREFILL_TOKENS_PER_MS;
-use super::Surroundings;
 use super::sampling::chat_share;
 use crate::CallShape;
 use crate::ServerKey;
@@ -27,7 +27,7 @@
 impl EngineRequest<'_> {
     /// Cost of mixing chats and long prompts. Chats fill the engines in a fixed order, which leaves
     /// the other engines to long prompts while these delay chats.
-    pub(super) fn interference_ms(&self, state: &ServerState, context: &Surroundings<'_>) -> f64 {
+    pub(super) fn interference_ms(&self, state: &ServerState, context: &EngineContext<'_>) -> f64 {
         if !is_on(Mechanism::ChatInterference) {
             return 0.0;
         }
@@ -57,7 +57,7 @@
         &self,
         cached_tokens: u32,
         read_tokens: f64,
-        context: &Surroundings<'_>,
+        context: &EngineContext<'_>,
     ) -> f64 {
         if !is_on(Mechanism::UnreportedSends) {
             return 0.0;
--- a/crates/dispatch/src/engine_choice/sampling.rs
+++ b/crates/dispatch/src/engine_choice/sampling.rs
@@ -2,8 +2,8 @@
 
 use xxhash_rust::xxh3::xxh3_64;
 
+use super::EngineContext;
 use super::EngineRequest;
-use super::Surroundings;
 use crate::CallShape;
 use crate::ServerKey;
 use crate::ServerState;
@@ -42,7 +42,7 @@
     /// Routers see each other's sends with a delay that grows with their number. If each chose
     /// among all engines, all would pick the same few, so each call samples some engines in
     /// addition to its home engine and to those that hold its prefix.
-    pub(crate) fn draws(&self, state: &ServerState, context: &Surroundings<'_>) -> bool {
+    pub(crate) fn draws(&self, state: &ServerState, context: &EngineContext<'_>) -> bool {
         if !is_on(Mechanism::Draws) {
             return true;
         }
@@ -60,7 +60,7 @@
     /// Whether the engine is sampled as a holder of the longest cached prefix. With many holders
     /// only some are considered: a prefix common to all prompts must not attract them all to one
     /// engine.
-    fn samples_holder(&self, state: &ServerState, context: &Surroundings<'_>) -> bool {
+    fn samples_holder(&self, state: &ServerState, context: &EngineContext<'_>) -> bool {
         let engines = || context.sources.iter().filter(|source| source.key != ServerKey::STORE);
         let max_tokens = engines().map(|source| source.tokens).max().unwrap_or_default();
         let holders = || engines().filter(|source| source.tokens == max_tokens);
--- a/crates/dispatch/src/fleet_fold.rs
+++ b/crates/dispatch/src/fleet_state.rs
@@ -49,7 +49,7 @@
 
 /// Reports of routers on the restore that began the current epoch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct RestoreNote {
+pub struct RestoreReport {
     /// The newest configuration that any of them had.
     pub config: ConfigVersion,
     /// Operators have had time to rewrite what was lost.
@@ -58,7 +58,7 @@
 
 /// Members, lease and restore state, folded from the topic's records.
 #[derive(Debug, Default)]
-pub struct FleetFold {
+pub struct FleetState {
     members: IndexMap<HostName, FleetMember>,
     lease: Option<HeldLease>,
     end: LogPosition,
@@ -67,10 +67,10 @@
     /// Records of an earlier epoch were read: the store was restored at least once.
     has_earlier_epochs: bool,
     /// Merged reports of routers that ran before the current epoch began.
-    restore_note: Option<RestoreNote>,
+    restore_note: Option<RestoreReport>,
 }
 
-impl FleetFold {
+impl FleetState {
     /// Starts an epoch of the store. The lease is dropped, since its record may be lost; the
     /// members are kept. Returns whether the epoch is new to this router.
     pub fn begin_epoch(&mut self, epoch: StoreEpoch, now: BootTime) -> bool {
@@ -112,7 +112,7 @@
                 });
             }
             FleetRecord::Restored { epoch, config, is_settled } if *epoch == position.epoch => {
-                self.merge_restore_note(RestoreNote { config: *config, is_settled: *is_settled });
+                self.merge_restore_note(RestoreReport { config: *config, is_settled: *is_settled });
             }
             FleetRecord::Restored { .. } | FleetRecord::Crash { .. } => {}
         }
@@ -146,15 +146,15 @@
         if is_settled { None } else { self.epoch_first_seen.filter(|_| self.has_earlier_epochs) }
     }
 
-    fn merge_restore_note(&mut self, note: RestoreNote) {
+    fn merge_restore_note(&mut self, note: RestoreReport) {
         let merged = self.restore_note.unwrap_or(note);
         let config = merged.config.max(note.config);
         let is_settled = merged.is_settled || note.is_settled;
-        self.restore_note = Some(RestoreNote { config, is_settled });
+        self.restore_note = Some(RestoreReport { config, is_settled });
     }
 
     /// Merged reports of the restore that began the current epoch.
-    pub fn restore_note(&self) -> Option<RestoreNote> {
+    pub fn restore_note(&self) -> Option<RestoreReport> {
         self.restore_note
     }
 
--- a/crates/dispatch/src/forward_budget.rs
+++ b/crates/dispatch/src/forward_budget.rs
@@ -2,7 +2,7 @@
 
 use tokio::time::Instant;
 
-use crate::SubscriberStore;
+use crate::StoreAccess;
 
 /// Long-term share of the host's link. Answers to callers and gossip need the rest.
 const LINK_SHARE: f64 = 0.25;
@@ -44,7 +44,7 @@
 
     /// Takes the bytes of an answer if it may be sent now. An answer without records, which
     /// confirms that there is nothing new, always may.
-    pub fn try_take(&mut self, bytes: usize, store: SubscriberStore, now: Instant) -> bool {
+    pub fn try_take(&mut self, bytes: usize, store: StoreAccess, now: Instant) -> bool {
         self.refill(now);
         let is_allowed = bytes == 0 || self.is_allowed(bytes, store);
         if is_allowed {
@@ -58,15 +58,15 @@
         self.available_bytes as i64
     }
 
-    fn is_allowed(&self, bytes: usize, store: SubscriberStore) -> bool {
+    fn is_allowed(&self, bytes: usize, store: StoreAccess) -> bool {
         let is_small = bytes <= MAX_SMALL_ANSWER_BYTES;
         let remaining = self.available_bytes - bytes as f64;
         match store {
-            SubscriberStore::InReach if is_small => {
+            StoreAccess::InReach if is_small => {
                 -self.link_bytes_per_s * OVERDRAFT_SECONDS <= remaining
             }
-            SubscriberStore::InReach => 0.0 <= remaining,
-            SubscriberStore::OutOfReach => is_small || 0.0 <= self.available_bytes,
+            StoreAccess::InReach => 0.0 <= remaining,
+            StoreAccess::OutOfReach => is_small || 0.0 <= self.available_bytes,
         }
     }
 
--- a/crates/dispatch/src/lease_keeper.rs
+++ b/crates/dispatch/src/lease_keeper.rs
@@ -7,7 +7,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::BootTime;
-use crate::FleetFold;
+use crate::FleetState;
 use crate::HeldLease;
 use crate::LinkRank;
 use crate::LogPosition;
@@ -68,7 +68,7 @@
     /// Returns the next action, given that there has been work for the holder since `work_since`.
     pub fn step(
         &self,
-        fold: &FleetFold,
+        fold: &FleetState,
         work_since: BootTime,
         rank: LinkRank,
         now: BootTime,
@@ -111,7 +111,7 @@
     ///
     /// The holder publishes the load of each engine to all routers, which takes much of a narrow
     /// link and delays these updates. Hosts with the widest links therefore try first.
-    fn acquire_delay(&self, fold: &FleetFold, rank: LinkRank) -> Duration {
+    fn acquire_delay(&self, fold: &FleetState, rank: LinkRank) -> Duration {
         let hash = xxh3_64(format!("{}/{}", self.host, fold.end().offset).as_bytes());
         let fraction = (hash >> 11) as f64 / (1_u64 << 53) as f64;
         let jitter = |hosts: usize| (JITTER_PER_HOST * hosts as u32).mul_f64(fraction);
--- a/crates/dispatch/src/link_meter.rs
+++ b/crates/dispatch/src/link_usage.rs
@@ -6,11 +6,11 @@
 
 /// End of the last known transfer; the transfers of a link run one after another.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct LinkMeter {
+pub(crate) struct LinkUsage {
     busy_until: Option<Instant>,
 }
 
-impl LinkMeter {
+impl LinkUsage {
     /// Records a requested transfer.
     pub(crate) fn add(&mut self, transfer_ms: f64, now: Instant) {
         let start = self.busy_until.map_or(now, |until| until.max(now));
--- a/crates/dispatch/src/own_reach.rs
+++ b/crates/dispatch/src/local_fault_detector.rs
@@ -5,7 +5,7 @@
 use indexmap::IndexMap;
 use tokio::time::Instant;
 
-use crate::ConnectEnd;
+use crate::ConnectOutcome;
 use crate::ServerKey;
 
 /// Attempts older than this are ignored. A busy host attempts to reach all its servers within this
@@ -39,7 +39,7 @@
 /// suspected, since no other choice of server would help. A refused connection is a response and
 /// always counts against the server.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct OwnReach {
+pub(crate) struct LocalFaultDetector {
     attempts: IndexMap<ServerKey, ConnectAttempt>,
     suspicion: Option<Suspicion>,
     /// When the current suspicion was reported.
@@ -50,7 +50,7 @@
 #[derive(Clone, Copy, Debug)]
 struct ConnectAttempt {
     at: Instant,
-    end: ConnectEnd,
+    end: ConnectOutcome,
     /// First of the consecutive attempts with the same result.
     since: Instant,
 }
@@ -68,7 +68,7 @@
 
 /// Recently tried servers by the result of the latest attempt.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct ReachCount {
+pub struct ReachabilityCount {
     /// Servers that did not answer.
     pub silent: usize,
     /// Servers that accepted or refused the connection.
@@ -77,16 +77,16 @@
 
 /// Change of the suspicion of this host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ReachNews {
+pub enum SuspicionChange {
     /// It has begun.
-    Doubted(ReachCount),
+    Doubted(ReachabilityCount),
     /// It has ended after this time.
-    Restored(ReachCount, Duration),
+    Restored(ReachabilityCount, Duration),
 }
 
-impl OwnReach {
+impl LocalFaultDetector {
     /// Records a connection attempt.
-    pub(crate) fn note(&mut self, server: ServerKey, end: ConnectEnd, now: Instant) {
+    pub(crate) fn note(&mut self, server: ServerKey, end: ConnectOutcome, now: Instant) {
         self.attempts.retain(|_, attempt| now < attempt.at + MAX_RETRY_GAP);
         let last = self.attempts.get(&server).filter(|last| last.end == end);
         let since = last.map_or(now, |last| last.since);
@@ -101,7 +101,7 @@
     }
 
     /// Result of the latest connection attempt to the server, if recent.
-    pub(crate) fn newest(&self, server: ServerKey, now: Instant) -> Option<ConnectEnd> {
+    pub(crate) fn newest(&self, server: ServerKey, now: Instant) -> Option<ConnectOutcome> {
         let attempt = self.attempts.get(&server)?;
         attempt.is_recent(now).then_some(attempt.end)
     }
@@ -118,16 +118,16 @@
     }
 
     /// Returns a change of the suspicion since the last call.
-    pub(crate) fn news(&mut self, now: Instant) -> Option<ReachNews> {
+    pub(crate) fn news(&mut self, now: Instant) -> Option<SuspicionChange> {
         let count = self.count(now);
         match (self.reported_at, self.doubts(now)) {
             (None, true) => {
                 self.reported_at = Some(now);
-                Some(ReachNews::Doubted(count))
+                Some(SuspicionChange::Doubted(count))
             }
             (Some(since), false) => {
                 self.reported_at = None;
-                Some(ReachNews::Restored(count, now.saturating_duration_since(since)))
+                Some(SuspicionChange::Restored(count, now.saturating_duration_since(since)))
             }
             _ => None,
         }
@@ -141,21 +141,21 @@
     /// Counts recently tried servers by result. Servers that responded only before most of the
     /// silent ones fell silent are left out, as they do not show that the link works now. The
     /// median is used because some servers may have been down for long.
-    pub(crate) fn count(&self, now: Instant) -> ReachCount {
+    pub(crate) fn count(&self, now: Instant) -> ReachabilityCount {
         let recent = || self.attempts.values().filter(|attempt| attempt.is_recent(now));
-        let silent = || recent().filter(|attempt| attempt.end == ConnectEnd::Silent);
+        let silent = || recent().filter(|attempt| attempt.end == ConnectOutcome::Silent);
         let mut silent_since: Vec<Instant> = silent().map(|attempt| attempt.since).collect();
         silent_since.sort_unstable();
         let median = silent_since.get(silent_since.len() / 2).copied();
         let is_heard = |attempt: &&ConnectAttempt| {
             let is_current = median.is_none_or(|median| median <= attempt.at + CONNECT_TIMEOUT);
-            attempt.end != ConnectEnd::Silent && is_current
+            attempt.end != ConnectOutcome::Silent && is_current
         };
-        ReachCount { silent: silent().count(), heard: recent().filter(is_heard).count() }
+        ReachabilityCount { silent: silent().count(), heard: recent().filter(is_heard).count() }
     }
 
     /// Begins or extends the suspicion.
-    fn suspect(&mut self, count: ReachCount, now: Instant) {
+    fn suspect(&mut self, count: ReachabilityCount, now: Instant) {
         let last =
             self.suspicion.filter(|suspicion| now < suspicion.supported_at + SUSPICION_MEMORY);
         let mut latest_end = last.and_then(|last| last.latest_end);
@@ -171,7 +171,7 @@
     }
 }
 
-impl ReachCount {
+impl ReachabilityCount {
     fn suggests_local_fault(self) -> bool {
         MIN_SILENT_SERVERS <= self.silent && MIN_SILENT_TO_HEARD * self.heard <= self.silent
     }
--- a/crates/dispatch/src/log_cache.rs
+++ b/crates/dispatch/src/log_cache.rs
@@ -24,7 +24,7 @@
 
 /// A request to another router for records.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LogQuestion {
+pub struct LogRequest {
     /// The topic to read.
     pub topic: LogTopic,
     /// Offset of the first record requested.
@@ -36,7 +36,7 @@
     pub epoch: StoreEpoch,
 }
 
-impl LogQuestion {
+impl LogRequest {
     /// Position from which the requester reads on.
     pub fn position(&self) -> LogPosition {
         LogPosition { epoch: self.epoch, offset: self.from }
@@ -45,7 +45,7 @@
 
 /// The records, with their age.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LogAnswer {
+pub struct LogResponse {
     /// The records from the requested offset on.
     pub records: Vec<Vec<u8>>,
     /// Age of the records when the answer was sent: milliseconds since the newest read that reached
@@ -55,7 +55,7 @@
     pub held_ms: u64,
 }
 
-impl LogAnswer {
+impl LogResponse {
     /// Total size of the records.
     pub fn bytes(&self) -> usize {
         self.records.iter().map(Vec::len).sum()
@@ -124,7 +124,7 @@
         max_age: Duration,
         received: BootTime,
         now: BootTime,
-    ) -> Option<LogAnswer> {
+    ) -> Option<LogResponse> {
         let age = now.since(self.validated_at?);
         if from.epoch != self.start.epoch || max_age < age {
             return None;
@@ -135,6 +135,6 @@
         let skipped = (from.offset.0 - self.start.offset.0) as usize;
         let records = self.records.iter().skip(skipped).cloned().collect();
         let held_ms = now.since(received).as_millis() as u64;
-        Some(LogAnswer { records, age_ms: age.as_millis() as u64, held_ms })
+        Some(LogResponse { records, age_ms: age.as_millis() as u64, held_ms })
     }
 }
--- a/crates/dispatch/src/last_seen.rs
+++ b/crates/dispatch/src/peer_discovery.rs
@@ -18,16 +18,16 @@
 
 /// Tracks whether a starting router has had time to receive messages from all others.
 #[derive(Clone, Copy, Debug)]
-pub struct LastSeen {
+pub struct PeerDiscovery {
     started_at: Instant,
     joined_at: Option<Instant>,
     is_over: bool,
 }
 
-impl LastSeen {
+impl PeerDiscovery {
     /// Starts tracking at process start.
-    pub fn new(now: Instant) -> LastSeen {
-        LastSeen { started_at: now, joined_at: None, is_over: false }
+    pub fn new(now: Instant) -> PeerDiscovery {
+        PeerDiscovery { started_at: now, joined_at: None, is_over: false }
     }
 
     /// Whether all reachable routers have had time to send a message, so that shared work can be
--- a/crates/dispatch/src/peer_board.rs
+++ b/crates/dispatch/src/peer_load_table.rs
@@ -68,9 +68,9 @@
 ///
 /// Totals are maintained incrementally, since each choice of an engine needs them for all engines.
 #[derive(Debug, Default)]
-pub struct PeerBoard {
+pub struct PeerLoadTable {
     reports: IndexMap<HostName, PeerReport>,
-    totals: IndexMap<ServerKey, PeerSum>,
+    totals: IndexMap<ServerKey, PeerTotal>,
 }
 
 #[derive(Debug)]
@@ -83,7 +83,7 @@
 
 /// Load of all other routers at one server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct PeerSum {
+pub struct PeerTotal {
     /// Requests in progress.
     pub open: u32,
     /// Chat requests among them.
@@ -92,7 +92,7 @@
     pub backlog: Backlog,
 }
 
-impl PeerBoard {
+impl PeerLoadTable {
     /// Records a message from a router.
     pub fn hear(&mut self, host: &HostName, message: &GossipMessage, now: Instant) {
         self.drop_silent(now);
@@ -170,7 +170,7 @@
     }
 
     /// Total load of all other routers at a server.
-    pub fn sum(&self, server: ServerKey) -> PeerSum {
+    pub fn sum(&self, server: ServerKey) -> PeerTotal {
         self.totals.get(&server).copied().unwrap_or_default()
     }
 
@@ -178,14 +178,14 @@
         for load in &report.loads {
             let Some(sum) = self.totals.get_mut(&load.server) else { continue };
             sum.subtract(load);
-            if *sum == PeerSum::default() {
+            if *sum == PeerTotal::default() {
                 self.totals.swap_remove(&load.server);
             }
         }
     }
 }
 
-impl PeerSum {
+impl PeerTotal {
     fn add(&mut self, load: &PeerLoad) {
         self.open = self.open.saturating_add(load.open);
         self.chats = self.chats.saturating_add(load.chats);
--- a/crates/dispatch/src/placement_request.rs
+++ b/crates/dispatch/src/placement_request.rs
@@ -51,7 +51,7 @@
 
 /// An engine assigned to a prompt.
 #[derive(Debug)]
-pub struct TakenEngine {
+pub struct AssignedEngine {
     /// The engine and the terms of the send.
     pub choice: EngineChoice,
     /// Ticket for reporting the outcome of the send.
@@ -60,9 +60,9 @@
 
 /// Result of a placement request.
 #[derive(Debug)]
-pub enum Placing {
+pub enum Placement {
     /// The prompt was assigned to an engine.
-    Taken(Box<TakenEngine>),
+    Taken(Box<AssignedEngine>),
     /// The best engine's queue is full. Holds the number of tokens that it would prefill.
     Wait(f64),
     /// No engine may serve the prompt.
--- a/crates/dispatch/src/part_memory.rs
+++ b/crates/dispatch/src/prompt_cache_estimate.rs
@@ -17,7 +17,7 @@
 /// late or get lost. Caches evict by recency, so the age of a part is counted in tokens added since
 /// its last use.
 #[derive(Clone, Debug, Default)]
-pub struct PartMemory {
+pub struct PromptCacheEstimate {
     /// Tokens added to the cache so far.
     added_tokens: f64,
     parts: IndexMap<u64, CachedPart>,
@@ -33,7 +33,7 @@
     ready_at: Instant,
 }
 
-impl PartMemory {
+impl PromptCacheEstimate {
     /// Length in tokens of the prompt prefix that is cached, or will be before any prompt sent from
     /// now on.
     pub fn cached_tokens(&self, scope: u64, parts: &[PromptPart], capacity: f64) -> u32 {
--- a/crates/dispatch/src/prompt_source.rs
+++ b/crates/dispatch/src/prompt_source.rs
@@ -6,7 +6,7 @@
 use tokio::time::Instant;
 
 use crate::ServerKey;
-use crate::link_meter::LinkMeter;
+use crate::link_usage::LinkUsage;
 
 /// Time to set up a fetch.
 const FETCH_SETUP_MS: f64 = 2.0;
@@ -26,7 +26,7 @@
     /// Length in tokens of the prefix that can be fetched now.
     pub(crate) ready_tokens: u32,
     pub(crate) link_mbps: f64,
-    pub(crate) link: LinkMeter,
+    pub(crate) link: LinkUsage,
 }
 
 impl PromptSource {
--- a/crates/dispatch/src/request_queue.rs
+++ b/crates/dispatch/src/request_queue.rs
@@ -4,12 +4,12 @@
 
 use tokio::time::Instant;
 
+use crate::AssignedEngine;
 use crate::CallFacts;
 use crate::ChoiceView;
+use crate::Placement;
 use crate::PlacementRequest;
-use crate::Placing;
-use crate::ServerBook;
-use crate::TakenEngine;
+use crate::ServerRegistry;
 use crate::admission;
 use crate::queue_priority::QueuePriority;
 
@@ -18,13 +18,13 @@
 
 /// Identifies a queued prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct WaitNumber(u64);
+pub struct QueueTicket(u64);
 
 /// Outcome of a queued prompt.
 #[derive(Debug)]
-pub enum WaitEnd {
+pub enum QueueOutcome {
     /// It was assigned to an engine.
-    Taken(Box<TakenEngine>),
+    Taken(Box<AssignedEngine>),
     /// No engine may serve it any more.
     Nowhere,
     /// It was refused without having run; the caller should retry after this time.
@@ -43,7 +43,7 @@
 
 #[derive(Debug)]
 struct QueuedPrompt {
-    number: WaitNumber,
+    number: QueueTicket,
     request: PlacementRequest,
     /// Tokens that the best engine would prefill, as of the last placement attempt.
     read_tokens: f64,
@@ -66,8 +66,8 @@
     }
 
     /// Adds a prompt to the queue.
-    pub fn enter(&mut self, request: PlacementRequest) -> WaitNumber {
-        let number = WaitNumber(self.next);
+    pub fn enter(&mut self, request: PlacementRequest) -> QueueTicket {
+        let number = QueueTicket(self.next);
         self.next += 1;
         let read_tokens = f64::from(request.call.prompt_tokens());
         self.waiting.push(QueuedPrompt { number, request, read_tokens });
@@ -75,16 +75,16 @@
     }
 
     /// Removes a prompt whose caller has disconnected.
-    pub fn leave(&mut self, number: WaitNumber) {
+    pub fn leave(&mut self, number: QueueTicket) {
         self.waiting.retain(|prompt| prompt.number != number);
     }
 
     /// Assigns queued prompts to engines with room, and refuses those that are too late.
     pub fn serve(
         &mut self,
-        book: &mut ServerBook,
+        book: &mut ServerRegistry,
         view: ChoiceView<'_>,
-    ) -> Vec<(WaitNumber, WaitEnd)> {
+    ) -> Vec<(QueueTicket, QueueOutcome)> {
         self.sort(view.now);
         let mut outcomes = Vec::new();
         let mut failed_placements = 0;
@@ -93,9 +93,11 @@
                 return true;
             }
             match book.place(&prompt.request, view) {
-                Placing::Taken(taken) => outcomes.push((prompt.number, WaitEnd::Taken(taken))),
-                Placing::Nowhere => outcomes.push((prompt.number, WaitEnd::Nowhere)),
-                Placing::Wait(read_tokens) => {
+                Placement::Taken(taken) => {
+                    outcomes.push((prompt.number, QueueOutcome::Taken(taken)))
+                }
+                Placement::Nowhere => outcomes.push((prompt.number, QueueOutcome::Nowhere)),
+                Placement::Wait(read_tokens) => {
                     prompt.read_tokens = read_tokens;
                     failed_placements += 1;
                     return true;
@@ -117,7 +119,7 @@
         self.waiting.sort_by(|a, b| sort_key(a).compare(&sort_key(b)));
     }
 
-    fn refuse_late(&mut self, now: Instant, outcomes: &mut Vec<(WaitNumber, WaitEnd)>) {
+    fn refuse_late(&mut self, now: Instant, outcomes: &mut Vec<(QueueTicket, QueueOutcome)>) {
         let is_timely = |prompt: &QueuedPrompt| !admission::is_late(&prompt.request.call, now);
         let has_timely = self.waiting.iter().any(is_timely);
         self.waiting.retain(|prompt| {
@@ -125,7 +127,7 @@
             else {
                 return true;
             };
-            outcomes.push((prompt.number, WaitEnd::Refused(retry_after)));
+            outcomes.push((prompt.number, QueueOutcome::Refused(retry_after)));
             false
         });
     }
--- a/crates/dispatch/src/repeat_budget.rs
+++ b/crates/dispatch/src/retry_budget.rs
@@ -14,7 +14,7 @@
 
 /// Retry allowance per service, for all routers together.
 #[derive(Clone, Copy, Debug)]
-pub struct RepeatConf {
+pub struct RetryConf {
     /// Retries allowed per first send.
     pub ratio: f64,
     /// Additional retries allowed in a window.
@@ -38,17 +38,17 @@
 /// ratio of its own first sends and an equal share of the slack, so that all routers together keep to the
 /// allowance. A new process does not know what its predecessor spent, and gets no slack in its first window.
 #[derive(Debug)]
-pub struct RepeatBudget {
-    conf: RepeatConf,
+pub struct RetryBudget {
+    conf: RetryConf,
     started_at: Instant,
     hosts: usize,
     services: IndexMap<ServiceName, ServiceCounts>,
 }
 
-impl RepeatBudget {
+impl RetryBudget {
     /// Creates the budget of a process that starts now.
-    pub fn new(conf: RepeatConf, now: Instant) -> RepeatBudget {
-        RepeatBudget { conf, started_at: now, hosts: 0, services: IndexMap::new() }
+    pub fn new(conf: RetryConf, now: Instant) -> RetryBudget {
+        RetryBudget { conf, started_at: now, hosts: 0, services: IndexMap::new() }
     }
 
     /// Sets the number of hosts that share the slack. Zero, for unknown, allows no slack.
--- a/crates/dispatch/src/order_wave.rs
+++ b/crates/dispatch/src/rollout_plan.rs
@@ -13,7 +13,7 @@
 
 /// Parameters of a rolling update.
 #[derive(Clone, Copy, Debug)]
-pub struct WaveConf {
+pub struct RolloutConf {
     /// Time for which an engine is unavailable: it finishes running requests, loads, and is polled until the
     /// load is confirmed.
     pub engine_downtime: Duration,
@@ -24,9 +24,9 @@
     pub max_concurrent_share: f64,
 }
 
-impl Default for WaveConf {
-    fn default() -> WaveConf {
-        WaveConf {
+impl Default for RolloutConf {
+    fn default() -> RolloutConf {
+        RolloutConf {
             engine_downtime: Duration::from_millis(1_100),
             deadline_share: 0.6,
             max_concurrent_share: 0.4,
@@ -36,7 +36,7 @@
 
 /// State of an engine as far as a rolling update needs it.
 #[derive(Clone, Debug)]
-pub struct WaveServer {
+pub struct RolloutEngine {
     /// The engine.
     pub key: ServerKey,
     /// Its name. Breaks ties, so that all routers order engines in the same way.
@@ -55,7 +55,7 @@
 
 /// Age and time limit of the target version.
 #[derive(Clone, Copy, Debug)]
-pub struct WaveTime {
+pub struct RolloutTime {
     /// Time since the version was published.
     pub age: Duration,
     /// Age from which no request may start on older weights.
@@ -64,23 +64,23 @@
 
 /// Plans the rolling update to one version.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct OrderWave {
-    conf: WaveConf,
+pub struct RolloutPlan {
+    conf: RolloutConf,
 }
 
-impl OrderWave {
+impl RolloutPlan {
     /// Creates a plan with the given parameters.
-    pub fn new(conf: WaveConf) -> OrderWave {
-        OrderWave { conf }
+    pub fn new(conf: RolloutConf) -> RolloutPlan {
+        RolloutPlan { conf }
     }
 
     /// Number of engines to update at the same time: the minimum with which the update finishes before the
     /// deadline.
     pub fn concurrency(
         &self,
-        servers: &[WaveServer],
+        servers: &[RolloutEngine],
         target: WeightsVersion,
-        wave: WaveTime,
+        wave: RolloutTime,
     ) -> usize {
         let outdated = servers.iter().filter(|server| server.version < target).count() as f64;
         let remaining = wave.bound.mul_f64(self.conf.deadline_share).saturating_sub(wave.age);
@@ -94,15 +94,15 @@
     /// engine finishes its running requests before it loads.
     pub fn next(
         &self,
-        servers: &[WaveServer],
+        servers: &[RolloutEngine],
         target: WeightsVersion,
-        wave: WaveTime,
+        wave: RolloutTime,
     ) -> Vec<ServerKey> {
         let in_progress = servers.iter().filter(|server| server.is_ordered).count();
         let mut slots = self.concurrency(servers, target, wave).saturating_sub(in_progress);
-        let mut candidates: Vec<&WaveServer> =
+        let mut candidates: Vec<&RolloutEngine> =
             servers.iter().filter(|server| server.version < target && !server.is_ordered).collect();
-        let mut chosen: Vec<&WaveServer> = Vec::new();
+        let mut chosen: Vec<&RolloutEngine> = Vec::new();
         while 0 < slots && !candidates.is_empty() {
             let updating_in = |zone: &ZoneName| {
                 let ordered = servers.iter().filter(|server| server.is_ordered);
--- a/crates/dispatch/src/server_contact.rs
+++ b/crates/dispatch/src/server_probe.rs
@@ -6,7 +6,7 @@
 
 use tokio::time::Instant;
 
-use crate::ConnectEnd;
+use crate::ConnectOutcome;
 
 /// How long the result of a connection is valid: about the time that an engine takes for a long prompt.
 const RESULT_TTL: Duration = Duration::from_millis(250);
@@ -23,7 +23,7 @@
 
 /// What a request should do that waits for a server which sends nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ContactStep {
+pub enum ProbeStep {
     /// Open a probe connection and record its outcome.
     Ask,
     /// Keep waiting: the server was reached recently, or a probe is in flight.
@@ -34,7 +34,7 @@
 
 /// Outcomes of recent connections to a server.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct ServerContact {
+pub(crate) struct ServerProbe {
     failures: u32,
     /// Time of the first consecutive failure.
     failing_since: Option<Instant>,
@@ -46,42 +46,42 @@
     probe_started: Option<Instant>,
 }
 
-impl ServerContact {
+impl ServerProbe {
     /// Records a successful connection or a response.
     pub(crate) fn reached(&mut self, now: Instant) {
-        *self = ServerContact { last_attempt: Some((now, true)), ..ServerContact::default() };
+        *self = ServerProbe { last_attempt: Some((now, true)), ..ServerProbe::default() };
     }
 
     /// Records a failed connection.
-    pub(crate) fn failed(&mut self, outcome: ConnectEnd, now: Instant) {
+    pub(crate) fn failed(&mut self, outcome: ConnectOutcome, now: Instant) {
         self.failures += 1;
         self.failing_since.get_or_insert(now);
         self.last_attempt = Some((now, false));
-        self.is_refused = outcome == ConnectEnd::Refused;
+        self.is_refused = outcome == ConnectOutcome::Refused;
         self.probe_started = None;
     }
 
-    /// Returns the next step of a waiting request. A probe counts as in flight once [`ContactStep::Ask`] is
+    /// Returns the next step of a waiting request. A probe counts as in flight once [`ProbeStep::Ask`] is
     /// returned. Timeouts until `local_fault_end` are not counted.
     pub(crate) fn next_step(
         &mut self,
         local_fault_end: Option<Instant>,
         now: Instant,
-    ) -> ContactStep {
+    ) -> ProbeStep {
         match self.last_attempt {
-            Some((at, true)) if is_recent(at, RESULT_TTL, now) => return ContactStep::Wait,
+            Some((at, true)) if is_recent(at, RESULT_TTL, now) => return ProbeStep::Wait,
             Some((at, false))
                 if is_recent(at, RESULT_TTL, now) && self.is_server_fault(at, local_fault_end) =>
             {
-                return ContactStep::Unreachable;
+                return ProbeStep::Unreachable;
             }
             _ => {}
         }
         if self.probe_started.is_some_and(|started| is_recent(started, PROBE_TIMEOUT, now)) {
-            return ContactStep::Wait;
+            return ProbeStep::Wait;
         }
         self.probe_started = Some(now);
-        ContactStep::Ask
+        ProbeStep::Ask
     }
 
     /// Whether the server and the requests waiting there count as lost. Timeouts until `local_fault_end` are
--- a/crates/dispatch/src/server_book.rs
+++ b/crates/dispatch/src/server_registry.rs
@@ -18,18 +18,18 @@
 use crate::DemandMeter;
 use crate::EngineChoice;
 use crate::LoadReport;
-use crate::PartMemory;
-use crate::PeerBoard;
+use crate::PeerLoadTable;
+use crate::PromptCacheEstimate;
 use crate::PromptNotice;
 use crate::ServerEntry;
 use crate::ServerKey;
 use crate::ServerState;
 use crate::Urgency;
+use crate::chat_stall_tracker::ChatStallTracker;
 use crate::engine_choice::scope_of;
-use crate::link_meter::LinkMeter;
-use crate::own_reach::OwnReach;
+use crate::link_usage::LinkUsage;
+use crate::local_fault_detector::LocalFaultDetector;
 use crate::pending_updates::PendingUpdates;
-use crate::stall_meter::StallMeter;
 
 /// How long a server that rejected a request as full is skipped: about the time in which one of its
 /// running requests ends.
@@ -57,20 +57,20 @@
 
 /// Registry of all listed servers with their estimated state.
 #[derive(Debug, Default)]
-pub struct ServerBook {
+pub struct ServerRegistry {
     servers: IndexMap<ServerKey, ServerState>,
     /// Estimated contents of the prompt store.
-    store_cache: PartMemory,
+    store_cache: PromptCacheEstimate,
     /// Load on the link between the prompt store and the engines.
-    store_link: LinkMeter,
+    store_link: LinkUsage,
     /// Requests in flight from the other routers.
-    peers: PeerBoard,
+    peers: PeerLoadTable,
     /// Interval between two gossip messages of a router, once configured.
     gossip_interval: Option<Duration>,
     /// Request rate of each prompt part, over all routers.
     demand: DemandMeter,
     /// How much chat streams stall when long prompts run on the same engine.
-    stalls: StallMeter,
+    stalls: ChatStallTracker,
     /// Prompts sent since the last gossip message.
     pending_prompts: Vec<PromptNotice>,
     /// Cache updates received since the last gossip message.
@@ -78,10 +78,10 @@
     /// Servers whose address now belongs to another server. Ignored until the list drops them.
     replaced: IndexSet<ServerKey>,
     /// Recent connection attempts, from which a local network fault is detected.
-    connectivity: OwnReach,
+    connectivity: LocalFaultDetector,
 }
 
-impl ServerBook {
+impl ServerRegistry {
     /// Adds and updates the servers of the list, and removes all others.
     pub fn sync(&mut self, entries: &[Arc<ServerEntry>], now: Instant) {
         let listed_keys: IndexSet<ServerKey> = entries.iter().map(|entry| entry.key()).collect();
--- a/crates/dispatch/src/server_book/choices.rs
+++ b/crates/dispatch/src/server_registry/choices.rs
@@ -11,22 +11,22 @@
 use indexmap::IndexMap;
 use tokio::time::Instant;
 
+use crate::AssignedEngine;
 use crate::CallShape;
 use crate::ChoiceReason;
 use crate::ChoiceView;
 use crate::EngineChoice;
 use crate::EngineRequest;
+use crate::Placement;
 use crate::PlacementRequest;
-use crate::Placing;
-use crate::ServerBook;
 use crate::ServerEntry;
 use crate::ServerKey;
+use crate::ServerRegistry;
 use crate::ServerState;
-use crate::TakenEngine;
 use crate::Urgency;
 use crate::admission::has_room;
 use crate::admission::is_short;
-use crate::engine_choice::Surroundings;
+use crate::engine_choice::EngineContext;
 use crate::engine_choice::scope_of;
 use crate::experiment::Mechanism;
 use crate::experiment::is_on;
@@ -47,7 +47,7 @@
 /// Shorter shared prefixes are computed faster than they are fetched.
 const MIN_SAVED_TOKENS: u32 = 1_000;
 
-impl ServerBook {
+impl ServerRegistry {
     /// Selects the server of a plain service with the lowest expected latency.
     pub fn choose_plain(
         &self,
@@ -80,16 +80,16 @@
     }
 
     /// Sends a prompt to the engine with the lowest cost, if its queue has room.
-    pub fn place(&mut self, placement: &PlacementRequest, view: ChoiceView<'_>) -> Placing {
+    pub fn place(&mut self, placement: &PlacementRequest, view: ChoiceView<'_>) -> Placement {
         let choice = self.choose_engine(&placement.request(view, &placement.excluded));
         // Falls back to servers that this prompt has already been sent to.
         let choice = choice.or_else(|| self.choose_engine(&placement.request(view, &[])));
-        let Some(choice) = choice else { return Placing::Nowhere };
+        let Some(choice) = choice else { return Placement::Nowhere };
         if !has_room(placement, &choice, self.current_gossip_interval(view.now)) {
-            return Placing::Wait(choice.read_tokens);
+            return Placement::Wait(choice.read_tokens);
         }
         let ticket = self.begin_prompt(&placement.call, &choice, view.now);
-        Placing::Taken(Box::new(TakenEngine { choice, ticket }))
+        Placement::Taken(Box::new(AssignedEngine { choice, ticket }))
     }
 
     /// The configured gossip interval, or by default that of direct messages between all routers.
@@ -124,7 +124,7 @@
             0 => 0.0,
             _ => self.current_gossip_interval(request.now).as_secs_f64() * 1_000.0,
         };
-        let context = |engine: &EligibleEngine<'_>| Surroundings {
+        let context = |engine: &EligibleEngine<'_>| EngineContext {
             is_home: engine.is_home,
             urgency,
             shape,
--- a/crates/dispatch/src/server_book/connectivity.rs
+++ b/crates/dispatch/src/server_registry/connectivity.rs
@@ -2,18 +2,18 @@
 
 use tokio::time::Instant;
 
-use crate::ConnectEnd;
-use crate::ContactStep;
-use crate::ReachNews;
-use crate::ServerBook;
+use crate::ConnectOutcome;
+use crate::ProbeStep;
 use crate::ServerEntry;
 use crate::ServerKey;
+use crate::ServerRegistry;
+use crate::SuspicionChange;
 
-impl ServerBook {
+impl ServerRegistry {
     /// Records the outcome of a connection attempt.
-    pub fn tried(&mut self, server: ServerKey, outcome: ConnectEnd, now: Instant) {
+    pub fn tried(&mut self, server: ServerKey, outcome: ConnectOutcome, now: Instant) {
         self.connectivity.note(server, outcome, now);
-        if outcome == ConnectEnd::Reached {
+        if outcome == ConnectOutcome::Reached {
             self.reached(server, now);
         }
     }
@@ -24,7 +24,7 @@
     }
 
     /// Returns the start or end of a suspected local fault once, if there was one since the last call.
-    pub fn reach_news(&mut self, now: Instant) -> Option<ReachNews> {
+    pub fn reach_news(&mut self, now: Instant) -> Option<SuspicionChange> {
         self.connectivity.news(now)
     }
 
@@ -37,20 +37,21 @@
     /// failure counts as a refusal.
     pub fn unreachable(&mut self, server: ServerKey, now: Instant) {
         let outcome = self.connectivity.newest(server, now);
-        let is_local_fault = outcome == Some(ConnectEnd::Silent) && self.connectivity.doubts(now);
+        let is_local_fault =
+            outcome == Some(ConnectOutcome::Silent) && self.connectivity.doubts(now);
         let Some(state) = self.state_mut(server) else { return };
         match outcome {
             _ if is_local_fault => state.back_off_briefly(now),
-            Some(ConnectEnd::Silent) => state.connection_failed(ConnectEnd::Silent, now),
-            _ => state.connection_failed(ConnectEnd::Refused, now),
+            Some(ConnectOutcome::Silent) => state.connection_failed(ConnectOutcome::Silent, now),
+            _ => state.connection_failed(ConnectOutcome::Refused, now),
         }
     }
 
     /// Returns what a request should do whose server has not sent anything for a while.
-    pub fn silent(&mut self, server: ServerKey, now: Instant) -> ContactStep {
+    pub fn silent(&mut self, server: ServerKey, now: Instant) -> ProbeStep {
         let local_fault_end = self.connectivity.doubted_until(now);
         self.state_mut(server)
-            .map_or(ContactStep::Ask, |state| state.contact.next_step(local_fault_end, now))
+            .map_or(ProbeStep::Ask, |state| state.contact.next_step(local_fault_end, now))
     }
 
     /// Records a successful connection that carries no request.
--- a/crates/dispatch/src/server_book/gossip.rs
+++ b/crates/dispatch/src/server_registry/gossip.rs
@@ -13,15 +13,15 @@
 use crate::LoadingStage;
 use crate::PeerLoad;
 use crate::PromptNotice;
-use crate::ServerBook;
 use crate::ServerKey;
+use crate::ServerRegistry;
 use crate::ZonePeer;
 
 /// Upper bound on prompts that wait for the next gossip message. Further ones are not announced, which makes
 /// the other routers' cache estimates less accurate.
 pub(super) const MAX_PENDING_PROMPTS: usize = 256;
 
-impl ServerBook {
+impl ServerRegistry {
     /// Builds the next gossip message: current loads, and the pending prompts and cache updates with at most
     /// `max_parts` parts. Prompts and cache updates in the message are no longer pending.
     pub fn take_news(&mut self, max_parts: usize, now: Instant) -> GossipMessage {
--- a/crates/dispatch/src/server_state.rs
+++ b/crates/dispatch/src/server_state.rs
@@ -9,13 +9,13 @@
 use tokio::time::Instant;
 
 use crate::Backlog;
-use crate::ConnectEnd;
-use crate::PartMemory;
+use crate::ConnectOutcome;
+use crate::PromptCacheEstimate;
 use crate::ServerEntry;
 use crate::ServerKey;
-use crate::fading_mean::FadingMean;
-use crate::link_meter::LinkMeter;
-use crate::server_contact::ServerContact;
+use crate::decaying_mean::DecayingMean;
+use crate::link_usage::LinkUsage;
+use crate::server_probe::ServerProbe;
 
 /// How long a load report is valid.
 const REPORT_TTL: Duration = Duration::from_millis(1_500);
@@ -43,12 +43,12 @@
     /// Prompt tokens of requests that wait for their first event.
     pub(crate) backlog: Backlog,
     report: Option<(LoadReport, Instant)>,
-    latency_ms: FadingMean,
-    failures: FadingMean,
+    latency_ms: DecayingMean,
+    failures: DecayingMean,
     /// End of the backoff after a failed connection.
     backoff_until: Option<Instant>,
     backoff_count: u32,
-    pub(crate) contact: ServerContact,
+    pub(crate) contact: ServerProbe,
     /// End of the backoff after a request was rejected as full.
     full_until: Option<Instant>,
     /// Until when the engine counts as loading weights.
@@ -58,9 +58,9 @@
     /// Versions that the engine is probably loading. Used only to route requests: if they also decided about
     /// load orders, a wrong assumption would leave the engine on old weights.
     assumed: IndexMap<ModelName, WeightsVersion>,
-    pub(crate) memory: PartMemory,
+    pub(crate) memory: PromptCacheEstimate,
     /// Load on its link to other engines.
-    pub(crate) link: LinkMeter,
+    pub(crate) link: LinkUsage,
 }
 
 /// Expected latency of a plain call before any was observed.
@@ -83,17 +83,17 @@
             chats: 0,
             backlog: Backlog::default(),
             report: None,
-            latency_ms: FadingMean::new(DEFAULT_LATENCY_MS, now),
-            failures: FadingMean::new(0.0, now),
+            latency_ms: DecayingMean::new(DEFAULT_LATENCY_MS, now),
+            failures: DecayingMean::new(0.0, now),
             backoff_until: None,
             backoff_count: 0,
-            contact: ServerContact::default(),
+            contact: ServerProbe::default(),
             full_until: None,
             loading_until: None,
             weights,
             assumed: IndexMap::new(),
-            memory: PartMemory::default(),
-            link: LinkMeter::default(),
+            memory: PromptCacheEstimate::default(),
+            link: LinkUsage::default(),
         }
     }
 
@@ -154,7 +154,7 @@
     }
 
     /// Records a failed connection and extends the backoff.
-    pub(crate) fn connection_failed(&mut self, outcome: ConnectEnd, now: Instant) {
+    pub(crate) fn connection_failed(&mut self, outcome: ConnectOutcome, now: Instant) {
         let backoff = MIN_BACKOFF * 2_u32.pow(self.backoff_count.min(4));
         self.backoff_until = Some(now + backoff.min(MAX_BACKOFF));
         self.backoff_count += 1;
--- a/crates/dispatch/src/subscriber_store.rs
+++ b/crates/dispatch/src/store_access.rs
@@ -2,7 +2,7 @@
 
 /// Whether a router that requests records can read the store itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum SubscriberStore {
+pub enum StoreAccess {
     /// It can, to its own knowledge, and does if its request is refused.
     InReach,
     /// Its last read failed; if its request is refused, it gets no records.
--- a/crates/dispatch/tests/budgets.rs
+++ b/crates/dispatch/tests/budgets.rs
@@ -6,15 +6,15 @@
 
 use fulmargate_dispatch::CrashConf;
 use fulmargate_dispatch::CrashTracker;
-use fulmargate_dispatch::RepeatBudget;
-use fulmargate_dispatch::RepeatConf;
+use fulmargate_dispatch::RetryBudget;
+use fulmargate_dispatch::RetryConf;
 use fulmargate_names::ServiceName;
 use quickcheck::Gen;
 use quickcheck::QuickCheck;
 use support::key;
 use tokio::time::Instant;
 
-const CONF: RepeatConf = RepeatConf { ratio: 0.2, slack: 52.0, window: Duration::from_secs(10) };
+const CONF: RetryConf = RetryConf { ratio: 0.2, slack: 52.0, window: Duration::from_secs(10) };
 
 fn service() -> ServiceName {
     ServiceName::new("engines")
@@ -27,8 +27,8 @@
     fn property(traffic: Vec<(u8, u8)>) -> bool {
         const ROUTERS: usize = 6;
         let start = Instant::now();
-        let mut routers: Vec<RepeatBudget> =
-            (0..ROUTERS).map(|_| RepeatBudget::new(CONF, start)).collect();
+        let mut routers: Vec<RetryBudget> =
+            (0..ROUTERS).map(|_| RetryBudget::new(CONF, start)).collect();
         routers.iter_mut().for_each(|router| router.set_hosts(ROUTERS));
         let (mut first_sends, mut retries) = (Vec::new(), Vec::new());
         let mut now = start;
@@ -61,7 +61,7 @@
 #[test]
 fn a_new_process_has_no_slack_in_its_first_window() {
     let start = Instant::now();
-    let mut budget = RepeatBudget::new(CONF, start);
+    let mut budget = RetryBudget::new(CONF, start);
     budget.set_hosts(6);
     assert!(!budget.try_repeat(&service(), start + Duration::from_secs(9)));
     assert!(budget.try_repeat(&service(), start + Duration::from_secs(11)));
@@ -71,7 +71,7 @@
 fn each_service_has_its_own_budget() {
     let start = Instant::now();
     let later = start + Duration::from_secs(60);
-    let mut budget = RepeatBudget::new(CONF, start);
+    let mut budget = RetryBudget::new(CONF, start);
     budget.set_hosts(6);
     while budget.try_repeat(&service(), later) {}
     assert!(budget.try_repeat(&ServiceName::new("desk"), later));
--- a/crates/dispatch/tests/bulk_reads.rs
+++ b/crates/dispatch/tests/bulk_reads.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use fulmargate_dispatch::ReadShare;
+use fulmargate_dispatch::BulkReadLimiter;
 use fulmargate_dispatch::history_pause;
 use tokio::time::Instant;
 
@@ -72,7 +72,7 @@
     for case in SHARE_CASES {
         let start = Instant::now();
         let at = |ms: u64| start + Duration::from_millis(ms);
-        let mut limiter = ReadShare::new(case.link_bytes_per_s);
+        let mut limiter = BulkReadLimiter::new(case.link_bytes_per_s);
         for (ms, bytes) in case.reads {
             limiter.add(*bytes, at(*ms));
         }
--- a/crates/dispatch/tests/cache_gossip.rs
+++ b/crates/dispatch/tests/cache_gossip.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use fulmargate_dispatch::CacheNotice;
-use fulmargate_dispatch::ServerBook;
 use fulmargate_dispatch::ServerKey;
+use fulmargate_dispatch::ServerRegistry;
 use fulmargate_dispatch::published_parts;
 use tokio::time::Instant;
 
@@ -110,7 +110,7 @@
 #[test]
 fn the_oldest_pending_parts_are_dropped() {
     const PARTS_PER_UPDATE: usize = 4_000;
-    let mut book = ServerBook::default();
+    let mut book = ServerRegistry::default();
     let now = Instant::now();
     for round in 0..5 {
         let first = round * PARTS_PER_UPDATE as u64;
@@ -128,7 +128,7 @@
 /// updates go first, and replace older ones of the same part.
 #[test]
 fn newer_updates_are_sent_before_older_ones() {
-    let mut book = ServerBook::default();
+    let mut book = ServerRegistry::default();
     let now = Instant::now();
     let update_of = |server: u64, parts: Vec<(u64, u32)>| CacheNotice {
         server: ServerKey(server),
@@ -151,7 +151,7 @@
 
 /// Messages until no update is pending.
 fn messages_of(case: &UpdateCase) -> Vec<Vec<CacheNotice>> {
-    let mut book = ServerBook::default();
+    let mut book = ServerRegistry::default();
     let now = Instant::now();
     let mut messages = Vec::new();
     for round in 0.. {
--- a/crates/dispatch/tests/cache_store.rs
+++ b/crates/dispatch/tests/cache_store.rs
@@ -7,7 +7,7 @@
 use fulmargate_dispatch::BootTime;
 use fulmargate_dispatch::CallFacts;
 use fulmargate_dispatch::EngineRequest;
-use fulmargate_dispatch::ServerBook;
+use fulmargate_dispatch::ServerRegistry;
 use fulmargate_dispatch::WeightsTable;
 use fulmargate_names::ServiceName;
 use support::ENGINES;
@@ -59,11 +59,11 @@
 fn prompts_that_are_mostly_shared_are_saved() {
     for case in SAVE_CASES {
         let now = Instant::now();
-        let mut book = ServerBook::default();
+        let mut book = ServerRegistry::default();
         book.sync(&engines(&["e1", "e2"]), now);
         let shared_parts = [(11, case.shared_tokens)];
         let (table, weights) = (table(Vec::new(), Vec::new()), WeightsTable::default());
-        let choose = |book: &ServerBook, call: &CallFacts| {
+        let choose = |book: &ServerRegistry, call: &CallFacts| {
             let request = EngineRequest {
                 call,
                 service: &ServiceName::new(ENGINES),
--- a/crates/dispatch/tests/choices.rs
+++ b/crates/dispatch/tests/choices.rs
@@ -16,8 +16,8 @@
 use fulmargate_dispatch::LoadingNotice;
 use fulmargate_dispatch::LoadingStage;
 use fulmargate_dispatch::RouteTable;
-use fulmargate_dispatch::ServerBook;
 use fulmargate_dispatch::ServerKey;
+use fulmargate_dispatch::ServerRegistry;
 use fulmargate_dispatch::WeightsTable;
 use fulmargate_dispatch::scope_of;
 use fulmargate_names::HostName;
@@ -39,7 +39,7 @@
 const ENGINE_NAMES: &[&str] = &["e1", "e2", "e3", "e4"];
 
 struct ChoiceFixture {
-    book: ServerBook,
+    book: ServerRegistry,
     table: RouteTable,
     weights: WeightsTable,
     now: Instant,
@@ -49,7 +49,7 @@
 impl ChoiceFixture {
     fn new() -> ChoiceFixture {
         let now = Instant::now();
-        let mut book = ServerBook::default();
+        let mut book = ServerRegistry::default();
         book.sync(&engines(ENGINE_NAMES), now);
         let table = table(Vec::new(), Vec::new());
         let weights = WeightsTable::default();
@@ -304,11 +304,11 @@
 #[test]
 fn plain_calls_go_to_the_fastest_server() {
     let now = Instant::now();
-    let mut book = ServerBook::default();
+    let mut book = ServerRegistry::default();
     let entries: Vec<_> = ["d1", "d2", "d3"].map(|name| Arc::new(server(name, DESK))).into();
     book.sync(&entries, now);
     let service = ServiceName::new(DESK);
-    let choose = |book: &ServerBook| {
+    let choose = |book: &ServerRegistry| {
         let server = book.choose_plain(&service, &zone(), &[], now).expect("a server is chosen");
         server.name.to_string()
     };
--- a/crates/dispatch/tests/handing_on.rs
+++ b/crates/dispatch/tests/forward_budgets.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use fulmargate_dispatch::ForwardBudget;
-use fulmargate_dispatch::SubscriberStore;
+use fulmargate_dispatch::StoreAccess;
 use quickcheck::Gen;
 use quickcheck::QuickCheck;
 use tokio::time::Instant;
@@ -14,14 +14,14 @@
 const WIDE_BYTES_PER_S: f64 = 25_000_000.0;
 const CONFIGURATION_BYTES: usize = 397_000;
 const PAGE_BYTES: usize = 16_000;
-const IN_REACH: SubscriberStore = SubscriberStore::InReach;
-const OUT_OF_REACH: SubscriberStore = SubscriberStore::OutOfReach;
+const IN_REACH: StoreAccess = StoreAccess::InReach;
+const OUT_OF_REACH: StoreAccess = StoreAccess::OutOfReach;
 
 struct BurstCase {
     name: &'static str,
     link: f64,
     bytes: usize,
-    store: SubscriberStore,
+    store: StoreAccess,
     /// How many of 14 simultaneous requests are granted.
     granted: usize,
 }
--- a/crates/dispatch/tests/leases.rs
+++ b/crates/dispatch/tests/leases.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use fulmargate_dispatch::BootTime;
-use fulmargate_dispatch::FleetFold;
 use fulmargate_dispatch::FleetRecord;
+use fulmargate_dispatch::FleetState;
 use fulmargate_dispatch::LeaseKeeper;
 use fulmargate_dispatch::LeaseStep;
 use fulmargate_dispatch::LinkRank;
@@ -34,14 +34,14 @@
 /// A router that reads the topic and acts only when a history steps it, as if suspended in between.
 struct TestRouter {
     host: &'static str,
-    fold: FleetFold,
+    fold: FleetState,
     keeper: LeaseKeeper,
 }
 
 impl TestRouter {
     fn new(host: &'static str) -> TestRouter {
         let keeper = LeaseKeeper::new(HostName::new(host), LEASE_DURATION);
-        TestRouter { host, fold: FleetFold::default(), keeper }
+        TestRouter { host, fold: FleetState::default(), keeper }
     }
 
     fn read(&mut self, topic: &[FleetRecord], now: BootTime) {
@@ -167,7 +167,7 @@
 #[test]
 fn the_next_step_depends_on_the_newest_record() {
     for case in step_cases() {
-        let mut fold = FleetFold::default();
+        let mut fold = FleetState::default();
         if let Some((host, seen)) = case.lease {
             fold.apply(LogOffset(0), &lease_record(host), BootTime(seen));
         }
@@ -181,7 +181,7 @@
 /// first.
 #[test]
 fn the_last_holder_appends_first() {
-    let mut fold = FleetFold::default();
+    let mut fold = FleetState::default();
     fold.apply(LogOffset(0), &lease_record("h1"), BootTime(1_000));
     let work_since = BootTime(20_000);
     let step = |host: &str, now: u64| {
@@ -284,8 +284,8 @@
 }
 
 /// The state after reading a topic in which each of these hosts has joined.
-fn fold_with_members(hosts: &[String]) -> FleetFold {
-    let mut fold = FleetFold::default();
+fn fold_with_members(hosts: &[String]) -> FleetState {
+    let mut fold = FleetState::default();
     for (offset, host) in hosts.iter().enumerate() {
         let record = FleetRecord::Joined {
             host: HostName::new(host),
@@ -369,7 +369,7 @@
 }
 
 /// Wait of a host if work arrives long after the last lease expired.
-fn wait_ms(host: &str, fold: &FleetFold, rank: LinkRank) -> u64 {
+fn wait_ms(host: &str, fold: &FleetState, rank: LinkRank) -> u64 {
     let now = BootTime(20_000);
     match LeaseKeeper::new(HostName::new(host), LEASE_DURATION).step(fold, now, rank, now) {
         LeaseStep::Wait(wait) => wait.as_millis() as u64,
@@ -381,7 +381,7 @@
 /// Guards against the lease moving to another host while its holder renews it.
 #[test]
 fn a_renewed_lease_stays_with_its_holder() {
-    let mut fold = FleetFold::default();
+    let mut fold = FleetState::default();
     fold.apply(LogOffset(0), &lease_record("h1"), BootTime(1_000));
     for (host, rank) in [("h0", LinkRank::Widest { hosts: 1 }), ("h2", LinkRank::Equal)] {
         let keeper = LeaseKeeper::new(HostName::new(host), LEASE_DURATION);
@@ -399,7 +399,7 @@
 /// Guards against a late, repeated read making a lease look younger or restoring an older one.
 #[test]
 fn a_record_that_is_read_twice_counts_once() {
-    let mut fold = FleetFold::default();
+    let mut fold = FleetState::default();
     fold.apply(LogOffset(0), &lease_record("h0"), BootTime(1_000));
     fold.apply(LogOffset(1), &lease_record("h1"), BootTime(2_000));
     fold.apply(LogOffset(0), &lease_record("h0"), BootTime(9_000));
--- a/crates/dispatch/tests/reach.rs
+++ b/crates/dispatch/tests/local_faults.rs
@@ -4,11 +4,11 @@
 
 use std::time::Duration;
 
-use fulmargate_dispatch::ConnectEnd;
-use fulmargate_dispatch::ContactStep;
-use fulmargate_dispatch::ReachCount;
-use fulmargate_dispatch::ReachNews;
-use fulmargate_dispatch::ServerBook;
+use fulmargate_dispatch::ConnectOutcome;
+use fulmargate_dispatch::ProbeStep;
+use fulmargate_dispatch::ReachabilityCount;
+use fulmargate_dispatch::ServerRegistry;
+use fulmargate_dispatch::SuspicionChange;
 use support::engines;
 use support::key;
 use tokio::time::Instant;
@@ -16,14 +16,14 @@
 /// Action or check at a time in milliseconds.
 enum ReachStep {
     /// Connection attempts to these servers ended so.
-    Tried(u64, &'static [&'static str], ConnectEnd),
+    Tried(u64, &'static [&'static str], ConnectOutcome),
     /// Connection attempts ended so, and sends failed for lack of a connection.
-    SendFailed(u64, &'static [&'static str], ConnectEnd),
+    SendFailed(u64, &'static [&'static str], ConnectOutcome),
     IsSuspected(u64, bool),
     IsLost(u64, &'static str, bool),
     IsOpen(u64, &'static str, bool),
     /// Step for a request that waits for a silent server.
-    SilentStep(u64, &'static str, ContactStep),
+    SilentStep(u64, &'static str, ProbeStep),
 }
 
 struct ReachCase {
@@ -31,9 +31,9 @@
     steps: &'static [ReachStep],
 }
 
-use ConnectEnd::Reached;
-use ConnectEnd::Refused;
-use ConnectEnd::Silent;
+use ConnectOutcome::Reached;
+use ConnectOutcome::Refused;
+use ConnectOutcome::Silent;
 use ReachStep::*;
 
 /// Two servers in each of three zones.
@@ -48,14 +48,14 @@
         steps: &[
             SendFailed(0, ALL_SERVERS, Silent),
             IsSuspected(0, true),
-            SilentStep(10, "a1", ContactStep::Ask),
-            SilentStep(20, "a1", ContactStep::Wait),
+            SilentStep(10, "a1", ProbeStep::Ask),
+            SilentStep(20, "a1", ProbeStep::Wait),
             SendFailed(400, ALL_SERVERS, Silent),
             SendFailed(800, ALL_SERVERS, Silent),
             IsLost(800, "a1", false),
             SendFailed(1_200, ALL_SERVERS, Silent),
             IsLost(1_200, "a1", false),
-            SilentStep(1_210, "b1", ContactStep::Ask),
+            SilentStep(1_210, "b1", ProbeStep::Ask),
         ],
     },
     ReachCase {
@@ -129,7 +129,7 @@
             Tried(0, ALL_BUT_A1, Silent),
             SendFailed(0, &["a1"], Refused),
             SendFailed(300, &["a1"], Refused),
-            SilentStep(310, "a1", ContactStep::Unreachable),
+            SilentStep(310, "a1", ProbeStep::Unreachable),
             Tried(600, ALL_BUT_A1, Silent),
             SendFailed(600, &["a1"], Refused),
             IsSuspected(600, true),
@@ -156,7 +156,7 @@
             SendFailed(0, &["a1"], Silent),
             SendFailed(400, &["a1"], Silent),
             IsSuspected(400, false),
-            SilentStep(410, "a1", ContactStep::Unreachable),
+            SilentStep(410, "a1", ProbeStep::Unreachable),
             SendFailed(700, &["a1"], Silent),
             IsSuspected(700, false),
             IsLost(700, "a1", true),
@@ -196,9 +196,9 @@
         name: "a connection that timed out is tried once more",
         steps: &[
             SendFailed(0, &["a1"], Silent),
-            SilentStep(10, "a1", ContactStep::Ask),
+            SilentStep(10, "a1", ProbeStep::Ask),
             SendFailed(160, &["a1"], Silent),
-            SilentStep(170, "a1", ContactStep::Unreachable),
+            SilentStep(170, "a1", ProbeStep::Unreachable),
         ],
     },
     ReachCase {
@@ -349,7 +349,7 @@
 fn run_case(case: &ReachCase) {
     let start = Instant::now();
     let at = |ms: &u64| start + Duration::from_millis(*ms);
-    let mut book = ServerBook::default();
+    let mut book = ServerRegistry::default();
     book.sync(&engines(ALL_SERVERS), start);
     let entry_of = |name: &str| engines(&[name]).remove(0);
     for step in case.steps {
@@ -401,19 +401,19 @@
 fn a_suspicion_is_reported_once() {
     let start = Instant::now();
     let at = |ms| start + Duration::from_millis(ms);
-    let mut book = ServerBook::default();
+    let mut book = ServerRegistry::default();
     assert_eq!(book.reach_news(at(0)), None);
     for name in OTHER_ZONES {
         book.tried(key(name), Silent, at(0));
     }
-    let count = |silent, heard| ReachCount { silent, heard };
-    assert_eq!(book.reach_news(at(10)), Some(ReachNews::Doubted(count(4, 0))));
+    let count = |silent, heard| ReachabilityCount { silent, heard };
+    assert_eq!(book.reach_news(at(10)), Some(SuspicionChange::Doubted(count(4, 0))));
     assert_eq!(book.reach_news(at(20)), None);
     assert_eq!(book.doubt_end(at(20)), Some(at(1_000)));
     book.tried(key("a1"), Refused, at(300));
     assert_eq!(book.reach_news(at(300)), None);
     book.tried(key("a2"), Reached, at(400));
-    let ended = ReachNews::Restored(count(4, 2), Duration::from_millis(390));
+    let ended = SuspicionChange::Restored(count(4, 2), Duration::from_millis(390));
     assert_eq!(book.reach_news(at(400)), Some(ended));
     assert_eq!((book.reach_news(at(410)), book.doubt_end(at(410))), (None, None));
 }
--- a/crates/dispatch/tests/hearing.rs
+++ b/crates/dispatch/tests/peer_discovery.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use fulmargate_dispatch::LastSeen;
+use fulmargate_dispatch::PeerDiscovery;
 use fulmargate_names::HostName;
 use tokio::time::Instant;
 
@@ -49,7 +49,7 @@
     let own = HostName::new("own");
     for case in DISCOVERY_CASES {
         let start = Instant::now();
-        let mut discovery = LastSeen::new(start);
+        let mut discovery = PeerDiscovery::new(start);
         for (at, is_over) in checks_from_start(case) {
             let seen = case.members.iter().filter(|(from, _)| *from <= at);
             let members: Vec<HostName> = seen.map(|(_, host)| HostName::new(host)).collect();
--- a/crates/dispatch/tests/peers.rs
+++ b/crates/dispatch/tests/peers.rs
@@ -5,9 +5,9 @@
 use fulmargate_dispatch::Backlog;
 use fulmargate_dispatch::GossipMessage;
 use fulmargate_dispatch::LinkRank;
-use fulmargate_dispatch::PeerBoard;
 use fulmargate_dispatch::PeerLoad;
-use fulmargate_dispatch::PeerSum;
+use fulmargate_dispatch::PeerLoadTable;
+use fulmargate_dispatch::PeerTotal;
 use fulmargate_dispatch::ServerKey;
 use fulmargate_dispatch::Urgency;
 use fulmargate_dispatch::gossip_interval;
@@ -44,7 +44,7 @@
 /// Guards against requests that have ended still being counted at an engine. After any messages,
 /// the totals must be those of the newest current message of each router.
 fn totals_match_current_reports(messages: Vec<TestMessage>) -> bool {
-    let mut board = PeerBoard::default();
+    let mut board = PeerLoadTable::default();
     let mut newest: IndexMap<u8, (u64, Vec<PeerLoad>)> = IndexMap::new();
     let start = Instant::now();
     let mut elapsed = 0;
@@ -60,7 +60,7 @@
     newest.retain(|_, (at, _)| elapsed - *at < MESSAGE_TTL_MS);
     let current: Vec<PeerLoad> = newest.into_values().flat_map(|(_, loads)| loads).collect();
     (0..4).map(ServerKey).all(|server| {
-        let PeerSum { open, chats, backlog } = board.sum(server);
+        let PeerTotal { open, chats, backlog } = board.sum(server);
         (open, chats, backlog.total()) == expected_sum(&current, server)
     })
 }
@@ -235,7 +235,7 @@
 #[test]
 fn links_are_ranked_by_current_reports() {
     for case in RANK_CASES {
-        let mut board = PeerBoard::default();
+        let mut board = PeerLoadTable::default();
         let start = Instant::now();
         for (number, link_kbps) in case.others.iter().enumerate() {
             let message = GossipMessage { link_kbps: *link_kbps, ..GossipMessage::default() };
--- a/crates/dispatch/tests/readers.rs
+++ b/crates/dispatch/tests/readers.rs
@@ -4,10 +4,10 @@
 
 use fulmargate_dispatch::BootTime;
 use fulmargate_dispatch::GossipMessage;
-use fulmargate_dispatch::LogAnswer;
 use fulmargate_dispatch::LogCache;
 use fulmargate_dispatch::LogPosition;
-use fulmargate_dispatch::PeerBoard;
+use fulmargate_dispatch::LogResponse;
+use fulmargate_dispatch::PeerLoadTable;
 use fulmargate_dispatch::RecordSource;
 use fulmargate_dispatch::ZonePeer;
 use fulmargate_dispatch::record_source;
@@ -138,7 +138,7 @@
 #[test]
 fn links_are_known_from_messages() {
     let now = Instant::now();
-    let mut board = PeerBoard::default();
+    let mut board = PeerLoadTable::default();
     let zone = ZoneName::new("north");
     for (name, link_kbps) in [("host-1", Some(NARROW_KBPS)), ("host-2", None)] {
         let message =
@@ -217,7 +217,7 @@
         }
         let answer =
             cache.answer(position(case.from), MAX_AGE, BootTime(case.now), BootTime(case.now));
-        let actual = answer.map(|answer: LogAnswer| (answer.records.len(), answer.age_ms));
+        let actual = answer.map(|answer: LogResponse| (answer.records.len(), answer.age_ms));
         assert_eq!(actual, case.answer, "{}", case.name);
     }
 }
--- a/crates/dispatch/tests/request_queue.rs
+++ b/crates/dispatch/tests/request_queue.rs
@@ -7,14 +7,14 @@
 use fulmargate_dispatch::BootTime;
 use fulmargate_dispatch::CallFacts;
 use fulmargate_dispatch::ChoiceView;
+use fulmargate_dispatch::Placement;
 use fulmargate_dispatch::PlacementRequest;
-use fulmargate_dispatch::Placing;
+use fulmargate_dispatch::QueueOutcome;
+use fulmargate_dispatch::QueueTicket;
 use fulmargate_dispatch::RequestQueue;
 use fulmargate_dispatch::RouteTable;
 use fulmargate_dispatch::SendTicket;
-use fulmargate_dispatch::ServerBook;
-use fulmargate_dispatch::WaitEnd;
-use fulmargate_dispatch::WaitNumber;
+use fulmargate_dispatch::ServerRegistry;
 use fulmargate_dispatch::WeightsTable;
 use fulmargate_names::ServiceName;
 use fulmargate_names::ZoneName;
@@ -29,19 +29,19 @@
 
 /// Two engines, each busy with a prompt of 20,000 tokens.
 struct QueueFixture {
-    book: ServerBook,
+    book: ServerRegistry,
     queue: RequestQueue,
     table: RouteTable,
     weights: WeightsTable,
     now: Instant,
     busy: Vec<SendTicket>,
-    names: IndexMap<WaitNumber, &'static str>,
+    names: IndexMap<QueueTicket, &'static str>,
 }
 
 impl QueueFixture {
     fn new() -> QueueFixture {
         let now = Instant::now();
-        let mut book = ServerBook::default();
+        let mut book = ServerRegistry::default();
         book.sync(&engines(&["e1", "e2"]), now);
         let mut fixture = QueueFixture {
             book,
@@ -54,7 +54,7 @@
         };
         for (id, part) in [("busy-1", 91), ("busy-2", 92)] {
             match fixture.place(&placement_request(prompt_call(id, &[(part, 18_000)], now))) {
-                Placing::Taken(taken) => fixture.busy.push(taken.ticket),
+                Placement::Taken(taken) => fixture.busy.push(taken.ticket),
                 other => panic!("{id}: {other:?}"),
             }
         }
@@ -72,7 +72,7 @@
         }
     }
 
-    fn place(&mut self, placement_request: &PlacementRequest) -> Placing {
+    fn place(&mut self, placement_request: &PlacementRequest) -> Placement {
         let mut book = std::mem::take(&mut self.book);
         let placing = book.place(placement_request, self.view(&zone()));
         self.book = book;
@@ -90,10 +90,10 @@
             (std::mem::take(&mut self.book), std::mem::take(&mut self.queue));
         let outcomes = queue.serve(&mut book, self.view(&zone()));
         (self.book, self.queue) = (book, queue);
-        let outcome = |end: &WaitEnd| match end {
-            WaitEnd::Taken(_) => "taken",
-            WaitEnd::Nowhere => "nowhere",
-            WaitEnd::Refused(wait) => {
+        let outcome = |end: &QueueOutcome| match end {
+            QueueOutcome::Taken(_) => "taken",
+            QueueOutcome::Nowhere => "nowhere",
+            QueueOutcome::Refused(wait) => {
                 let is_in_range = (300..=2_300).contains(&wait.as_millis());
                 assert!(is_in_range, "retry after {wait:?}");
                 "refused"
--- a/crates/dispatch/tests/restarts.rs
+++ b/crates/dispatch/tests/restarts.rs
@@ -17,9 +17,9 @@
 use fulmargate_dispatch::LoadingStage;
 use fulmargate_dispatch::PeerLoad;
 use fulmargate_dispatch::RouteTable;
-use fulmargate_dispatch::ServerBook;
 use fulmargate_dispatch::ServerEntry;
 use fulmargate_dispatch::ServerKey;
+use fulmargate_dispatch::ServerRegistry;
 use fulmargate_dispatch::Urgency;
 use fulmargate_dispatch::WeightsTable;
 use fulmargate_dispatch::scope_of;
@@ -39,7 +39,7 @@
 
 /// A router with one engine.
 struct RestartWorld {
-    book: ServerBook,
+    book: ServerRegistry,
     table: RouteTable,
     now: Instant,
 }
@@ -47,7 +47,7 @@
 impl RestartWorld {
     fn new() -> RestartWorld {
         let table = table(Vec::new(), Vec::new());
-        RestartWorld { book: ServerBook::default(), table, now: Instant::now() }
+        RestartWorld { book: ServerRegistry::default(), table, now: Instant::now() }
     }
 
     fn start_engine(&mut self, start: u64) -> ServerKey {
--- a/crates/dispatch/tests/restores.rs
+++ b/crates/dispatch/tests/restores.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use fulmargate_dispatch::BootTime;
-use fulmargate_dispatch::FleetFold;
 use fulmargate_dispatch::FleetRecord;
+use fulmargate_dispatch::FleetState;
 use fulmargate_dispatch::LeaseKeeper;
 use fulmargate_dispatch::LeaseStep;
 use fulmargate_dispatch::LinkRank;
@@ -68,14 +68,14 @@
 
 struct TestRouter {
     host: &'static str,
-    fold: FleetFold,
+    fold: FleetState,
     keeper: LeaseKeeper,
 }
 
 impl TestRouter {
     fn new(host: &'static str) -> TestRouter {
         let keeper = LeaseKeeper::new(HostName::new(host), LEASE_DURATION);
-        TestRouter { host, fold: FleetFold::default(), keeper }
+        TestRouter { host, fold: FleetState::default(), keeper }
     }
 
     /// Reads the topic, from its beginning if the epoch has changed.
@@ -213,7 +213,7 @@
 #[test]
 fn a_lost_lease_is_waited_out() {
     for case in LOST_LEASE_CASES {
-        let mut fold = FleetFold::default();
+        let mut fold = FleetState::default();
         fold.begin_epoch(StoreEpoch(0), BootTime(1_000));
         fold.begin_epoch(StoreEpoch(1), BootTime(20_000));
         if let Some((host, epoch)) = case.lease {
@@ -269,7 +269,7 @@
 #[test]
 fn hosts_report_the_newest_configuration_after_a_restore() {
     for case in RESTORE_NOTE_CASES {
-        let mut fold = FleetFold::default();
+        let mut fold = FleetState::default();
         fold.begin_epoch(StoreEpoch(1), BootTime(1_000));
         fold.apply(LogOffset(0), &joined_record("h0"), BootTime(1_000));
         for (offset, (epoch, config, is_settled)) in (1..).zip(case.notes) {
@@ -286,7 +286,7 @@
 /// Guards against starting hosts waiting although the store was never restored.
 #[test]
 fn the_first_epoch_is_trusted() {
-    let mut fold = FleetFold::default();
+    let mut fold = FleetState::default();
     fold.begin_epoch(StoreEpoch(0), BootTime(1_000));
     fold.apply(LogOffset(0), &joined_record("h0"), BootTime(1_000));
     assert!(!fold.is_restored_lately());
@@ -297,7 +297,7 @@
 /// restore lost that host's record.
 #[test]
 fn a_lost_lease_is_waited_out_after_the_own_has_expired() {
-    let mut fold = FleetFold::default();
+    let mut fold = FleetState::default();
     fold.begin_epoch(StoreEpoch(0), BootTime(1_000));
     let mut keeper = LeaseKeeper::new(HostName::new("h0"), LEASE_DURATION);
     keeper.appended(FencingNumber(0), BootTime(1_000));
--- a/crates/dispatch/tests/waves.rs
+++ b/crates/dispatch/tests/rollouts.rs
@@ -4,11 +4,11 @@
 
 use std::time::Duration;
 
-use fulmargate_dispatch::OrderWave;
+use fulmargate_dispatch::RolloutConf;
+use fulmargate_dispatch::RolloutEngine;
+use fulmargate_dispatch::RolloutPlan;
+use fulmargate_dispatch::RolloutTime;
 use fulmargate_dispatch::ServerKey;
-use fulmargate_dispatch::WaveConf;
-use fulmargate_dispatch::WaveServer;
-use fulmargate_dispatch::WaveTime;
 use fulmargate_names::ServerName;
 use fulmargate_names::WeightsVersion;
 use fulmargate_names::ZoneName;
@@ -60,13 +60,14 @@
 #[test]
 fn engines_are_ordered_by_reachability_zone_and_load() {
     // The deadline has passed, so that the maximum share of engines may be updated at the same time.
-    let wave = OrderWave::new(WaveConf { max_concurrent_share: 0.5, ..WaveConf::default() });
-    let time = WaveTime { age: Duration::from_secs(5), bound: Duration::from_secs(6) };
+    let wave =
+        RolloutPlan::new(RolloutConf { max_concurrent_share: 0.5, ..RolloutConf::default() });
+    let time = RolloutTime { age: Duration::from_secs(5), bound: Duration::from_secs(6) };
     for case in CASES {
-        let servers: Vec<WaveServer> = case
+        let servers: Vec<RolloutEngine> = case
             .servers
             .iter()
-            .map(|(name, zone, version, load, is_ordered, is_open)| WaveServer {
+            .map(|(name, zone, version, load, is_ordered, is_open)| RolloutEngine {
                 key: key(name),
                 name: ServerName::new(name),
                 zone: ZoneName::new(zone),
@@ -138,7 +139,7 @@
 #[test]
 fn concurrency_is_the_minimum_that_meets_the_deadline() {
     for case in CONCURRENCY_CASES {
-        let server = |number: usize| WaveServer {
+        let server = |number: usize| RolloutEngine {
             key: key(&format!("e{number}")),
             name: ServerName::new(&format!("e{number}")),
             zone: ZoneName::new("n"),
@@ -147,12 +148,12 @@
             is_ordered: false,
             is_open: true,
         };
-        let servers: Vec<WaveServer> = (0..case.engines).map(server).collect();
-        let wave = WaveTime {
+        let servers: Vec<RolloutEngine> = (0..case.engines).map(server).collect();
+        let wave = RolloutTime {
             age: Duration::from_millis(case.age_ms),
             bound: Duration::from_millis(case.bound_ms),
         };
-        let concurrency = OrderWave::default().concurrency(&servers, WeightsVersion(2), wave);
+        let concurrency = RolloutPlan::default().concurrency(&servers, WeightsVersion(2), wave);
         assert_eq!(concurrency, case.expected, "{}", case.name);
     }
 }
--- a/crates/dispatch/tests/contacts.rs
+++ b/crates/dispatch/tests/server_probes.rs
@@ -5,9 +5,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use fulmargate_dispatch::ContactStep;
-use fulmargate_dispatch::ServerBook;
+use fulmargate_dispatch::ProbeStep;
 use fulmargate_dispatch::ServerEntry;
+use fulmargate_dispatch::ServerRegistry;
 use fulmargate_names::Incarnation;
 use support::ENGINES;
 use support::server;
@@ -18,7 +18,7 @@
     Failed(u64),
     Reached(u64),
     /// A waiting request asks what to do, and is given this step.
-    NextStep(u64, ContactStep),
+    NextStep(u64, ProbeStep),
     /// Whether the server counts as lost.
     IsLost(u64, bool),
 }
@@ -29,7 +29,7 @@
 }
 
 use ContactEvent::*;
-use ContactStep::*;
+use ProbeStep::*;
 
 const CASES: &[ContactCase] = &[
     ContactCase {
@@ -76,7 +76,7 @@
         let origin = Instant::now();
         let at = |ms: &u64| origin + Duration::from_millis(*ms);
         let entry = Arc::new(server("e", ENGINES));
-        let mut book = ServerBook::default();
+        let mut book = ServerRegistry::default();
         book.sync(std::slice::from_ref(&entry), origin);
         for event in case.events {
             match event {
@@ -103,7 +103,7 @@
         Arc::new(ServerEntry { incarnation, ..server("e", ENGINES) })
     };
     let (old, new) = (incarnation_of(6), incarnation_of(7));
-    let mut book = ServerBook::default();
+    let mut book = ServerRegistry::default();
     book.sync(std::slice::from_ref(&old), now);
     assert!(!book.is_lost(&old, now));
     book.sync(&[], now);
--- a/crates/emulator/src/play/routers.rs
+++ b/crates/emulator/src/play/routers.rs
@@ -1,11 +1,11 @@
 //! What callers and routers do.
 
+use fulmargate_dispatch::AssignedEngine;
 use fulmargate_dispatch::CacheNotice;
+use fulmargate_dispatch::Placement;
 use fulmargate_dispatch::PlacementRequest;
-use fulmargate_dispatch::Placing;
+use fulmargate_dispatch::QueueOutcome;
 use fulmargate_dispatch::ServerKey;
-use fulmargate_dispatch::TakenEngine;
-use fulmargate_dispatch::WaitEnd;
 use fulmargate_dispatch::scope_of;
 use fulmargate_names::HostName;
 use fulmargate_names::WeightsVersion;
@@ -78,9 +78,9 @@
         }
         let view = self.shared.view(&router.weights, self.now);
         match router.book.place(&wish, view) {
-            Placing::Taken(taken) => self.send(call, *taken),
-            Placing::Nowhere => self.refuse(call, 0.3),
-            Placing::Wait(_) => {
+            Placement::Taken(taken) => self.send(call, *taken),
+            Placement::Nowhere => self.refuse(call, 0.3),
+            Placement::Wait(_) => {
                 let place = router.line.enter(wish);
                 router.places.insert(place, call);
                 self.serve_soon(number);
@@ -88,8 +88,8 @@
         }
     }
 
-    fn send(&mut self, call: usize, taken: TakenEngine) {
-        let TakenEngine { choice, ticket } = taken;
+    fn send(&mut self, call: usize, taken: AssignedEngine) {
+        let AssignedEngine { choice, ticket } = taken;
         let engine = self.shared.number(&choice.server.key());
         let scope = scope_of(&choice.salt);
         let parts = self.calls[call].plan.parts.iter();
@@ -280,9 +280,9 @@
         let is_empty = router.line.is_empty();
         for (call, end) in ended {
             match end {
-                WaitEnd::Taken(taken) => self.send(call, *taken),
-                WaitEnd::Nowhere => self.refuse(call, 0.3),
-                WaitEnd::Refused(wait) => self.refuse(call, wait.as_secs_f64()),
+                QueueOutcome::Taken(taken) => self.send(call, *taken),
+                QueueOutcome::Nowhere => self.refuse(call, 0.3),
+                QueueOutcome::Refused(wait) => self.refuse(call, wait.as_secs_f64()),
             }
         }
         if !is_empty && !self.routers[number].is_served_soon {
--- a/crates/emulator/src/play/weights.rs
+++ b/crates/emulator/src/play/weights.rs
@@ -4,9 +4,9 @@
 use fulmargate_dispatch::GossipMessage;
 use fulmargate_dispatch::LoadingNotice;
 use fulmargate_dispatch::LoadingStage;
-use fulmargate_dispatch::OrderWave;
-use fulmargate_dispatch::WaveServer;
-use fulmargate_dispatch::WaveTime;
+use fulmargate_dispatch::RolloutEngine;
+use fulmargate_dispatch::RolloutPlan;
+use fulmargate_dispatch::RolloutTime;
 use fulmargate_names::HostName;
 use fulmargate_names::WeightsVersion;
 
@@ -39,14 +39,14 @@
         let wanted = WeightsVersion(self.named);
         let model = &self.shared.model;
         let router = &self.routers[HOLDER];
-        let servers: Vec<WaveServer> = self
+        let servers: Vec<RolloutEngine> = self
             .shared
             .entries
             .iter()
             .enumerate()
             .filter_map(|(number, entry)| {
                 let state = router.book.state(entry.key())?;
-                Some(WaveServer {
+                Some(RolloutEngine {
                     key: entry.key(),
                     name: entry.name.clone(),
                     zone: entry.zone.clone(),
@@ -62,8 +62,8 @@
         }
         let Some(target) = router.weights.target(model) else { return };
         let age = BootTime(100_000 + self.now as u64).since(target.learned);
-        let time = WaveTime { age, bound: WEIGHTS_BOUND };
-        for key in OrderWave::default().next(&servers, wanted, time) {
+        let time = RolloutTime { age, bound: WEIGHTS_BOUND };
+        for key in RolloutPlan::default().next(&servers, wanted, time) {
             let engine = self.shared.entries.iter().position(|entry| entry.key() == key);
             let Some(engine) = engine else { continue };
             if !self.engines[engine].is_dark {
--- a/crates/emulator/src/router_model.rs
+++ b/crates/emulator/src/router_model.rs
@@ -10,18 +10,18 @@
 use fulmargate_dispatch::ChoiceView;
 use fulmargate_dispatch::EngineRule;
 use fulmargate_dispatch::PromptPart;
+use fulmargate_dispatch::QueueTicket;
 use fulmargate_dispatch::RequestQueue;
 use fulmargate_dispatch::RouteKind;
 use fulmargate_dispatch::RouteRule;
 use fulmargate_dispatch::RouteTable;
 use fulmargate_dispatch::RoutingConfig;
-use fulmargate_dispatch::ServerBook;
 use fulmargate_dispatch::ServerEntry;
+use fulmargate_dispatch::ServerRegistry;
 use fulmargate_dispatch::ServerStage;
 use fulmargate_dispatch::ServiceRule;
 use fulmargate_dispatch::ServiceShare;
 use fulmargate_dispatch::StreamRule;
-use fulmargate_dispatch::WaitNumber;
 use fulmargate_dispatch::WeightsTable;
 use fulmargate_names::ConfigVersion;
 use fulmargate_names::ModelName;
@@ -55,11 +55,11 @@
 
 /// One router.
 pub(crate) struct RouterModel {
-    pub(crate) book: ServerBook,
+    pub(crate) book: ServerRegistry,
     pub(crate) line: RequestQueue,
     pub(crate) weights: WeightsTable,
     /// Calls that wait, by their place in the line.
-    pub(crate) places: IndexMap<WaitNumber, usize>,
+    pub(crate) places: IndexMap<QueueTicket, usize>,
     pub(crate) is_served_soon: bool,
 }
 
@@ -127,7 +127,7 @@
 
 impl RouterModel {
     pub(crate) fn new(shared: &SharedKnowledge) -> RouterModel {
-        let mut book = ServerBook::default();
+        let mut book = ServerRegistry::default();
         book.sync(&shared.entries, shared.start);
         let mut weights = WeightsTable::default();
         weights.name_version(&shared.model, WeightsVersion(1), BootTime::default());
--- a/crates/entry/src/control/cache_event_client.rs
+++ b/crates/entry/src/control/cache_event_client.rs
@@ -9,7 +9,7 @@
 use fulmargate_consortium::EngineClient;
 use fulmargate_consortium::MOST_PAGE_BYTES;
 use fulmargate_consortium::StoreError;
-use fulmargate_dispatch::ReadShare;
+use fulmargate_dispatch::BulkReadLimiter;
 use tokio::sync::Semaphore;
 use tokio::time::Instant;
 use tokio::time::sleep;
@@ -39,7 +39,7 @@
     engines: EngineClient,
     /// Limits concurrent backfill calls.
     backfill_permits: Semaphore,
-    bandwidth_share: RefCell<ReadShare>,
+    bandwidth_share: RefCell<BulkReadLimiter>,
 }
 
 impl CacheEventClient {
@@ -47,7 +47,7 @@
         CacheEventClient {
             engines: EngineClient::new(),
             backfill_permits: Semaphore::new(MAX_CONCURRENT_BACKFILLS),
-            bandwidth_share: RefCell::new(ReadShare::new(link_bytes_per_s)),
+            bandwidth_share: RefCell::new(BulkReadLimiter::new(link_bytes_per_s)),
         }
     }
 
--- a/crates/entry/src/control/cache_watcher.rs
+++ b/crates/entry/src/control/cache_watcher.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use fulmargate_dispatch::LastSeen;
+use fulmargate_dispatch::PeerDiscovery;
 use fulmargate_dispatch::ServerEntry;
 use fulmargate_dispatch::ServerKey;
 use fulmargate_names::HostName;
@@ -26,7 +26,7 @@
 pub(crate) struct CacheWatcher {
     state: Arc<SharedState>,
     /// Whether the other routers have had time to reach this one.
-    peer_discovery: LastSeen,
+    peer_discovery: PeerDiscovery,
     readers: CacheReaderSet,
 }
 
@@ -34,7 +34,7 @@
     pub(crate) fn new(state: Arc<SharedState>) -> CacheWatcher {
         let client = CacheEventClient::new(state.settings.link_bytes_per_s());
         let readers = CacheReaderSet::new(state.clone(), Rc::new(client));
-        CacheWatcher { state, peer_discovery: LastSeen::new(Instant::now()), readers }
+        CacheWatcher { state, peer_discovery: PeerDiscovery::new(Instant::now()), readers }
     }
 
     /// Updates the readers as routers and servers come and go.
--- a/crates/entry/src/control/fleet_watcher.rs
+++ b/crates/entry/src/control/fleet_watcher.rs
@@ -12,8 +12,8 @@
 use fulmargate_consortium::StoreError;
 use fulmargate_consortium::join_keyed;
 use fulmargate_consortium::split_keyed;
-use fulmargate_dispatch::FleetFold;
 use fulmargate_dispatch::FleetRecord;
+use fulmargate_dispatch::FleetState;
 use fulmargate_dispatch::LogPosition;
 use fulmargate_dispatch::LogTopic;
 use fulmargate_names::ConfigVersion;
@@ -48,7 +48,7 @@
 const READ_BATCH_DELAY: Duration = Duration::from_millis(400);
 
 /// The fleet state, shared by the tasks of the control thread.
-pub(crate) type SharedFleetState = Rc<RefCell<FleetFold>>;
+pub(crate) type SharedFleetState = Rc<RefCell<FleetState>>;
 
 type SharedOwnRecords = Rc<RefCell<OwnRecords>>;
 
--- a/crates/entry/src/control/log_source.rs
+++ b/crates/entry/src/control/log_source.rs
@@ -15,12 +15,12 @@
 use fulmargate_consortium::StoreClient;
 use fulmargate_consortium::StoreError;
 use fulmargate_dispatch::BootTime;
-use fulmargate_dispatch::LogAnswer;
 use fulmargate_dispatch::LogPosition;
-use fulmargate_dispatch::LogQuestion;
+use fulmargate_dispatch::LogRequest;
+use fulmargate_dispatch::LogResponse;
 use fulmargate_dispatch::LogTopic;
 use fulmargate_dispatch::RecordSource;
-use fulmargate_dispatch::SubscriberStore;
+use fulmargate_dispatch::StoreAccess;
 use fulmargate_dispatch::ZonePeer;
 use fulmargate_dispatch::record_source;
 use fulmargate_names::HostName;
@@ -122,7 +122,7 @@
     /// Readers that failed to answer, and when.
     failed_readers: Rc<RefCell<IndexMap<HostName, Instant>>>,
     /// State of the store at this host's last direct read, which may be long ago.
-    store_state: Rc<Cell<SubscriberStore>>,
+    store_state: Rc<Cell<StoreAccess>>,
 }
 
 impl LogSource {
@@ -139,7 +139,7 @@
             record_cache,
             connection: Rc::default(),
             failed_readers: Rc::default(),
-            store_state: Rc::new(Cell::new(SubscriberStore::InReach)),
+            store_state: Rc::new(Cell::new(StoreAccess::InReach)),
         }
     }
 
@@ -242,9 +242,9 @@
         let result = self.client.read(topic, from, wait, wait + grace).await;
         self.store_state.set(match &result {
             Ok(_) | Err(StoreError::Deleted { .. } | StoreError::Restored { .. }) => {
-                SubscriberStore::InReach
+                StoreAccess::InReach
             }
-            Err(_) => SubscriberStore::OutOfReach,
+            Err(_) => StoreAccess::OutOfReach,
         });
         if let Err(StoreError::Restored { epoch }) = &result {
             self.state.note_epoch(*epoch);
@@ -295,8 +295,8 @@
     async fn request_records(
         &self,
         address: SocketAddr,
-        request: LogQuestion,
-    ) -> Result<LogAnswer, RequestError> {
+        request: LogRequest,
+    ) -> Result<LogResponse, RequestError> {
         let response_timeout = Duration::from_millis(request.wait_ms) + REQUEST_GRACE;
         let outcome = timeout(response_timeout, self.request_on_connection(address, request)).await;
         let result = outcome.unwrap_or(Err(RequestError::TimedOut));
@@ -310,8 +310,8 @@
     async fn request_on_connection(
         &self,
         address: SocketAddr,
-        request: LogQuestion,
-    ) -> Result<LogAnswer, RequestError> {
+        request: LogRequest,
+    ) -> Result<LogResponse, RequestError> {
         let open = self
             .connection
             .borrow()
@@ -329,7 +329,7 @@
         };
         let mut client = client.ready().await?;
         let mut http_request = Request::post(format!("http://{address}/log"));
-        if self.store_state.get() == SubscriberStore::OutOfReach {
+        if self.store_state.get() == StoreAccess::OutOfReach {
             http_request = http_request.header(STORE_STATE_HEADER, STORE_UNREACHABLE);
         }
         let http_request = http_request.body(());
@@ -353,9 +353,9 @@
 }
 
 /// The reader renews its proof shortly after the wait of its own read.
-fn log_request(topic: LogTopic, from: LogPosition, wait: Duration) -> LogQuestion {
+fn log_request(topic: LogTopic, from: LogPosition, wait: Duration) -> LogRequest {
     let wait = if wait.is_zero() { wait } else { wait + PROOF_GRACE };
-    LogQuestion { topic, from: from.offset, wait_ms: wait.as_millis() as u64, epoch: from.epoch }
+    LogRequest { topic, from: from.offset, wait_ms: wait.as_millis() as u64, epoch: from.epoch }
 }
 
 async fn connect(address: SocketAddr) -> Result<ReaderConnection, RequestError> {
--- a/crates/entry/src/control/order_scheduler.rs
+++ b/crates/entry/src/control/order_scheduler.rs
@@ -14,10 +14,10 @@
 use fulmargate_dispatch::LeaseStep;
 use fulmargate_dispatch::LogPosition;
 use fulmargate_dispatch::LogTopic;
-use fulmargate_dispatch::OrderWave;
+use fulmargate_dispatch::RolloutEngine;
+use fulmargate_dispatch::RolloutPlan;
+use fulmargate_dispatch::RolloutTime;
 use fulmargate_dispatch::ServerKey;
-use fulmargate_dispatch::WaveServer;
-use fulmargate_dispatch::WaveTime;
 use fulmargate_dispatch::WeightsTarget;
 use fulmargate_names::EventKind;
 use fulmargate_names::ModelName;
@@ -57,14 +57,14 @@
     fleet_state: SharedFleetState,
     reader: FleetReader,
     shared: Rc<SchedulerState>,
-    wave: OrderWave,
+    wave: RolloutPlan,
 }
 
 /// A weights target that some engines have not loaded.
 struct PendingRollout {
     model: ModelName,
     target: WeightsTarget,
-    servers: Vec<WaveServer>,
+    servers: Vec<RolloutEngine>,
 }
 
 impl OrderScheduler {
@@ -84,7 +84,7 @@
             fleet_state,
             reader,
             shared: Rc::new(shared),
-            wave: OrderWave::default(),
+            wave: RolloutPlan::default(),
         }
     }
 
@@ -117,7 +117,7 @@
             .states()
             .filter(|state| has_engines(&state.entry().service))
             .filter_map(|state| {
-                Some(WaveServer {
+                Some(RolloutEngine {
                     key: state.key(),
                     name: state.entry().name.clone(),
                     zone: state.entry().zone.clone(),
@@ -213,7 +213,7 @@
     }
 
     fn start_orders(&self, rollout: &PendingRollout) {
-        let wave = WaveTime {
+        let wave = RolloutTime {
             age: boot_now().since(rollout.target.learned),
             bound: self.state.settings.bounds.weights(),
         };
--- a/crates/entry/src/control/order_task.rs
+++ b/crates/entry/src/control/order_task.rs
@@ -12,7 +12,7 @@
 use fulmargate_consortium::EngineReport;
 use fulmargate_consortium::OrderAnswer;
 use fulmargate_consortium::StoreError;
-use fulmargate_dispatch::ConnectEnd;
+use fulmargate_dispatch::ConnectOutcome;
 use fulmargate_dispatch::ServerEntry;
 use fulmargate_names::EventKind;
 use fulmargate_names::ModelName;
@@ -205,11 +205,13 @@
 fn report_connect_end(
     answer: &Result<EngineReport, StoreError>,
     elapsed: Duration,
-) -> Option<ConnectEnd> {
+) -> Option<ConnectOutcome> {
     match answer {
-        Err(StoreError::NoAnswer { .. }) if REPORT_TIMEOUT <= elapsed => Some(ConnectEnd::Silent),
-        Err(StoreError::NoAnswer { .. }) => Some(ConnectEnd::Refused),
+        Err(StoreError::NoAnswer { .. }) if REPORT_TIMEOUT <= elapsed => {
+            Some(ConnectOutcome::Silent)
+        }
+        Err(StoreError::NoAnswer { .. }) => Some(ConnectOutcome::Refused),
         _ if CONNECT_TIMEOUT < elapsed => None,
-        _ => Some(ConnectEnd::Reached),
+        _ => Some(ConnectOutcome::Reached),
     }
 }
--- a/crates/entry/src/control/order_task/tests.rs
+++ b/crates/entry/src/control/order_task/tests.rs
@@ -4,7 +4,7 @@
 
 use fulmargate_consortium::EngineReport;
 use fulmargate_consortium::StoreError;
-use fulmargate_dispatch::ConnectEnd;
+use fulmargate_dispatch::ConnectOutcome;
 use indexmap::IndexMap;
 
 use super::REPORT_TIMEOUT;
@@ -14,7 +14,7 @@
     name: &'static str,
     is_answered: bool,
     elapsed: Duration,
-    expected: Option<ConnectEnd>,
+    expected: Option<ConnectOutcome>,
 }
 
 const PROMPT: Duration = Duration::from_millis(5);
@@ -25,20 +25,20 @@
         name: "prompt",
         is_answered: true,
         elapsed: PROMPT,
-        expected: Some(ConnectEnd::Reached),
+        expected: Some(ConnectOutcome::Reached),
     },
     ReportCase { name: "late", is_answered: true, elapsed: LATE, expected: None },
     ReportCase {
         name: "refused",
         is_answered: false,
         elapsed: PROMPT,
-        expected: Some(ConnectEnd::Refused),
+        expected: Some(ConnectOutcome::Refused),
     },
     ReportCase {
         name: "timed out",
         is_answered: false,
         elapsed: REPORT_TIMEOUT,
-        expected: Some(ConnectEnd::Silent),
+        expected: Some(ConnectOutcome::Silent),
     },
 ];
 
--- a/crates/entry/src/control/peer_listener.rs
+++ b/crates/entry/src/control/peer_listener.rs
@@ -11,8 +11,8 @@
 use bytes::BytesMut;
 use fulmargate_dispatch::GossipMessage;
 use fulmargate_dispatch::GossipPath;
-use fulmargate_dispatch::LogQuestion;
-use fulmargate_dispatch::SubscriberStore;
+use fulmargate_dispatch::LogRequest;
+use fulmargate_dispatch::StoreAccess;
 use fulmargate_dispatch::is_passed_on;
 use fulmargate_dispatch::is_taken_in;
 use fulmargate_names::EventKind;
@@ -152,8 +152,8 @@
     mut respond: SendResponse<Bytes>,
 ) {
     let store = match request.headers().contains_key(STORE_STATE_HEADER) {
-        true => SubscriberStore::OutOfReach,
-        false => SubscriberStore::InReach,
+        true => StoreAccess::OutOfReach,
+        false => StoreAccess::InReach,
     };
     let mut body = request.into_body();
     let mut bytes = Vec::new();
@@ -163,7 +163,7 @@
             return;
         }
     }
-    let (status, encoded) = match decode_payload::<LogQuestion>(&bytes) {
+    let (status, encoded) = match decode_payload::<LogRequest>(&bytes) {
         Ok(log_request) => {
             let reply = record_cache.answer(log_request, store).await;
             record_reply(&state, &log_request, &reply, requester);
@@ -203,7 +203,7 @@
 
 fn record_reply(
     state: &SharedState,
-    log_request: &LogQuestion,
+    log_request: &LogRequest,
     reply: &CacheReply,
     requester: Option<SocketAddr>,
 ) {
--- a/crates/entry/src/control/record_cache.rs
+++ b/crates/entry/src/control/record_cache.rs
@@ -5,12 +5,12 @@
 
 use fulmargate_dispatch::BootTime;
 use fulmargate_dispatch::ForwardBudget;
-use fulmargate_dispatch::LogAnswer;
 use fulmargate_dispatch::LogCache;
 use fulmargate_dispatch::LogPosition;
-use fulmargate_dispatch::LogQuestion;
+use fulmargate_dispatch::LogRequest;
+use fulmargate_dispatch::LogResponse;
 use fulmargate_dispatch::LogTopic;
-use fulmargate_dispatch::SubscriberStore;
+use fulmargate_dispatch::StoreAccess;
 use indexmap::IndexMap;
 use tokio::sync::Notify;
 use tokio::time::Instant;
@@ -30,7 +30,7 @@
 
 /// Response to a log request of another router.
 pub(crate) enum CacheReply {
-    Records(LogAnswer),
+    Records(LogResponse),
     /// The records exceed the forwarding budget. The requester reads the store, and comes back for
     /// its next read.
     OverBudget {
@@ -74,7 +74,7 @@
 
     /// Answers as soon as there is a record or a newer proof, or the wait is over. Answers at once
     /// if this host doesn't read the topic or the budget is exhausted.
-    pub(crate) async fn answer(&self, request: LogQuestion, store: SubscriberStore) -> CacheReply {
+    pub(crate) async fn answer(&self, request: LogRequest, store: StoreAccess) -> CacheReply {
         let received_at = boot_now();
         let max_age = max_proof_age(request);
         let deadline = Instant::now() + Duration::from_millis(request.wait_ms);
@@ -96,7 +96,7 @@
         }
     }
 
-    fn charge_budget(&self, answer: LogAnswer, store: SubscriberStore) -> CacheReply {
+    fn charge_budget(&self, answer: LogResponse, store: StoreAccess) -> CacheReply {
         let mut budget = self.budget.borrow_mut();
         let bytes = answer.bytes();
         match budget.try_take(bytes, store, Instant::now()) {
@@ -107,10 +107,10 @@
 
     fn lookup(
         &self,
-        request: LogQuestion,
+        request: LogRequest,
         received_at: BootTime,
         max_age: Duration,
-    ) -> Option<LogAnswer> {
+    ) -> Option<LogResponse> {
         let caches = self.caches.borrow();
         caches.get(&request.topic)?.answer(request.position(), max_age, received_at, boot_now())
     }
@@ -123,6 +123,6 @@
 /// The maximum age of a proof: twice the wait, as a read proves the time before its own wait.
 /// Bounded because a partitioned reader keeps returning its last proof, and a configuration must be
 /// in force within 2 to 3 s.
-fn max_proof_age(request: LogQuestion) -> Duration {
+fn max_proof_age(request: LogRequest) -> Duration {
     (Duration::from_millis(request.wait_ms) * 2).max(MIN_PROOF_AGE_LIMIT)
 }
--- a/crates/entry/src/state/connect_outcome.rs
+++ b/crates/entry/src/state/connect_outcome.rs
@@ -2,9 +2,9 @@
 
 use std::sync::Arc;
 
-use fulmargate_dispatch::ConnectEnd;
-use fulmargate_dispatch::ReachNews;
+use fulmargate_dispatch::ConnectOutcome;
 use fulmargate_dispatch::ServerKey;
+use fulmargate_dispatch::SuspicionChange;
 use fulmargate_names::EventKind;
 use tokio::task::spawn_local;
 use tokio::time::Instant;
@@ -15,7 +15,7 @@
 use crate::telemetry::count_local_network_suspicion;
 
 /// Records the outcome of a connection attempt to the server. Both threads call this.
-pub(crate) fn note_connect(state: &Arc<SharedState>, server: ServerKey, end: ConnectEnd) {
+pub(crate) fn note_connect(state: &Arc<SharedState>, server: ServerKey, end: ConnectOutcome) {
     count_connect(end.name());
     let now = Instant::now();
     let mut servers = state.book();
@@ -24,7 +24,7 @@
     drop(servers);
     let Some(change) = change else { return };
     log_reachability(state, change);
-    if matches!(change, ReachNews::Doubted(_)) {
+    if matches!(change, SuspicionChange::Doubted(_)) {
         spawn_local(wait_for_recovery(state.clone()));
     }
 }
@@ -43,10 +43,10 @@
     }
 }
 
-fn log_reachability(state: &SharedState, change: ReachNews) {
+fn log_reachability(state: &SharedState, change: SuspicionChange) {
     let kind = match change {
-        ReachNews::Doubted(_) => EventKind::OwnReachDoubted,
-        ReachNews::Restored(..) => EventKind::OwnReachRestored,
+        SuspicionChange::Doubted(_) => EventKind::OwnReachDoubted,
+        SuspicionChange::Restored(..) => EventKind::OwnReachRestored,
     };
     if kind == EventKind::OwnReachDoubted {
         count_local_network_suspicion();
@@ -55,7 +55,7 @@
         return;
     }
     match change {
-        ReachNews::Doubted(count) => {
+        SuspicionChange::Doubted(count) => {
             tracing::warn!(
                 event = kind.number(),
                 name = kind.name(),
@@ -63,7 +63,7 @@
                 heard = count.heard,
             );
         }
-        ReachNews::Restored(count, duration) => {
+        SuspicionChange::Restored(count, duration) => {
             tracing::info!(
                 event = kind.number(),
                 name = kind.name(),
--- a/crates/entry/src/state/shared_state.rs
+++ b/crates/entry/src/state/shared_state.rs
@@ -15,11 +15,11 @@
 use fulmargate_dispatch::CrashConf;
 use fulmargate_dispatch::CrashTracker;
 use fulmargate_dispatch::HeldLease;
-use fulmargate_dispatch::RepeatBudget;
-use fulmargate_dispatch::RepeatConf;
+use fulmargate_dispatch::RetryBudget;
+use fulmargate_dispatch::RetryConf;
 use fulmargate_dispatch::RouteTable;
-use fulmargate_dispatch::ServerBook;
 use fulmargate_dispatch::ServerEntry;
+use fulmargate_dispatch::ServerRegistry;
 use fulmargate_dispatch::WeightsTable;
 use fulmargate_names::HostName;
 use fulmargate_names::Incarnation;
@@ -73,8 +73,8 @@
     epoch: watch::Sender<StoreEpoch>,
     pub(crate) lines: LogRateLimiter,
     proof: Mutex<ConfigProof>,
-    book: Mutex<ServerBook>,
-    budget: Mutex<RepeatBudget>,
+    book: Mutex<ServerRegistry>,
+    budget: Mutex<RetryBudget>,
     quotas: Mutex<QuotaTracker>,
     crashes: Mutex<CrashTracker>,
 }
@@ -103,7 +103,7 @@
         crash_sender: UnboundedSender<CrashSighting>,
     ) -> SharedState {
         let bounds = settings.bounds;
-        let retry_conf = RepeatConf {
+        let retry_conf = RetryConf {
             ratio: bounds.repeat_ratio,
             slack: bounds.repeat_slack,
             window: bounds.repeat_window(),
@@ -134,7 +134,7 @@
             lines: LogRateLimiter::default(),
             proof: Mutex::new(proof),
             book: Mutex::default(),
-            budget: Mutex::new(RepeatBudget::new(retry_conf, Instant::now())),
+            budget: Mutex::new(RetryBudget::new(retry_conf, Instant::now())),
             quotas: Mutex::new(quotas),
             crashes: Mutex::new(CrashTracker::new(CrashConf::default())),
         }
@@ -176,12 +176,12 @@
     }
 
     /// Load, health and weights of the backend servers.
-    pub(crate) fn book(&self) -> MutexGuard<'_, ServerBook> {
+    pub(crate) fn book(&self) -> MutexGuard<'_, ServerRegistry> {
         lock(&self.book)
     }
 
     /// The retry budget.
-    pub(crate) fn budget(&self) -> MutexGuard<'_, RepeatBudget> {
+    pub(crate) fn budget(&self) -> MutexGuard<'_, RetryBudget> {
         lock(&self.budget)
     }
 
--- a/crates/entry/src/traffic/crash_check.rs
+++ b/crates/entry/src/traffic/crash_check.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use fulmargate_dispatch::ConnectEnd;
-use fulmargate_dispatch::ContactStep;
+use fulmargate_dispatch::ConnectOutcome;
+use fulmargate_dispatch::ProbeStep;
 use fulmargate_dispatch::ServerEntry;
 use fulmargate_names::EventKind;
 use fulmargate_names::RequestId;
@@ -57,14 +57,14 @@
     async fn detect_crash(&self) -> Option<String> {
         let key = self.server.key();
         let deadline = Instant::now() + CHECK_TIMEOUT;
-        let mut step = ContactStep::Ask;
+        let mut step = ProbeStep::Ask;
         let mut failed_connections = 0;
         while Instant::now() < deadline {
-            if step == ContactStep::Ask {
+            if step == ProbeStep::Ask {
                 let error =
                     ServerConnection::connect_to_server(&self.state, &self.server).await.err()?;
                 self.state.book().unreachable(key, Instant::now());
-                if error.outcome() == ConnectEnd::Refused {
+                if error.outcome() == ConnectOutcome::Refused {
                     return Some(error.to_string());
                 }
                 failed_connections += 1;
@@ -75,7 +75,7 @@
             if self.state.book().doubts_itself(now) {
                 failed_connections = 0;
             }
-            if step == ContactStep::Unreachable || MAX_FAILED_CONNECTIONS <= failed_connections {
+            if step == ProbeStep::Unreachable || MAX_FAILED_CONNECTIONS <= failed_connections {
                 return Some("no connection lately".to_owned());
             }
         }
--- a/crates/entry/src/traffic/in_flight_request.rs
+++ b/crates/entry/src/traffic/in_flight_request.rs
@@ -2,8 +2,8 @@
 
 use std::sync::Arc;
 
-use fulmargate_dispatch::ContactStep;
 use fulmargate_dispatch::LoadReport;
+use fulmargate_dispatch::ProbeStep;
 use fulmargate_dispatch::SendTicket;
 use fulmargate_dispatch::ServerEntry;
 use tokio::time::Instant;
@@ -31,7 +31,7 @@
     }
 
     /// Returns how to proceed while the server sends no response.
-    pub(crate) fn next_contact_step(&self) -> ContactStep {
+    pub(crate) fn next_contact_step(&self) -> ProbeStep {
         self.state.book().silent(self.ticket.server, Instant::now())
     }
 
--- a/crates/entry/src/traffic/prompt_queue.rs
+++ b/crates/entry/src/traffic/prompt_queue.rs
@@ -7,12 +7,12 @@
 use std::time::Duration;
 
 use fulmargate_dispatch::ChoiceView;
+use fulmargate_dispatch::Placement;
 use fulmargate_dispatch::PlacementRequest;
-use fulmargate_dispatch::Placing;
+use fulmargate_dispatch::QueueOutcome;
+use fulmargate_dispatch::QueueTicket;
 use fulmargate_dispatch::RequestQueue;
-use fulmargate_dispatch::ServerBook;
-use fulmargate_dispatch::WaitEnd;
-use fulmargate_dispatch::WaitNumber;
+use fulmargate_dispatch::ServerRegistry;
 use indexmap::IndexMap;
 use tokio::sync::Notify;
 use tokio::sync::oneshot;
@@ -44,14 +44,14 @@
 #[derive(Default)]
 struct QueueState {
     requests: RequestQueue,
-    senders: IndexMap<WaitNumber, Sender<WaitEnd>>,
+    senders: IndexMap<QueueTicket, Sender<QueueOutcome>>,
 }
 
 /// A queued prompt. Dropping it removes the prompt from the queue, such as when the caller disconnects.
 pub(crate) struct QueuedPrompt {
     state: Arc<SharedState>,
-    number: WaitNumber,
-    receiver: Receiver<WaitEnd>,
+    number: QueueTicket,
+    receiver: Receiver<QueueOutcome>,
 }
 
 impl PromptQueue {
@@ -87,7 +87,7 @@
         let ends = with_view(state, |servers, view| requests.serve(servers, view));
         for (number, end) in ends.unwrap_or_default() {
             let Some(sender) = senders.swap_remove(&number) else { continue };
-            if let Err(WaitEnd::Taken(taken)) = sender.send(end) {
+            if let Err(QueueOutcome::Taken(taken)) = sender.send(end) {
                 state.book().left(&taken.ticket);
             }
         }
@@ -100,8 +100,8 @@
 
 impl QueuedPrompt {
     /// Waits until an engine is assigned or the prompt is rejected.
-    pub(crate) async fn wait(mut self) -> WaitEnd {
-        (&mut self.receiver).await.unwrap_or(WaitEnd::Nowhere)
+    pub(crate) async fn wait(mut self) -> QueueOutcome {
+        (&mut self.receiver).await.unwrap_or(QueueOutcome::Nowhere)
     }
 }
 
@@ -112,18 +112,18 @@
         queue.senders.swap_remove(&self.number);
         drop(queue);
         // Release an engine that was assigned in the meantime.
-        if let Ok(WaitEnd::Taken(taken)) = self.receiver.try_recv() {
+        if let Ok(QueueOutcome::Taken(taken)) = self.receiver.try_recv() {
             self.state.book().left(&taken.ticket);
         }
     }
 }
 
 /// Places the prompt immediately unless queued prompts take precedence.
-pub(crate) fn try_place(state: &SharedState, placement: &PlacementRequest) -> Placing {
+pub(crate) fn try_place(state: &SharedState, placement: &PlacementRequest) -> Placement {
     if !state.waiting.lock().requests.goes_first(&placement.call) {
-        return Placing::Wait(f64::from(placement.call.prompt_tokens()));
+        return Placement::Wait(f64::from(placement.call.prompt_tokens()));
     }
-    with_view(state, |servers, view| servers.place(placement, view)).unwrap_or(Placing::Nowhere)
+    with_view(state, |servers, view| servers.place(placement, view)).unwrap_or(Placement::Nowhere)
 }
 
 /// Adds the prompt to the queue.
@@ -140,7 +140,7 @@
 /// Runs `decide` on the current state. Returns none until a configuration is loaded.
 fn with_view<T>(
     state: &SharedState,
-    decide: impl FnOnce(&mut ServerBook, ChoiceView<'_>) -> T,
+    decide: impl FnOnce(&mut ServerRegistry, ChoiceView<'_>) -> T,
 ) -> Option<T> {
     let table = state.table.load_full()?;
     let weights = state.weights.load_full();
--- a/crates/entry/src/traffic/request_handler/plan.rs
+++ b/crates/entry/src/traffic/request_handler/plan.rs
@@ -3,13 +3,13 @@
 use std::time::Duration;
 
 use fulmargate_consortium::SendHead;
+use fulmargate_dispatch::AssignedEngine;
 use fulmargate_dispatch::ChoiceReason;
+use fulmargate_dispatch::Placement;
 use fulmargate_dispatch::PlacementRequest;
-use fulmargate_dispatch::Placing;
+use fulmargate_dispatch::QueueOutcome;
 use fulmargate_dispatch::RouteKind;
 use fulmargate_dispatch::ServerEntry;
-use fulmargate_dispatch::TakenEngine;
-use fulmargate_dispatch::WaitEnd;
 use fulmargate_names::ModelName;
 use fulmargate_names::ServiceName;
 use fulmargate_names::WeightsVersion;
@@ -86,7 +86,7 @@
             excluded: self.excluded_servers.clone(),
         };
         let Some(taken) = self.reserve_engine(placement).await? else { return Ok(None) };
-        let TakenEngine { choice, ticket } = taken;
+        let AssignedEngine { choice, ticket } = taken;
         // Releases the ticket on every early return below.
         let in_flight = InFlightRequest::new(self.state.clone(), ticket);
         // The configuration may have changed, and the key may have been revoked, while the prompt was queued.
@@ -122,11 +122,11 @@
     async fn reserve_engine(
         &self,
         placement: PlacementRequest,
-    ) -> Result<Option<TakenEngine>, RequestFailure> {
+    ) -> Result<Option<AssignedEngine>, RequestFailure> {
         match try_place(&self.state, &placement) {
-            Placing::Taken(taken) => return Ok(Some(*taken)),
-            Placing::Nowhere => return Ok(None),
-            Placing::Wait(_) => {}
+            Placement::Taken(taken) => return Ok(Some(*taken)),
+            Placement::Nowhere => return Ok(None),
+            Placement::Wait(_) => {}
         }
         let deadline = placement.call.deadline;
         let began = Instant::now();
@@ -135,9 +135,9 @@
         let end = timeout_at(deadline, queued.wait()).await;
         record_engine_wait(wait_outcome_label(end.as_ref().ok()), began.elapsed());
         match end {
-            Ok(WaitEnd::Taken(taken)) => Ok(Some(*taken)),
-            Ok(WaitEnd::Nowhere) => Ok(None),
-            Ok(WaitEnd::Refused(delay)) => {
+            Ok(QueueOutcome::Taken(taken)) => Ok(Some(*taken)),
+            Ok(QueueOutcome::Nowhere) => Ok(None),
+            Ok(QueueOutcome::Refused(delay)) => {
                 Err(self.failure(self.progress.timeout()).with_retry_delay(delay))
             }
             Err(_) => Err(self.failure(self.progress.timeout())),
@@ -192,11 +192,11 @@
     }
 }
 
-fn wait_outcome_label(end: Option<&WaitEnd>) -> &'static str {
+fn wait_outcome_label(end: Option<&QueueOutcome>) -> &'static str {
     match end {
-        Some(WaitEnd::Taken(_)) => "taken",
-        Some(WaitEnd::Refused(_)) => "refused",
-        Some(WaitEnd::Nowhere) | None => "none",
+        Some(QueueOutcome::Taken(_)) => "taken",
+        Some(QueueOutcome::Refused(_)) => "refused",
+        Some(QueueOutcome::Nowhere) | None => "none",
     }
 }
 
--- a/crates/entry/src/traffic/send_attempt.rs
+++ b/crates/entry/src/traffic/send_attempt.rs
@@ -6,8 +6,8 @@
 use bytes::Bytes;
 use fulmargate_consortium::AnswerHead;
 use fulmargate_consortium::SendHead;
-use fulmargate_dispatch::ConnectEnd;
-use fulmargate_dispatch::ContactStep;
+use fulmargate_dispatch::ConnectOutcome;
+use fulmargate_dispatch::ProbeStep;
 use fulmargate_dispatch::SendEnd;
 use fulmargate_dispatch::ServerEntry;
 use fulmargate_names::WeightsVersion;
@@ -169,9 +169,9 @@
 async fn probe_server(plan: &SendPlan) -> Result<(), SendError> {
     let unreachable = |reason: String| Err(SendError::new(SendEnd::Unreachable, &reason));
     match plan.in_flight.next_contact_step() {
-        ContactStep::Wait => Ok(()),
-        ContactStep::Unreachable => unreachable("silent, and no connection lately".to_owned()),
-        ContactStep::Ask => match probe_connection(plan).await {
+        ProbeStep::Wait => Ok(()),
+        ProbeStep::Unreachable => unreachable("silent, and no connection lately".to_owned()),
+        ProbeStep::Ask => match probe_connection(plan).await {
             Some(err) => unreachable(format!("silent, and {err}")),
             None => Ok(()),
         },
@@ -188,7 +188,7 @@
     loop {
         let err = plan.in_flight.connect(&plan.server).await.err()?;
         failed_probes += 1;
-        if err.outcome() == ConnectEnd::Refused {
+        if err.outcome() == ConnectOutcome::Refused {
             return Some(err);
         }
         if plan.in_flight.suspects_local_network() {
--- a/crates/entry/src/traffic/server_connection.rs
+++ b/crates/entry/src/traffic/server_connection.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use derive_more::Display;
 use derive_more::Error;
-use fulmargate_dispatch::ConnectEnd;
+use fulmargate_dispatch::ConnectOutcome;
 use fulmargate_dispatch::ServerEntry;
 use http::Request;
 use http_body_util::Full;
@@ -60,10 +60,10 @@
     }
 
     /// The outcome to record for the server.
-    pub(crate) fn outcome(&self) -> ConnectEnd {
+    pub(crate) fn outcome(&self) -> ConnectOutcome {
         match self {
-            ConnectError::Refused { .. } => ConnectEnd::Refused,
-            ConnectError::Failed { .. } | ConnectError::TimedOut => ConnectEnd::Silent,
+            ConnectError::Refused { .. } => ConnectOutcome::Refused,
+            ConnectError::Failed { .. } | ConnectError::TimedOut => ConnectOutcome::Silent,
         }
     }
 }
@@ -75,7 +75,8 @@
         server: &ServerEntry,
     ) -> Result<ServerConnection, ConnectError> {
         let result = ServerConnection::connect(server.address).await;
-        let outcome = result.as_ref().map_or_else(ConnectError::outcome, |_| ConnectEnd::Reached);
+        let outcome =
+            result.as_ref().map_or_else(ConnectError::outcome, |_| ConnectOutcome::Reached);
         note_connect(state, server.key(), outcome);
         result
     }
--- a/crates/entry/tests/daemon/handing_on.rs
+++ b/crates/entry/tests/daemon/handing_on.rs
@@ -6,10 +6,10 @@
 use bytes::Bytes;
 use fulmargate_consortium_stand::ConfigText;
 use fulmargate_consortium_stand::ServerMode;
-use fulmargate_dispatch::LogAnswer;
-use fulmargate_dispatch::LogQuestion;
+use fulmargate_dispatch::LogRequest;
+use fulmargate_dispatch::LogResponse;
 use fulmargate_dispatch::LogTopic;
-use fulmargate_dispatch::SubscriberStore;
+use fulmargate_dispatch::StoreAccess;
 use fulmargate_names::LogOffset;
 use fulmargate_names::StoreEpoch;
 use h2::client::SendRequest;
@@ -41,7 +41,7 @@
 /// What a reader has refused and given of operators' records.
 const REFUSALS: &str = "fulmargate_hand_on_refusals_total{topic=\"operator\"}";
 const GIVEN_BYTES: &str = "fulmargate_handed_on_bytes_total{topic=\"operator\"}";
-const IN_REACH: SubscriberStore = SubscriberStore::InReach;
+const IN_REACH: StoreAccess = StoreAccess::InReach;
 
 /// What a reader says to a question.
 struct Reply {
@@ -63,13 +63,13 @@
         Asker { address, client }
     }
 
-    async fn ask(&self, from: LogOffset, store: SubscriberStore) -> Reply {
+    async fn ask(&self, from: LogOffset, store: StoreAccess) -> Reply {
         let (topic, epoch) = (LogTopic::Operator, StoreEpoch(0));
-        let question = LogQuestion { topic, from, wait_ms: 2_000, epoch };
+        let question = LogRequest { topic, from, wait_ms: 2_000, epoch };
         let question = bincode::serde::encode_to_vec(question, standard()).expect("a question");
         let mut client = self.client.clone().ready().await.expect("the link stands");
         let mut request = Request::post(format!("http://{}/log", self.address));
-        if store == SubscriberStore::OutOfReach {
+        if store == StoreAccess::OutOfReach {
             request = request.header("fulmargate-store", "out-of-reach");
         }
         let request = request.body(()).expect("a request");
@@ -88,7 +88,7 @@
             return Reply { status, records: Vec::new() };
         }
         let answer = bincode::serde::decode_from_slice(&bytes, standard());
-        let (answer, _): (LogAnswer, usize) = answer.expect("records");
+        let (answer, _): (LogResponse, usize) = answer.expect("records");
         Reply { status, records: answer.records }
     }
 }
@@ -106,7 +106,7 @@
 async fn ask_all(
     askers: Vec<Asker>,
     from: LogOffset,
-    store: SubscriberStore,
+    store: StoreAccess,
 ) -> (Vec<Asker>, Vec<Reply>) {
     let ask = |asker: Asker| async move {
         let reply = asker.ask(from, store).await;
@@ -122,7 +122,7 @@
     (askers, replies)
 }
 
-async fn until_given(asker: &Asker, from: LogOffset, store: SubscriberStore) {
+async fn until_given(asker: &Asker, from: LogOffset, store: StoreAccess) {
     for _ in 0..MOST_LOOKS {
         if asker.ask(from, store).await.status == StatusCode::OK {
             return;
@@ -197,12 +197,12 @@
     until_given(&askers[0], FIRST_READ, IN_REACH).await;
     deployment.store.put_config(&large_config());
     until("the reader has it", || knows(&reader, 2)).await;
-    let (askers, replies) = ask_all(askers, FIRST_READ, SubscriberStore::OutOfReach).await;
+    let (askers, replies) = ask_all(askers, FIRST_READ, StoreAccess::OutOfReach).await;
     let is_given = |reply: &&Reply| reply.status == StatusCode::OK;
     let given: Vec<&Reply> = replies.iter().filter(is_given).collect();
     assert_eq!(given.len(), 1, "one at a time");
     assert_eq!(given[0].records.len(), 1);
-    until_given(&askers[1], FIRST_READ, SubscriberStore::OutOfReach).await;
+    until_given(&askers[1], FIRST_READ, StoreAccess::OutOfReach).await;
 }
 
 /// Keys are refused at a host that lost the store while its zone's readers have it.
