--- a/crates/dispatch/benches/choice.rs
+++ b/crates/dispatch/benches/choice.rs
@@ -54,11 +54,11 @@
         let names: Vec<String> = (0..size).map(|number| format!("engine-{number}")).collect();
         let refs: Vec<&str> = names.iter().map(String::as_str).collect();
         let now = Instant::now();
-        let mut book = ServerRegistry::default();
-        book.sync(&engines(&refs), now);
+        let mut registry = ServerRegistry::default();
+        registry.sync(&engines(&refs), now);
         let words: Vec<GossipMessage> = (0..size).map(|router| word(router, &names)).collect();
         for word in &words {
-            book.hear(word, now);
+            registry.apply_gossip(word, now);
         }
         let table = table(Vec::new(), Vec::new());
         let weights = WeightsTable::default();
@@ -78,13 +78,13 @@
             boot_now: BootTime(100_000),
         };
         group.bench_function(BenchmarkId::new("choose", size), |bencher| {
-            bencher.iter(|| black_box(book.choose_engine(black_box(&request))));
+            bencher.iter(|| black_box(registry.choose_engine(black_box(&request))));
         });
         let mut turn = 0;
         group.bench_function(BenchmarkId::new("hear", size), |bencher| {
             bencher.iter(|| {
                 turn = (turn + 1) % words.len();
-                book.hear(black_box(&words[turn]), now);
+                registry.apply_gossip(black_box(&words[turn]), now);
             });
         });
     }
--- a/crates/dispatch/src/admission.rs
+++ b/crates/dispatch/src/admission.rs
@@ -13,7 +13,7 @@
 use crate::EngineChoice;
 use crate::PlacementRequest;
 use crate::experiment::Mechanism;
-use crate::experiment::is_on;
+use crate::experiment::is_enabled;
 
 /// Prefill time that may be queued at an engine when a prompt is sent there. It covers a round trip
 /// between router and engine and the delay of gossip.
@@ -51,7 +51,7 @@
     choice.queue_ms <= MAX_QUEUE_MS + gossip_interval.as_secs_f64() * 1_000.0
         || is_short(&request.call)
         || request.only_weights.is_some()
-        || !is_on(Mechanism::RequestQueue)
+        || !is_enabled(Mechanism::RequestQueue)
 }
 
 /// Whether a queued prompt can hardly be answered in time any more. Retries count as late, since
@@ -72,7 +72,7 @@
 /// until its caller disconnects. A retry may wait longer, because its caller will not try a third
 /// time.
 pub(crate) fn refusal(call: &CallFacts, has_timely: bool, now: Instant) -> Option<Duration> {
-    if !is_late(call, now) || !is_on(Mechanism::Refusal) {
+    if !is_late(call, now) || !is_enabled(Mechanism::Refusal) {
         return None;
     }
     let waited = now.saturating_duration_since(call.arrived);
--- a/crates/dispatch/src/bulk_read_limiter.rs
+++ b/crates/dispatch/src/bulk_read_limiter.rs
@@ -30,7 +30,7 @@
     /// Records received bytes, including those of failed reads.
     pub fn add(&mut self, bytes: usize, now: Instant) {
         let start = self.available_at.map_or(now, |at| at.max(now));
-        self.available_at = Some(start + self.time_of(bytes));
+        self.available_at = Some(start + self.transfer_time(bytes));
     }
 
     /// Time until the next read may start.
@@ -39,14 +39,14 @@
     }
 
     /// Time that this many bytes take at the limited rate.
-    pub fn time_of(&self, bytes: usize) -> Duration {
+    pub fn transfer_time(&self, bytes: usize) -> Duration {
         Duration::from_secs_f64(bytes as f64 / self.bytes_per_s)
     }
 }
 
 /// Retry delay after this many failed history reads in a row. A failed read may have transferred
 /// most of a page.
-pub fn history_pause(failures: u32) -> Duration {
+pub fn history_retry_delay(failures: u32) -> Duration {
     let exponent = failures.saturating_sub(1).min(u32::BITS - 1);
     MIN_RETRY_DELAY.saturating_mul(1 << exponent).min(MAX_RETRY_DELAY)
 }
--- a/crates/dispatch/src/call_facts.rs
+++ b/crates/dispatch/src/call_facts.rs
@@ -33,7 +33,7 @@
     /// When the call must be answered at the latest: the caller's deadline or the route's timeout.
     pub deadline: Instant,
     /// Fingerprint of caller, path and body, independent of the request id.
-    pub print: u128,
+    pub fingerprint: u128,
 }
 
 /// A part of a prompt.
@@ -65,8 +65,8 @@
         self.shared_parts().iter().map(|part| part.tokens).sum()
     }
 
-    /// Hash key that determines the prompt's home engine: its last shared part.
-    pub fn home_key(&self) -> Option<u64> {
+    /// Hash key that determines the prompt's owner: its last shared part.
+    pub fn owner_key(&self) -> Option<u64> {
         self.shared_parts().last().map(|part| part.hash)
     }
 }
--- a/crates/dispatch/src/call_progress.rs
+++ b/crates/dispatch/src/call_progress.rs
@@ -10,7 +10,7 @@
 
 /// How a send to a backend server ended without an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum SendEnd {
+pub enum SendOutcome {
     /// No connection was established, so no byte of the request was sent.
     NotSent,
     /// The server refused the request without running it.
@@ -27,10 +27,10 @@
     Unreachable,
 }
 
-impl SendEnd {
+impl SendOutcome {
     /// Whether the server may have run the request. If not, it certainly has not.
     pub fn may_have_run(self) -> bool {
-        matches!(self, SendEnd::Broken | SendEnd::TimedOut | SendEnd::Unreachable)
+        matches!(self, SendOutcome::Broken | SendOutcome::TimedOut | SendOutcome::Unreachable)
     }
 }
 
@@ -56,23 +56,26 @@
     ///
     /// After an end that leaves it open whether the request ran, a non-idempotent call is not sent
     /// again: it could run twice.
-    pub fn after(&mut self, end: SendEnd, route: &RouteRule) -> NextStep {
+    pub fn after(&mut self, end: SendOutcome, route: &RouteRule) -> NextStep {
         self.sends += 1;
-        self.arrivals += u32::from(end != SendEnd::NotSent);
+        self.arrivals += u32::from(end != SendOutcome::NotSent);
         match end {
-            SendEnd::NotSent | SendEnd::Refused | SendEnd::OtherServer | SendEnd::OtherWeights => {
+            SendOutcome::NotSent
+            | SendOutcome::Refused
+            | SendOutcome::OtherServer
+            | SendOutcome::OtherWeights => {
                 if MAX_SENDS <= self.sends {
                     return NextStep::GiveUp(self.failure());
                 }
                 NextStep::SendAgain
             }
-            SendEnd::Broken | SendEnd::TimedOut | SendEnd::Unreachable => {
+            SendOutcome::Broken | SendOutcome::TimedOut | SendOutcome::Unreachable => {
                 self.possible_runs += 1;
                 if self.has_attempts_left(route) && self.sends < MAX_SENDS {
                     return NextStep::SendAgain;
                 }
                 NextStep::GiveUp(match end {
-                    SendEnd::TimedOut => ErrorKind::ServerTimeout,
+                    SendOutcome::TimedOut => ErrorKind::ServerTimeout,
                     _ => ErrorKind::OutcomeUnknown,
                 })
             }
@@ -81,12 +84,12 @@
 
     /// Whether the route allows another run after those that may have happened.
     fn has_attempts_left(&self, route: &RouteRule) -> bool {
-        route.may_repeat() && self.possible_runs < route.max_attempts
+        route.may_retry() && self.possible_runs < route.max_attempts
     }
 
     /// Whether the current send may be abandoned for another server. If not, a slow server is
     /// waited for, since the answer cannot be had elsewhere.
-    pub fn may_go_elsewhere(&self, route: &RouteRule) -> bool {
+    pub fn may_fail_over(&self, route: &RouteRule) -> bool {
         let including_current = CallProgress { possible_runs: self.possible_runs + 1, ..*self };
         including_current.has_attempts_left(route) && self.sends + 1 < MAX_SENDS
     }
--- a/crates/dispatch/src/chat_stall_tracker.rs
+++ b/crates/dispatch/src/chat_stall_tracker.rs
@@ -5,7 +5,7 @@
 use tokio::time::Instant;
 
 use crate::experiment::Mechanism;
-use crate::experiment::is_on;
+use crate::experiment::is_enabled;
 
 /// A chat is near the limit if its longest gap is at least this share of the accepted gap.
 const NEAR_LIMIT_SHARE: f64 = 0.65;
@@ -29,7 +29,7 @@
 
 impl ChatStallTracker {
     /// Records a chat whose longest gap was this share of the gap that its caller accepts.
-    pub(crate) fn note(&mut self, share: f64, now: Instant) {
+    pub(crate) fn record(&mut self, share: f64, now: Instant) {
         let decay = self.decay(now);
         self.chats = self.chats * decay + 1.0;
         self.near_limit = self.near_limit * decay + f64::from(u8::from(NEAR_LIMIT_SHARE <= share));
@@ -38,7 +38,7 @@
 
     /// How strictly long prompts are kept away from chats, from 0 to 1.
     pub(crate) fn strength(&self, now: Instant) -> f64 {
-        if self.chats * self.decay(now) < MIN_CHATS || !is_on(Mechanism::StallLearning) {
+        if self.chats * self.decay(now) < MIN_CHATS || !is_enabled(Mechanism::StallLearning) {
             return 1.0;
         }
         (self.near_limit / self.chats / SATURATION_SHARE).min(1.0)
--- a/crates/dispatch/src/config_proof.rs
+++ b/crates/dispatch/src/config_proof.rs
@@ -63,7 +63,7 @@
     /// Marks reads as untrusted for a grace period: the store was restored from a backup with this
     /// epoch, or this host has just started and cannot tell. Each topic's reader reports it; only
     /// the first report of an epoch counts.
-    pub fn doubt(&mut self, epoch: StoreEpoch, now: BootTime) {
+    pub fn mark_untrusted(&mut self, epoch: StoreEpoch, now: BootTime) {
         if self.untrusted_epoch.is_some_and(|untrusted| epoch <= untrusted) {
             return;
         }
@@ -73,7 +73,7 @@
     }
 
     /// Trusts the reads of this epoch: operators have rewritten what was lost, or nothing was.
-    pub fn settle(&mut self, epoch: StoreEpoch) {
+    pub fn mark_trusted(&mut self, epoch: StoreEpoch) {
         if self.untrusted_epoch.is_some_and(|untrusted| epoch < untrusted) {
             return;
         }
@@ -82,23 +82,23 @@
     }
 
     /// Whether reads sent now are untrusted.
-    pub fn is_doubted(&self, now: BootTime) -> bool {
+    pub fn is_untrusted(&self, now: BootTime) -> bool {
         self.untrusted_until.is_some_and(|until| now < until)
     }
 
     /// Sets the configuration in force on this host.
-    pub fn put_in_force(&mut self, version: ConfigVersion) {
+    pub fn set_active_version(&mut self, version: ConfigVersion) {
         self.in_force = version;
     }
 
     /// The configuration in force on this host; 0 before the first.
-    pub fn in_force(&self) -> ConfigVersion {
+    pub fn active_version(&self) -> ConfigVersion {
         self.in_force
     }
 
     /// Records that a router has had this configuration in force. While this host has an older one,
     /// it admits nothing, since that one may contain revoked keys.
-    pub fn note_known(&mut self, version: ConfigVersion) {
+    pub fn observe_version(&mut self, version: ConfigVersion) {
         self.newest_known = self.newest_known.max(version);
     }
 
@@ -116,7 +116,7 @@
     ///
     /// A host that was suspended, or whose reads are late, may not have the route yet. Callers do
     /// not retry after 404, but try another host after 503.
-    pub fn refuses(&self, now: BootTime) -> bool {
+    pub fn may_reject(&self, now: BootTime) -> bool {
         self.is_fresh(self.max_reject_age, now)
     }
 
--- a/crates/dispatch/src/connect_outcome.rs
+++ b/crates/dispatch/src/connect_outcome.rs
@@ -8,7 +8,7 @@
     /// The server's host refused the connection, which shows a fault of the server.
     Refused,
     /// The attempt timed out, or could not be made. Either the server is gone, or the local network is faulty.
-    Silent,
+    TimedOut,
 }
 
 impl ConnectOutcome {
@@ -17,7 +17,7 @@
         match self {
             ConnectOutcome::Reached => "reached",
             ConnectOutcome::Refused => "refused",
-            ConnectOutcome::Silent => "silent",
+            ConnectOutcome::TimedOut => "silent",
         }
     }
 }
--- a/crates/dispatch/src/crash_tracker.rs
+++ b/crates/dispatch/src/crash_tracker.rs
@@ -16,14 +16,14 @@
 pub struct CrashConf {
     /// Crashed servers after which a request is rejected. An innocent request may happen to run on
     /// two servers that crash, but hardly on three.
-    pub convicting: usize,
+    pub min_crashes: usize,
     /// How long a request is tracked after its last crash.
-    pub memory: Duration,
+    pub retention: Duration,
 }
 
 impl Default for CrashConf {
     fn default() -> CrashConf {
-        CrashConf { convicting: 3, memory: Duration::from_secs(60) }
+        CrashConf { min_crashes: 3, retention: Duration::from_secs(60) }
     }
 }
 
@@ -51,7 +51,7 @@
 
     /// Records that the server crashed while it ran the request. Returns whether this was not
     /// known.
-    pub fn note(&mut self, fingerprint: u128, server: ServerKey, now: Instant) -> bool {
+    pub fn record(&mut self, fingerprint: u128, server: ServerKey, now: Instant) -> bool {
         self.evict(now);
         let record = self
             .records
@@ -62,13 +62,13 @@
     }
 
     /// Clears the request: a server has completed it.
-    pub fn acquit(&mut self, fingerprint: u128) {
+    pub fn clear(&mut self, fingerprint: u128) {
         self.records.shift_remove(&fingerprint);
     }
 
     /// Whether the request must be rejected.
-    pub fn is_convicted(&self, fingerprint: u128) -> bool {
-        let min_crashes = self.conf.convicting;
+    pub fn must_reject(&self, fingerprint: u128) -> bool {
+        let min_crashes = self.conf.min_crashes;
         self.records.get(&fingerprint).is_some_and(|record| min_crashes <= record.servers.len())
     }
 
@@ -78,7 +78,7 @@
     }
 
     fn evict(&mut self, now: Instant) {
-        let retention = self.conf.memory;
+        let retention = self.conf.retention;
         while MAX_TRACKED_REQUESTS <= self.records.len() {
             self.records.shift_remove_index(0);
         }
--- a/crates/dispatch/src/demand_meter.rs
+++ b/crates/dispatch/src/demand_meter.rs
@@ -27,7 +27,7 @@
 
 impl DemandMeter {
     /// Records a request with this part.
-    pub fn note(&mut self, part: u64, now: Instant) {
+    pub fn record(&mut self, part: u64, now: Instant) {
         let count = self.parts.entry(part).or_insert(DecayingCount { count: 0.0, updated_at: now });
         *count = DecayingCount { count: count.get(now) + 1.0, updated_at: now };
         if MAX_PARTS < self.parts.len() {
--- a/crates/dispatch/src/engine_choice.rs
+++ b/crates/dispatch/src/engine_choice.rs
@@ -32,7 +32,7 @@
 use crate::Urgency;
 use crate::WeightsTable;
 use crate::experiment::Mechanism;
-use crate::experiment::is_on;
+use crate::experiment::is_enabled;
 use crate::prompt_source::PromptSource;
 
 /// Prefill speed of an engine. It scales all cost estimates alike.
@@ -41,9 +41,9 @@
 const WAITING_REQUEST_TOKENS: f64 = 2_500.0;
 /// Slowdown by each request that is running on an engine.
 const RUNNING_REQUEST_MS: f64 = 0.8;
-/// Penalty for sending a prompt that is cached nowhere to an engine other than its home engine, the
+/// Penalty for sending a prompt that is cached nowhere to an engine other than its owner, the
 /// one that all routers agree on without communication.
-const OFF_HOME_PENALTY_MS: f64 = 60.0;
+const NON_OWNER_PENALTY_MS: f64 = 60.0;
 /// Penalty for another cached copy of a shared prefix, which evicts other prefixes.
 const COPY_PENALTY_MS: f64 = 100.0;
 /// An estimate up to this share of the route's target latency counts as timely. It leaves room for
@@ -97,9 +97,9 @@
 /// Why an engine was chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChoiceReason {
-    /// It is the prompt's home engine.
-    Home,
-    /// It costs less than the home engine.
+    /// It owns the prompt by rendezvous hash.
+    Owner,
+    /// It costs less than the owner of the prompt.
     Cheaper,
     /// No engine was considered available; this one may have recovered.
     LastResort,
@@ -129,11 +129,11 @@
     /// Prefill time of the prompts queued before it.
     pub queue_ms: f64,
     /// Prompt tokens that the engine prefills although another one has them cached.
-    pub reread_tokens: f64,
+    pub recomputed_tokens: f64,
     /// Prompt tokens that the engine has to prefill.
-    pub read_tokens: f64,
+    pub prefill_tokens: f64,
     /// Prompt tokens that are added to the engine's cache, including fetched ones.
-    pub(crate) taken_tokens: f64,
+    pub(crate) added_tokens: f64,
 }
 
 /// Fetch of a cached prefix from another engine or the cache store.
@@ -151,18 +151,18 @@
     pub(crate) weights: WeightsVersion,
     pub(crate) salt: String,
     pub(crate) fetch: Option<PromptFetch>,
-    pub(crate) read_tokens: f64,
-    pub(crate) taken_tokens: f64,
-    pub(crate) is_home: bool,
+    pub(crate) prefill_tokens: f64,
+    pub(crate) added_tokens: f64,
+    pub(crate) is_owner: bool,
     pub(crate) estimate_ms: f64,
     pub(crate) queue_ms: f64,
-    pub(crate) reread_tokens: f64,
+    pub(crate) recomputed_tokens: f64,
     pub(crate) cost: f64,
 }
 
 /// State of the fleet that an engine's cost depends on.
 pub(crate) struct EngineContext<'a> {
-    pub(crate) is_home: bool,
+    pub(crate) is_owner: bool,
     pub(crate) urgency: Urgency,
     pub(crate) shape: CallShape,
     /// Position in the order in which chats fill the engines.
@@ -205,13 +205,13 @@
     }
 
     /// Length in tokens of the prompt prefix that the engine is expected to have cached.
-    pub(crate) fn known_tokens(&self, state: &ServerState, scope: u64) -> u32 {
-        state.memory.cached_tokens(scope, &self.call.prompt, self.capacity())
+    pub(crate) fn known_cached_tokens(&self, state: &ServerState, scope: u64) -> u32 {
+        state.cache.cached_tokens(scope, &self.call.prompt, self.capacity())
     }
 
     /// Length in tokens of the prefix that others can already fetch from the engine.
     pub(crate) fn ready_tokens(&self, state: &ServerState, scope: u64) -> u32 {
-        state.memory.ready_tokens(scope, &self.call.prompt, self.capacity(), self.now)
+        state.cache.ready_tokens(scope, &self.call.prompt, self.capacity(), self.now)
     }
 
     /// Estimates the cost of the call on one engine.
@@ -222,25 +222,25 @@
         context: &EngineContext<'_>,
     ) -> Candidate<'a> {
         let salt = self.salt(weights);
-        let cached_tokens = self.known_tokens(state, scope_of(&salt));
+        let cached_tokens = self.known_cached_tokens(state, scope_of(&salt));
         let total = self.call.prompt_tokens();
         let fetch_plan = self.fetch_plan(state, cached_tokens, context.sources);
-        let read_tokens =
+        let prefill_tokens =
             f64::from(total.saturating_sub(cached_tokens.max(fetch_plan.prefix_tokens)));
         let wait_ms = self.wait_ms(state, context.urgency, context.others);
-        let estimate_ms = wait_ms + fetch_plan.fetch_ms + read_tokens / PREFILL_TOKENS_PER_MS;
-        let mut cost = estimate_ms + fetch_plan.reread_tokens * RECOMPUTE_PENALTY_MS_PER_TOKEN;
+        let estimate_ms = wait_ms + fetch_plan.fetch_ms + prefill_tokens / PREFILL_TOKENS_PER_MS;
+        let mut cost = estimate_ms + fetch_plan.recomputed_tokens * RECOMPUTE_PENALTY_MS_PER_TOKEN;
         if 0 < fetch_plan.prefix_tokens {
             cost += COPY_PENALTY_MS;
         }
-        let uses_home = 0 < self.call.shared_tokens() && is_on(Mechanism::Homes);
-        if !context.is_home && cached_tokens == 0 && uses_home {
-            cost += OFF_HOME_PENALTY_MS;
+        let uses_owner = 0 < self.call.shared_tokens() && is_enabled(Mechanism::Homes);
+        if !context.is_owner && cached_tokens == 0 && uses_owner {
+            cost += NON_OWNER_PENALTY_MS;
         }
         if state.entry.zone != *self.zone {
             cost += CROSS_ZONE_MS;
         }
-        let avoids_stale = is_on(Mechanism::NewWeights);
+        let avoids_stale = is_enabled(Mechanism::NewWeights);
         if avoids_stale
             && STALE_WEIGHTS_AGE <= self.weights.outdated_for(self.model, weights, self.boot_now)
         {
@@ -248,19 +248,19 @@
         }
         cost += state.failure_share(self.now) * FAILURE_PENALTY_MS;
         cost += self.interference_ms(state, context);
-        cost += self.unreported_ms(cached_tokens, read_tokens, context);
+        cost += self.unreported_ms(cached_tokens, prefill_tokens, context);
         cost += self.jitter(state) * context.gossip_interval_ms * JITTER_SHARE;
         Candidate {
             state,
             weights,
             salt,
             fetch: fetch_plan.fetch,
-            read_tokens,
-            taken_tokens: f64::from(total.saturating_sub(cached_tokens)),
-            is_home: context.is_home,
+            prefill_tokens,
+            added_tokens: f64::from(total.saturating_sub(cached_tokens)),
+            is_owner: context.is_owner,
             estimate_ms,
             queue_ms: queued_tokens(state, context.others) / PREFILL_TOKENS_PER_MS,
-            reread_tokens: fetch_plan.reread_tokens,
+            recomputed_tokens: fetch_plan.recomputed_tokens,
             cost,
         }
     }
@@ -269,7 +269,7 @@
     /// which is used only if no other router has reported open requests. Engines prefill in order
     /// of arrival, so the whole queue counts regardless of urgency.
     fn wait_ms(&self, state: &ServerState, urgency: Urgency, others: PeerTotal) -> f64 {
-        let mut tokens = match is_on(Mechanism::ArrivalOrder) {
+        let mut tokens = match is_enabled(Mechanism::ArrivalOrder) {
             true => queued_tokens(state, others),
             false => state.backlog.before(urgency) + others.backlog.before(urgency),
         };
--- a/crates/dispatch/src/engine_choice/fetch_plan.rs
+++ b/crates/dispatch/src/engine_choice/fetch_plan.rs
@@ -6,7 +6,7 @@
 use super::PromptFetch;
 use crate::ServerState;
 use crate::experiment::Mechanism;
-use crate::experiment::is_on;
+use crate::experiment::is_enabled;
 use crate::prompt_source::PromptSource;
 
 /// Below this length, prefilling is faster than a fetch.
@@ -20,7 +20,7 @@
     pub(super) prefix_tokens: u32,
     pub(super) fetch_ms: f64,
     /// Tokens that the engine prefills although another source holds them.
-    pub(super) reread_tokens: f64,
+    pub(super) recomputed_tokens: f64,
 }
 
 impl EngineRequest<'_> {
@@ -43,7 +43,7 @@
         for source in candidates {
             max_held_tokens = max_held_tokens.max(source.tokens.min(shared));
             let source_prefix = source.ready_tokens.min(shared);
-            if source_prefix < cached_tokens + MIN_FETCH_TOKENS || !is_on(Mechanism::Fetches) {
+            if source_prefix < cached_tokens + MIN_FETCH_TOKENS || !is_enabled(Mechanism::Fetches) {
                 continue;
             }
             let tokens = f64::from(source_prefix - cached_tokens);
@@ -61,7 +61,7 @@
                 transfer_ms: source.transfer_ms(tokens, token_bytes, zone),
             });
         }
-        best.reread_tokens =
+        best.recomputed_tokens =
             f64::from(max_held_tokens.saturating_sub(cached_tokens.max(best.prefix_tokens)));
         best
     }
--- a/crates/dispatch/src/engine_choice/interference.rs
+++ b/crates/dispatch/src/engine_choice/interference.rs
@@ -8,7 +8,7 @@
 use crate::ServerKey;
 use crate::ServerState;
 use crate::experiment::Mechanism;
-use crate::experiment::is_on;
+use crate::experiment::is_enabled;
 use crate::prompt_source::PromptSource;
 
 /// Penalty of a chat for each position beyond the engines reserved for chats.
@@ -28,7 +28,7 @@
     /// Cost of mixing chats and long prompts. Chats fill the engines in a fixed order, which leaves
     /// the other engines to long prompts while these delay chats.
     pub(super) fn interference_ms(&self, state: &ServerState, context: &EngineContext<'_>) -> f64 {
-        if !is_on(Mechanism::ChatInterference) {
+        if !is_enabled(Mechanism::ChatInterference) {
             return 0.0;
         }
         match context.shape {
@@ -56,10 +56,10 @@
     pub(super) fn unreported_ms(
         &self,
         cached_tokens: u32,
-        read_tokens: f64,
+        prefill_tokens: f64,
         context: &EngineContext<'_>,
     ) -> f64 {
-        if !is_on(Mechanism::UnreportedSends) {
+        if !is_enabled(Mechanism::UnreportedSends) {
             return 0.0;
         }
         let Some(part) = self.last_cached_part(cached_tokens) else { return 0.0 };
@@ -69,7 +69,7 @@
             source.key != ServerKey::STORE && cached_tokens <= source.tokens
         };
         let holders = context.sources.iter().filter(is_holder).count();
-        let prefill_ms = read_tokens / PREFILL_TOKENS_PER_MS;
+        let prefill_ms = prefill_tokens / PREFILL_TOKENS_PER_MS;
         (rate * report_age_s * prefill_ms / holders.max(1) as f64).min(MAX_UNREPORTED_MS)
     }
 
--- a/crates/dispatch/src/engine_choice/sampling.rs
+++ b/crates/dispatch/src/engine_choice/sampling.rs
@@ -8,7 +8,7 @@
 use crate::ServerKey;
 use crate::ServerState;
 use crate::experiment::Mechanism;
-use crate::experiment::is_on;
+use crate::experiment::is_enabled;
 
 /// Share of the engines used for chats when long prompts delay them most.
 const MIN_CHAT_SHARE: f64 = 0.25;
@@ -24,10 +24,10 @@
 }
 
 impl EngineRequest<'_> {
-    /// Rendezvous hash of the engine for the prompt's shared prefix; the highest score is the home
-    /// engine.
-    pub(crate) fn home_score(&self, state: &ServerState) -> u64 {
-        let key = self.call.home_key().unwrap_or_default();
+    /// Rendezvous hash of the engine for the prompt's shared prefix; the highest score is the prompt's
+    /// owner.
+    pub(crate) fn owner_score(&self, state: &ServerState) -> u64 {
+        let key = self.call.owner_key().unwrap_or_default();
         mix(key, xxh3_64(state.entry.name.as_str().as_bytes()))
     }
 
@@ -41,9 +41,9 @@
     ///
     /// Routers see each other's sends with a delay that grows with their number. If each chose
     /// among all engines, all would pick the same few, so each call samples some engines in
-    /// addition to its home engine and to those that hold its prefix.
-    pub(crate) fn draws(&self, state: &ServerState, context: &EngineContext<'_>) -> bool {
-        if !is_on(Mechanism::Draws) {
+    /// addition to its owner and to those that hold its prefix.
+    pub(crate) fn is_sampled(&self, state: &ServerState, context: &EngineContext<'_>) -> bool {
+        if !is_enabled(Mechanism::Draws) {
             return true;
         }
         let mut share = SAMPLED_ENGINES / context.routers.max(1) as f64;
@@ -54,7 +54,7 @@
             }
             share /= chat_share(context.stall);
         }
-        context.is_home || self.jitter(state) < share || self.samples_holder(state, context)
+        context.is_owner || self.jitter(state) < share || self.samples_holder(state, context)
     }
 
     /// Whether the engine is sampled as a holder of the longest cached prefix. With many holders
--- a/crates/dispatch/src/event_splitter.rs
+++ b/crates/dispatch/src/event_splitter.rs
@@ -36,7 +36,7 @@
     }
 
     /// Discards the buffered bytes after the stream was cut off.
-    pub fn drop_rest(&mut self) {
+    pub fn discard_partial(&mut self) {
         self.partial.clear();
     }
 
--- a/crates/dispatch/src/experiment.rs
+++ b/crates/dispatch/src/experiment.rs
@@ -60,18 +60,18 @@
 /// separated by commas, in the environment variable `FULMARGATE_OFF`.
 #[cfg(not(feature = "experiments"))]
 #[inline]
-pub const fn is_on(_: Mechanism) -> bool {
+pub const fn is_enabled(_: Mechanism) -> bool {
     true
 }
 
 /// Whether a mechanism is enabled.
 #[cfg(feature = "experiments")]
-pub fn is_on(mechanism: Mechanism) -> bool {
-    switches::is_on(mechanism)
+pub fn is_enabled(mechanism: Mechanism) -> bool {
+    switches::is_enabled(mechanism)
 }
 
 #[cfg(feature = "experiments")]
-pub use switches::switch_off;
+pub use switches::disable;
 
 #[cfg(feature = "experiments")]
 mod switches {
@@ -90,11 +90,11 @@
     }
 
     /// Disables exactly these mechanisms on this thread, in addition to those of the environment.
-    pub fn switch_off(mechanisms: &[Mechanism]) {
+    pub fn disable(mechanisms: &[Mechanism]) {
         DISABLED_ON_THREAD.with_borrow_mut(|disabled| *disabled = mechanisms.to_vec());
     }
 
-    pub(super) fn is_on(mechanism: Mechanism) -> bool {
+    pub(super) fn is_enabled(mechanism: Mechanism) -> bool {
         let is_disabled_here =
             DISABLED_ON_THREAD.with_borrow(|disabled| disabled.contains(&mechanism));
         !is_disabled_here && (DISABLED.is_empty() || !DISABLED.contains(&mechanism.to_string()))
--- a/crates/dispatch/src/fleet_state.rs
+++ b/crates/dispatch/src/fleet_state.rs
@@ -67,7 +67,7 @@
     /// Records of an earlier epoch were read: the store was restored at least once.
     has_earlier_epochs: bool,
     /// Merged reports of routers that ran before the current epoch began.
-    restore_note: Option<RestoreReport>,
+    restore_report: Option<RestoreReport>,
 }
 
 impl FleetState {
@@ -81,7 +81,7 @@
         self.epoch_first_seen = Some(now);
         self.end = LogPosition { epoch, offset: LogOffset(0) };
         self.lease = None;
-        self.restore_note = None;
+        self.restore_report = None;
         true
     }
 
@@ -112,7 +112,10 @@
                 });
             }
             FleetRecord::Restored { epoch, config, is_settled } if *epoch == position.epoch => {
-                self.merge_restore_note(RestoreReport { config: *config, is_settled: *is_settled });
+                self.merge_restore_report(RestoreReport {
+                    config: *config,
+                    is_settled: *is_settled,
+                });
             }
             FleetRecord::Restored { .. } | FleetRecord::Crash { .. } => {}
         }
@@ -146,21 +149,21 @@
         if is_settled { None } else { self.epoch_first_seen.filter(|_| self.has_earlier_epochs) }
     }
 
-    fn merge_restore_note(&mut self, note: RestoreReport) {
-        let merged = self.restore_note.unwrap_or(note);
-        let config = merged.config.max(note.config);
-        let is_settled = merged.is_settled || note.is_settled;
-        self.restore_note = Some(RestoreReport { config, is_settled });
+    fn merge_restore_report(&mut self, report: RestoreReport) {
+        let merged = self.restore_report.unwrap_or(report);
+        let config = merged.config.max(report.config);
+        let is_settled = merged.is_settled || report.is_settled;
+        self.restore_report = Some(RestoreReport { config, is_settled });
     }
 
     /// Merged reports of the restore that began the current epoch.
-    pub fn restore_note(&self) -> Option<RestoreReport> {
-        self.restore_note
+    pub fn restore_report(&self) -> Option<RestoreReport> {
+        self.restore_report
     }
 
     /// Whether the store was restored and operators may not have rewritten yet what was lost.
-    pub fn is_restored_lately(&self) -> bool {
-        self.has_earlier_epochs && self.restore_note.is_none_or(|note| !note.is_settled)
+    pub fn is_restore_pending(&self) -> bool {
+        self.has_earlier_epochs && self.restore_report.is_none_or(|report| !report.is_settled)
     }
 
     /// Number of members.
--- a/crates/dispatch/src/forward_budget.rs
+++ b/crates/dispatch/src/forward_budget.rs
@@ -54,7 +54,7 @@
     }
 
     /// Bytes that may be sent now; negative while overdrawn.
-    pub fn left(&self) -> i64 {
+    pub fn available_bytes(&self) -> i64 {
         self.available_bytes as i64
     }
 
@@ -62,11 +62,11 @@
         let is_small = bytes <= MAX_SMALL_ANSWER_BYTES;
         let remaining = self.available_bytes - bytes as f64;
         match store {
-            StoreAccess::InReach if is_small => {
+            StoreAccess::Reachable if is_small => {
                 -self.link_bytes_per_s * OVERDRAFT_SECONDS <= remaining
             }
-            StoreAccess::InReach => 0.0 <= remaining,
-            StoreAccess::OutOfReach => is_small || 0.0 <= self.available_bytes,
+            StoreAccess::Reachable => 0.0 <= remaining,
+            StoreAccess::Unreachable => is_small || 0.0 <= self.available_bytes,
         }
     }
 
--- a/crates/dispatch/src/gossip_message.rs
+++ b/crates/dispatch/src/gossip_message.rs
@@ -116,10 +116,12 @@
     /// It rejects requests, or will soon.
     Loading,
     /// The weights are loaded.
-    InPlace,
+    #[serde(rename = "InPlace")]
+    Loaded,
     /// The load failed and the engine keeps its previous weights. Without this notice routers would
     /// avoid the engine for seconds and overload the others.
-    GivenUp,
+    #[serde(rename = "GivenUp")]
+    Failed,
 }
 
 /// Shared parts of a prompt that an engine now has in its cache.
--- a/crates/dispatch/src/gossip_topology.rs
+++ b/crates/dispatch/src/gossip_topology.rs
@@ -73,7 +73,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GossipTopology {
     /// Interval between two messages of a host.
-    pub pace: Duration,
+    pub interval: Duration,
     /// Relays of each zone, the widest links first; `None` if all hosts send to all.
     pub relays: Option<IndexMap<ZoneName, Vec<HostName>>>,
 }
@@ -82,8 +82,10 @@
     /// Computes the topology of a fleet. Fleets of up to `direct_hosts` hosts, and those whose
     /// links are too narrow for relays, send from all to all.
     pub fn new(hosts: &[FleetHost], direct_hosts: usize) -> GossipTopology {
-        let direct =
-            GossipTopology { pace: gossip_interval(hosts.len().saturating_sub(1)), relays: None };
+        let direct = GossipTopology {
+            interval: gossip_interval(hosts.len().saturating_sub(1)),
+            relays: None,
+        };
         if hosts.len() <= direct_hosts {
             return direct;
         }
@@ -92,7 +94,7 @@
         let mut interval = interval.clamp(MIN_INTERVAL, MAX_INTERVAL);
         loop {
             if let Some(relays) = relays_by_zone(&zones, hosts.len(), interval) {
-                return GossipTopology { pace: interval, relays: Some(relays) };
+                return GossipTopology { interval, relays: Some(relays) };
             }
             if MAX_INTERVAL <= interval {
                 return direct;
@@ -133,7 +135,7 @@
 
 /// Whether a router forwards a message. Messages of its own zone reach it directly, those of other
 /// zones through their relays. Forwarding in any other case would create loops.
-pub fn is_passed_on(path: GossipPath, origin: &ZoneName, own: &ZoneName) -> bool {
+pub fn should_forward(path: GossipPath, origin: &ZoneName, own: &ZoneName) -> bool {
     match path {
         GossipPath::Direct => origin == own,
         GossipPath::Relayed => origin != own,
@@ -143,7 +145,7 @@
 /// Whether a router applies a message. A relay of another zone sends its own messages along with
 /// its subscription, and they also arrive through the relays of this zone; increments would count
 /// twice.
-pub fn is_taken_in(path: GossipPath, subscribes: bool, origin: &ZoneName, own: &ZoneName) -> bool {
+pub fn should_apply(path: GossipPath, subscribes: bool, origin: &ZoneName, own: &ZoneName) -> bool {
     path == GossipPath::Relayed || !subscribes || origin == own
 }
 
@@ -160,14 +162,14 @@
 
 impl RelayChoice {
     /// Records that a relay has forwarded messages.
-    pub fn heard(&mut self, relay: &HostName, now: Instant) {
+    pub fn record_message(&mut self, relay: &HostName, now: Instant) {
         self.timed_out.swap_remove(relay);
         self.last_received.insert(relay.clone(), now);
     }
 
     /// Records that a relay's stream has ended: its process has ended, or the subscription was
     /// cancelled.
-    pub fn ended(&mut self, relay: &HostName, now: Instant) {
+    pub fn record_end(&mut self, relay: &HostName, now: Instant) {
         if self.chosen.values().any(|(chosen, _)| chosen == relay) {
             self.chosen.retain(|_, (chosen, _)| chosen != relay);
             self.timed_out.insert(relay.clone(), now);
@@ -175,14 +177,14 @@
     }
 
     /// Whether a relay failed recently.
-    pub fn is_silent(&self, host: &HostName, now: Instant) -> bool {
+    pub fn failed_recently(&self, host: &HostName, now: Instant) -> bool {
         let timed_out = self.timed_out.get(host);
         timed_out.is_some_and(|at| now.saturating_duration_since(*at) < FAILED_RELAY_COOLDOWN)
     }
 
     /// Whether a chosen relay has not forwarded anything yet. The subscription travels in a
     /// message, and the first one may be lost while the link opens.
-    pub fn is_awaiting(&self) -> bool {
+    pub fn is_waiting_for_relay(&self) -> bool {
         let has_forwarded = |(relay, since): &(HostName, Instant)| {
             self.last_received.get(relay).is_some_and(|received| since <= received)
         };
@@ -212,7 +214,7 @@
                 self.timed_out.insert(relay, now);
             }
         }
-        let responsive = relays.iter().filter(|relay| !self.is_silent(relay, now));
+        let responsive = relays.iter().filter(|relay| !self.failed_recently(relay, now));
         let responsive: Vec<&HostName> = responsive.collect();
         let all: Vec<&HostName> = relays.iter().collect();
         let candidates = if responsive.is_empty() { all } else { responsive };
--- a/crates/dispatch/src/lease_keeper.rs
+++ b/crates/dispatch/src/lease_keeper.rs
@@ -68,15 +68,16 @@
     /// Returns the next action, given that there has been work for the holder since `work_since`.
     pub fn step(
         &self,
-        fold: &FleetState,
+        fleet_state: &FleetState,
         work_since: BootTime,
         rank: LinkRank,
         now: BootTime,
     ) -> LeaseStep {
-        let newest = fold.lease();
+        let newest = fleet_state.lease();
         // A restored store may have lost another router's lease record. That router keeps acting
         // until its lease expires.
-        let lost_lease_expiry = fold.lost_lease_since().map(|since| since.after(self.duration));
+        let lost_lease_expiry =
+            fleet_state.lost_lease_since().map(|since| since.after(self.duration));
         if let Some(own) = self.own.filter(|own| self.is_newest(newest, own.fence)) {
             let age = now.since(own.sent);
             if age < self.duration / 2 {
@@ -84,7 +85,7 @@
             }
             // The renewal has a higher fencing number, and nobody else has acted in between.
             if age < self.duration || lost_lease_expiry.is_none_or(|until| until <= now) {
-                return LeaseStep::Append { at: fold.end() };
+                return LeaseStep::Append { at: fleet_state.end() };
             }
         }
         // Delays start when the last lease expires, even if work was already waiting. Otherwise all
@@ -99,11 +100,11 @@
         };
         let earliest = earliest.max(lost_lease_expiry);
         let acquire_at =
-            earliest.map_or(now, |earliest| earliest.after(self.acquire_delay(fold, rank)));
+            earliest.map_or(now, |earliest| earliest.after(self.acquire_delay(fleet_state, rank)));
         if now < acquire_at {
             return LeaseStep::Wait(acquire_at.since(now));
         }
-        LeaseStep::Append { at: fold.end() }
+        LeaseStep::Append { at: fleet_state.end() }
     }
 
     /// Random delay before this host tries to take the lease, drawn again for each record in the
@@ -111,25 +112,25 @@
     ///
     /// The holder publishes the load of each engine to all routers, which takes much of a narrow
     /// link and delays these updates. Hosts with the widest links therefore try first.
-    fn acquire_delay(&self, fold: &FleetState, rank: LinkRank) -> Duration {
-        let hash = xxh3_64(format!("{}/{}", self.host, fold.end().offset).as_bytes());
+    fn acquire_delay(&self, fleet_state: &FleetState, rank: LinkRank) -> Duration {
+        let hash = xxh3_64(format!("{}/{}", self.host, fleet_state.end().offset).as_bytes());
         let fraction = (hash >> 11) as f64 / (1_u64 << 53) as f64;
         let jitter = |hosts: usize| (JITTER_PER_HOST * hosts as u32).mul_f64(fraction);
         match rank {
-            LinkRank::Equal => jitter(fold.hosts()),
-            LinkRank::Widest { hosts } => jitter(hosts.min(fold.hosts())),
-            LinkRank::Narrower => NARROW_LINK_DELAY + jitter(fold.hosts()),
+            LinkRank::Equal => jitter(fleet_state.hosts()),
+            LinkRank::Widest { hosts } => jitter(hosts.min(fleet_state.hosts())),
+            LinkRank::Narrower => NARROW_LINK_DELAY + jitter(fleet_state.hosts()),
         }
     }
 
     /// Records that the append sent at `sent` was accepted, with its fencing number.
-    pub fn appended(&mut self, fence: FencingNumber, sent: BootTime) {
+    pub fn record_append(&mut self, fence: FencingNumber, sent: BootTime) {
         self.own = Some(OwnLease { fence, sent });
     }
 
     /// Drops the lease: an engine has seen a higher fencing number, so that another router holds
     /// it.
-    pub fn refused(&mut self) {
+    pub fn drop_lease(&mut self) {
         self.own = None;
     }
 
--- a/crates/dispatch/src/local_fault_detector.rs
+++ b/crates/dispatch/src/local_fault_detector.rs
@@ -70,23 +70,23 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ReachabilityCount {
     /// Servers that did not answer.
-    pub silent: usize,
+    pub unresponsive: usize,
     /// Servers that accepted or refused the connection.
-    pub heard: usize,
+    pub responsive: usize,
 }
 
 /// Change of the suspicion of this host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SuspicionChange {
     /// It has begun.
-    Doubted(ReachabilityCount),
+    Started(ReachabilityCount),
     /// It has ended after this time.
-    Restored(ReachabilityCount, Duration),
+    Ended(ReachabilityCount, Duration),
 }
 
 impl LocalFaultDetector {
     /// Records a connection attempt.
-    pub(crate) fn note(&mut self, server: ServerKey, end: ConnectOutcome, now: Instant) {
+    pub(crate) fn record(&mut self, server: ServerKey, end: ConnectOutcome, now: Instant) {
         self.attempts.retain(|_, attempt| now < attempt.at + MAX_RETRY_GAP);
         let last = self.attempts.get(&server).filter(|last| last.end == end);
         let since = last.map_or(now, |last| last.since);
@@ -107,34 +107,34 @@
     }
 
     /// Whether this host is suspected.
-    pub(crate) fn doubts(&self, now: Instant) -> bool {
-        self.doubt_end(now).is_some()
+    pub(crate) fn is_suspected(&self, now: Instant) -> bool {
+        self.suspicion_end(now).is_some()
     }
 
     /// End of the latest suspicion, or `now` while it lasts. Silence before that does not count
     /// against servers.
-    pub(crate) fn doubted_until(&self, now: Instant) -> Option<Instant> {
+    pub(crate) fn suspected_until(&self, now: Instant) -> Option<Instant> {
         self.suspicion.map(|suspicion| suspicion.end.min(now))
     }
 
     /// Returns a change of the suspicion since the last call.
-    pub(crate) fn news(&mut self, now: Instant) -> Option<SuspicionChange> {
+    pub(crate) fn take_change(&mut self, now: Instant) -> Option<SuspicionChange> {
         let count = self.count(now);
-        match (self.reported_at, self.doubts(now)) {
+        match (self.reported_at, self.is_suspected(now)) {
             (None, true) => {
                 self.reported_at = Some(now);
-                Some(SuspicionChange::Doubted(count))
+                Some(SuspicionChange::Started(count))
             }
             (Some(since), false) => {
                 self.reported_at = None;
-                Some(SuspicionChange::Restored(count, now.saturating_duration_since(since)))
+                Some(SuspicionChange::Ended(count, now.saturating_duration_since(since)))
             }
             _ => None,
         }
     }
 
     /// When the current suspicion ends unless extended.
-    pub(crate) fn doubt_end(&self, now: Instant) -> Option<Instant> {
+    pub(crate) fn suspicion_end(&self, now: Instant) -> Option<Instant> {
         self.suspicion.map(|suspicion| suspicion.end).filter(|end| now < *end)
     }
 
@@ -143,15 +143,18 @@
     /// median is used because some servers may have been down for long.
     pub(crate) fn count(&self, now: Instant) -> ReachabilityCount {
         let recent = || self.attempts.values().filter(|attempt| attempt.is_recent(now));
-        let silent = || recent().filter(|attempt| attempt.end == ConnectOutcome::Silent);
+        let silent = || recent().filter(|attempt| attempt.end == ConnectOutcome::TimedOut);
         let mut silent_since: Vec<Instant> = silent().map(|attempt| attempt.since).collect();
         silent_since.sort_unstable();
         let median = silent_since.get(silent_since.len() / 2).copied();
         let is_heard = |attempt: &&ConnectAttempt| {
             let is_current = median.is_none_or(|median| median <= attempt.at + CONNECT_TIMEOUT);
-            attempt.end != ConnectOutcome::Silent && is_current
+            attempt.end != ConnectOutcome::TimedOut && is_current
         };
-        ReachabilityCount { silent: silent().count(), heard: recent().filter(is_heard).count() }
+        ReachabilityCount {
+            unresponsive: silent().count(),
+            responsive: recent().filter(is_heard).count(),
+        }
     }
 
     /// Begins or extends the suspicion.
@@ -159,7 +162,7 @@
         let last =
             self.suspicion.filter(|suspicion| now < suspicion.supported_at + SUSPICION_MEMORY);
         let mut latest_end = last.and_then(|last| last.latest_end);
-        if 0 < count.heard {
+        if 0 < count.responsive {
             latest_end.get_or_insert(now + MAX_SUSPICION_TIME);
         }
         let expiry = now + MAX_ATTEMPT_AGE;
@@ -173,7 +176,8 @@
 
 impl ReachabilityCount {
     fn suggests_local_fault(self) -> bool {
-        MIN_SILENT_SERVERS <= self.silent && MIN_SILENT_TO_HEARD * self.heard <= self.silent
+        MIN_SILENT_SERVERS <= self.unresponsive
+            && MIN_SILENT_TO_HEARD * self.responsive <= self.unresponsive
     }
 }
 
--- a/crates/dispatch/src/log_cache.rs
+++ b/crates/dispatch/src/log_cache.rs
@@ -63,7 +63,7 @@
 
     /// The time at which the records were known to be complete, on the requester's clock. The
     /// unknown network delay counts as age, the time for which the request was held does not.
-    pub fn proven(&self, asked: BootTime) -> BootTime {
+    pub fn complete_as_of(&self, asked: BootTime) -> BootTime {
         BootTime((asked.0 + self.held_ms).saturating_sub(self.age_ms))
     }
 }
@@ -101,12 +101,12 @@
     }
 
     /// Records that a read sent at this time reached the end of the topic.
-    pub fn prove(&mut self, sent: BootTime) {
+    pub fn mark_complete(&mut self, sent: BootTime) {
         self.validated_at = self.validated_at.max(Some(sent));
     }
 
     /// When the newest read that reached the end of the topic was sent.
-    pub fn proven(&self) -> Option<BootTime> {
+    pub fn complete_as_of(&self) -> Option<BootTime> {
         self.validated_at
     }
 
--- a/crates/dispatch/src/peer_discovery.rs
+++ b/crates/dispatch/src/peer_discovery.rs
@@ -33,7 +33,7 @@
     /// Whether all reachable routers have had time to send a message, so that shared work can be
     /// divided among them. `members` are the hosts in the fleet topic. A topic without other hosts
     /// does not prove that there are none, since records expire.
-    pub fn is_over(&mut self, own: &HostName, members: &[HostName], now: Instant) -> bool {
+    pub fn is_complete(&mut self, own: &HostName, members: &[HostName], now: Instant) -> bool {
         if self.joined_at.is_none() && members.contains(own) {
             self.joined_at = Some(now);
         }
--- a/crates/dispatch/src/peer_load_table.rs
+++ b/crates/dispatch/src/peer_load_table.rs
@@ -17,7 +17,7 @@
 use crate::ServerKey;
 use crate::ZonePeer;
 use crate::experiment::Mechanism;
-use crate::experiment::is_on;
+use crate::experiment::is_enabled;
 
 /// How long a report counts: twice the longest interval between two. A router that stopped
 /// reporting may have ended, and its requests with it.
@@ -46,7 +46,7 @@
 /// Interval between the gossip messages of a router with this many peers.
 pub fn gossip_interval(peers: usize) -> Duration {
     let pairs = (peers as u32).saturating_mul(peers as u32);
-    let min_interval = if is_on(Mechanism::FastGossip) { MIN_INTERVAL } else { SLOW_INTERVAL };
+    let min_interval = if is_enabled(Mechanism::FastGossip) { MIN_INTERVAL } else { SLOW_INTERVAL };
     (min_interval + INTERVAL_PER_PAIR.saturating_mul(pairs)).min(MAX_INTERVAL)
 }
 
@@ -56,7 +56,7 @@
 /// While new weights are rolled out, each message lists dozens of engines and goes to all routers,
 /// which would saturate a narrow link. An interval in proportion to the size of the last message
 /// limits the bandwidth; it never exceeds the regular interval.
-pub fn urgent_pace(peers: usize, message_bytes: usize, link_bytes_per_s: f64) -> Duration {
+pub fn urgent_interval(peers: usize, message_bytes: usize, link_bytes_per_s: f64) -> Duration {
     let min_interval = MIN_URGENT_INTERVAL + URGENT_INTERVAL_PER_PEER.saturating_mul(peers as u32);
     let bytes = message_bytes as f64 * peers as f64;
     let link_interval_s = bytes / (link_bytes_per_s * URGENT_LINK_SHARE);
@@ -94,8 +94,8 @@
 
 impl PeerLoadTable {
     /// Records a message from a router.
-    pub fn hear(&mut self, host: &HostName, message: &GossipMessage, now: Instant) {
-        self.drop_silent(now);
+    pub fn record_message(&mut self, host: &HostName, message: &GossipMessage, now: Instant) {
+        self.remove_expired(now);
         let report = PeerReport {
             received_at: now,
             zone: message.zone.clone(),
@@ -112,10 +112,10 @@
 
     /// Drops the reports of routers that have stopped reporting. Must be called regularly, since
     /// the totals include a report until it is dropped.
-    pub fn drop_silent(&mut self, now: Instant) {
-        let is_silent =
+    pub fn remove_expired(&mut self, now: Instant) {
+        let failed_recently =
             |report: &PeerReport| MESSAGE_TTL <= now.saturating_duration_since(report.received_at);
-        while let Some(index) = self.reports.values().position(is_silent) {
+        while let Some(index) = self.reports.values().position(failed_recently) {
             if let Some((_, report)) = self.reports.swap_remove_index(index) {
                 self.subtract(&report);
             }
@@ -170,7 +170,7 @@
     }
 
     /// Total load of all other routers at a server.
-    pub fn sum(&self, server: ServerKey) -> PeerTotal {
+    pub fn total(&self, server: ServerKey) -> PeerTotal {
         self.totals.get(&server).copied().unwrap_or_default()
     }
 
--- a/crates/dispatch/src/pending_updates.rs
+++ b/crates/dispatch/src/pending_updates.rs
@@ -22,7 +22,7 @@
 const MAX_PENDING_PARTS: usize = 16_384;
 
 /// Number of parts for a message to all peers that follows the last one after `elapsed`.
-pub fn published_parts(link_bytes_per_s: f64, peers: usize, elapsed: Duration) -> usize {
+pub fn max_published_parts(link_bytes_per_s: f64, peers: usize, elapsed: Duration) -> usize {
     let bytes = link_bytes_per_s * LINK_SHARE * elapsed.as_secs_f64() / peers.max(1) as f64;
     ((bytes / PART_BYTES) as usize).clamp(MIN_PARTS, MAX_PARTS)
 }
--- a/crates/dispatch/src/placement_request.rs
+++ b/crates/dispatch/src/placement_request.rs
@@ -62,11 +62,11 @@
 #[derive(Debug)]
 pub enum Placement {
     /// The prompt was assigned to an engine.
-    Taken(Box<AssignedEngine>),
+    Assigned(Box<AssignedEngine>),
     /// The best engine's queue is full. Holds the number of tokens that it would prefill.
-    Wait(f64),
+    Queued(f64),
     /// No engine may serve the prompt.
-    Nowhere,
+    NoEngine,
 }
 
 impl PlacementRequest {
--- a/crates/dispatch/src/prompt_cache_estimate.rs
+++ b/crates/dispatch/src/prompt_cache_estimate.rs
@@ -78,7 +78,7 @@
 
     /// Records a prompt sent to the engine, which adds `added_tokens` to its cache and prefills it
     /// by `ready_at`. Parts that could be fetched before still can.
-    pub fn read(
+    pub fn record_prompt(
         &mut self,
         scope: u64,
         parts: impl Iterator<Item = u64>,
@@ -97,7 +97,7 @@
     }
 
     /// Applies a cache event: this many tokens of the part are now cached.
-    pub fn hear(&mut self, key: u64, tokens: u32, now: Instant) {
+    pub fn apply_event(&mut self, key: u64, tokens: u32, now: Instant) {
         if tokens == 0 {
             self.parts.shift_remove(&key);
             return;
--- a/crates/dispatch/src/queue_priority.rs
+++ b/crates/dispatch/src/queue_priority.rs
@@ -10,7 +10,7 @@
 use crate::CallFacts;
 use crate::admission::is_late;
 use crate::experiment::Mechanism;
-use crate::experiment::is_on;
+use crate::experiment::is_enabled;
 
 /// Value of a prompt regardless of its size.
 const BASE_VALUE: f64 = 0.3;
@@ -32,13 +32,13 @@
     /// size.
     pub(crate) fn of(
         call: &CallFacts,
-        read_tokens: f64,
+        prefill_tokens: f64,
         mean_tokens: f64,
         now: Instant,
     ) -> QueuePriority {
         let relative_size = f64::from(call.prompt_tokens()) / mean_tokens.max(1.0);
-        let cost_per_value = match is_on(Mechanism::EarningOrder) {
-            true => read_tokens / (BASE_VALUE + SIZE_VALUE * relative_size),
+        let cost_per_value = match is_enabled(Mechanism::EarningOrder) {
+            true => prefill_tokens / (BASE_VALUE + SIZE_VALUE * relative_size),
             false => 0.0,
         };
         let (is_late, priority) = (is_late(call, now), call.priority);
--- a/crates/dispatch/src/request_queue.rs
+++ b/crates/dispatch/src/request_queue.rs
@@ -24,9 +24,9 @@
 #[derive(Debug)]
 pub enum QueueOutcome {
     /// It was assigned to an engine.
-    Taken(Box<AssignedEngine>),
+    Assigned(Box<AssignedEngine>),
     /// No engine may serve it any more.
-    Nowhere,
+    NoEngine,
     /// It was refused without having run; the caller should retry after this time.
     Refused(Duration),
 }
@@ -46,7 +46,7 @@
     number: QueueTicket,
     request: PlacementRequest,
     /// Tokens that the best engine would prefill, as of the last placement attempt.
-    read_tokens: f64,
+    prefill_tokens: f64,
 }
 
 impl RequestQueue {
@@ -61,28 +61,28 @@
     }
 
     /// Whether a new prompt may bypass the queue.
-    pub fn goes_first(&self, call: &CallFacts) -> bool {
+    pub fn may_bypass(&self, call: &CallFacts) -> bool {
         self.waiting.is_empty() || admission::is_short(call)
     }
 
     /// Adds a prompt to the queue.
-    pub fn enter(&mut self, request: PlacementRequest) -> QueueTicket {
+    pub fn push(&mut self, request: PlacementRequest) -> QueueTicket {
         let number = QueueTicket(self.next);
         self.next += 1;
-        let read_tokens = f64::from(request.call.prompt_tokens());
-        self.waiting.push(QueuedPrompt { number, request, read_tokens });
+        let prefill_tokens = f64::from(request.call.prompt_tokens());
+        self.waiting.push(QueuedPrompt { number, request, prefill_tokens });
         number
     }
 
     /// Removes a prompt whose caller has disconnected.
-    pub fn leave(&mut self, number: QueueTicket) {
+    pub fn remove(&mut self, number: QueueTicket) {
         self.waiting.retain(|prompt| prompt.number != number);
     }
 
     /// Assigns queued prompts to engines with room, and refuses those that are too late.
-    pub fn serve(
+    pub fn run(
         &mut self,
-        book: &mut ServerRegistry,
+        registry: &mut ServerRegistry,
         view: ChoiceView<'_>,
     ) -> Vec<(QueueTicket, QueueOutcome)> {
         self.sort(view.now);
@@ -92,13 +92,13 @@
             if MAX_FAILED_PLACEMENTS <= failed_placements {
                 return true;
             }
-            match book.place(&prompt.request, view) {
-                Placement::Taken(taken) => {
-                    outcomes.push((prompt.number, QueueOutcome::Taken(taken)))
+            match registry.place(&prompt.request, view) {
+                Placement::Assigned(assigned) => {
+                    outcomes.push((prompt.number, QueueOutcome::Assigned(assigned)));
                 }
-                Placement::Nowhere => outcomes.push((prompt.number, QueueOutcome::Nowhere)),
-                Placement::Wait(read_tokens) => {
-                    prompt.read_tokens = read_tokens;
+                Placement::NoEngine => outcomes.push((prompt.number, QueueOutcome::NoEngine)),
+                Placement::Queued(prefill_tokens) => {
+                    prompt.prefill_tokens = prefill_tokens;
                     failed_placements += 1;
                     return true;
                 }
@@ -114,7 +114,7 @@
             self.waiting.iter().map(|prompt| f64::from(prompt.request.call.prompt_tokens()));
         let mean_tokens = tokens.sum::<f64>() / self.waiting.len().max(1) as f64;
         let sort_key = |prompt: &QueuedPrompt| {
-            QueuePriority::of(&prompt.request.call, prompt.read_tokens, mean_tokens, now)
+            QueuePriority::of(&prompt.request.call, prompt.prefill_tokens, mean_tokens, now)
         };
         self.waiting.sort_by(|a, b| sort_key(a).compare(&sort_key(b)));
     }
--- a/crates/dispatch/src/retry_budget.rs
+++ b/crates/dispatch/src/retry_budget.rs
@@ -57,15 +57,15 @@
     }
 
     /// Records the first send of a call.
-    pub fn first(&mut self, service: &ServiceName, now: Instant) {
+    pub fn record_first_send(&mut self, service: &ServiceName, now: Instant) {
         let bucket = self.bucket(now);
         let counts = self.counts(service, bucket);
         counts.first_sends[(bucket % BUCKETS as u64) as usize] += 1;
     }
 
     /// Spends one retry if the budget allows it.
-    pub fn try_repeat(&mut self, service: &ServiceName, now: Instant) -> bool {
-        let is_allowed = self.has_repeat(service, now);
+    pub fn try_retry(&mut self, service: &ServiceName, now: Instant) -> bool {
+        let is_allowed = self.allows_retry(service, now);
         if is_allowed {
             let bucket = self.bucket(now);
             self.counts(service, bucket).retries[(bucket % BUCKETS as u64) as usize] += 1;
@@ -74,7 +74,7 @@
     }
 
     /// Whether the budget allows a retry.
-    pub fn has_repeat(&mut self, service: &ServiceName, now: Instant) -> bool {
+    pub fn allows_retry(&mut self, service: &ServiceName, now: Instant) -> bool {
         let ratio = self.conf.ratio * SAFETY_FACTOR;
         let slack = self.slack(now);
         let bucket = self.bucket(now);
--- a/crates/dispatch/src/rollout_plan.rs
+++ b/crates/dispatch/src/rollout_plan.rs
@@ -80,10 +80,10 @@
         &self,
         servers: &[RolloutEngine],
         target: WeightsVersion,
-        wave: RolloutTime,
+        time: RolloutTime,
     ) -> usize {
         let outdated = servers.iter().filter(|server| server.version < target).count() as f64;
-        let remaining = wave.bound.mul_f64(self.conf.deadline_share).saturating_sub(wave.age);
+        let remaining = time.bound.mul_f64(self.conf.deadline_share).saturating_sub(time.age);
         let rounds = (remaining.as_secs_f64() / self.conf.engine_downtime.as_secs_f64()).max(1.0);
         let max_concurrent = (servers.len() as f64 * self.conf.max_concurrent_share).ceil();
         (outdated / rounds).ceil().clamp(1.0, max_concurrent.max(1.0)) as usize
@@ -96,10 +96,10 @@
         &self,
         servers: &[RolloutEngine],
         target: WeightsVersion,
-        wave: RolloutTime,
+        time: RolloutTime,
     ) -> Vec<ServerKey> {
         let in_progress = servers.iter().filter(|server| server.is_ordered).count();
-        let mut slots = self.concurrency(servers, target, wave).saturating_sub(in_progress);
+        let mut slots = self.concurrency(servers, target, time).saturating_sub(in_progress);
         let mut candidates: Vec<&RolloutEngine> =
             servers.iter().filter(|server| server.version < target && !server.is_ordered).collect();
         let mut chosen: Vec<&RolloutEngine> = Vec::new();
--- a/crates/dispatch/src/route_rule.rs
+++ b/crates/dispatch/src/route_rule.rs
@@ -57,12 +57,12 @@
     /// Whether another server may resume the stream after its last complete event.
     pub is_resumable: bool,
     /// Target upper bound of the gap between two events.
-    pub longest_gap: Duration,
+    pub max_gap: Duration,
 }
 
 impl RouteRule {
     /// Whether a request that may have run can be sent again, from its start or from its last event.
-    pub fn may_repeat(&self) -> bool {
+    pub fn may_retry(&self) -> bool {
         match self.kind {
             RouteKind::Idempotent => true,
             RouteKind::NonIdempotent => false,
--- a/crates/dispatch/src/route_table.rs
+++ b/crates/dispatch/src/route_table.rs
@@ -12,7 +12,7 @@
 use crate::CallerLimits;
 use crate::RouteRule;
 use crate::RoutingConfig;
-use crate::SaltMaker;
+use crate::SaltGenerator;
 use crate::ServiceRule;
 use crate::TeamRule;
 
@@ -27,7 +27,7 @@
     services: IndexMap<ServiceName, Arc<ServiceRule>>,
     store: Option<CacheStore>,
     limits: CallerLimits,
-    salts: SaltMaker,
+    salts: SaltGenerator,
 }
 
 impl RouteTable {
@@ -67,7 +67,7 @@
             services,
             store,
             limits: config.limits,
-            salts: SaltMaker::new(isolated),
+            salts: SaltGenerator::new(isolated),
         }
     }
 
@@ -129,7 +129,7 @@
     }
 
     /// Builder of the salts that separate teams and weights versions in engine caches.
-    pub fn salts(&self) -> &SaltMaker {
+    pub fn salts(&self) -> &SaltGenerator {
         &self.salts
     }
 
--- a/crates/dispatch/src/salt_maker.rs
+++ b/crates/dispatch/src/salt_generator.rs
@@ -11,15 +11,15 @@
 /// All other teams share a salt that contains a hash of the set of isolated teams. It changes on all routers
 /// when a team becomes isolated, so that this team and the others cannot reach each other's older entries.
 #[derive(Debug)]
-pub struct SaltMaker {
+pub struct SaltGenerator {
     isolated: Vec<TeamName>,
     /// Last component of the salt of all teams that are not isolated.
     shared: String,
 }
 
-impl SaltMaker {
+impl SaltGenerator {
     /// Creates a builder for a set of isolated teams.
-    pub fn new(mut isolated: Vec<TeamName>) -> SaltMaker {
+    pub fn new(mut isolated: Vec<TeamName>) -> SaltGenerator {
         isolated.sort_unstable();
         let mut names = String::new();
         for team in &isolated {
@@ -27,7 +27,7 @@
             names.push('\n');
         }
         let shared = format!("all-{:x}", xxh3_64(names.as_bytes()));
-        SaltMaker { isolated, shared }
+        SaltGenerator { isolated, shared }
     }
 
     /// Builds the salt of a request.
--- a/crates/dispatch/src/server_probe.rs
+++ b/crates/dispatch/src/server_probe.rs
@@ -25,7 +25,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProbeStep {
     /// Open a probe connection and record its outcome.
-    Ask,
+    Probe,
     /// Keep waiting: the server was reached recently, or a probe is in flight.
     Wait,
     /// Give up: recent connections failed.
@@ -48,12 +48,12 @@
 
 impl ServerProbe {
     /// Records a successful connection or a response.
-    pub(crate) fn reached(&mut self, now: Instant) {
+    pub(crate) fn record_reached(&mut self, now: Instant) {
         *self = ServerProbe { last_attempt: Some((now, true)), ..ServerProbe::default() };
     }
 
     /// Records a failed connection.
-    pub(crate) fn failed(&mut self, outcome: ConnectOutcome, now: Instant) {
+    pub(crate) fn record_failure(&mut self, outcome: ConnectOutcome, now: Instant) {
         self.failures += 1;
         self.failing_since.get_or_insert(now);
         self.last_attempt = Some((now, false));
@@ -61,7 +61,7 @@
         self.probe_started = None;
     }
 
-    /// Returns the next step of a waiting request. A probe counts as in flight once [`ProbeStep::Ask`] is
+    /// Returns the next step of a waiting request. A probe counts as in flight once [`ProbeStep::Probe`] is
     /// returned. Timeouts until `local_fault_end` are not counted.
     pub(crate) fn next_step(
         &mut self,
@@ -81,7 +81,7 @@
             return ProbeStep::Wait;
         }
         self.probe_started = Some(now);
-        ProbeStep::Ask
+        ProbeStep::Probe
     }
 
     /// Whether the server and the requests waiting there count as lost. Timeouts until `local_fault_end` are
--- a/crates/dispatch/src/server_registry.rs
+++ b/crates/dispatch/src/server_registry.rs
@@ -109,7 +109,7 @@
     /// Requests in flight from all routers at a server.
     pub fn open_at(&self, server: ServerKey) -> u32 {
         let Some(state) = self.state(server) else { return 0 };
-        state.open + self.peers.sum(server).open
+        state.open + self.peers.total(server).open
     }
 
     /// States of all listed servers.
@@ -118,7 +118,7 @@
     }
 
     /// Counts a plain call as sent to the server.
-    pub fn begin(&mut self, call: &CallFacts, server: ServerKey, now: Instant) -> SendTicket {
+    pub fn record_send(&mut self, call: &CallFacts, server: ServerKey, now: Instant) -> SendTicket {
         let tokens = f64::from(call.prompt_tokens());
         let urgency = Urgency::timely(call.priority);
         if let Some(state) = self.state_mut(server) {
@@ -136,7 +136,7 @@
     }
 
     /// Counts a prompt as sent to the chosen engine and queues it for the next gossip message.
-    pub fn begin_prompt(
+    pub fn record_prompt_send(
         &mut self,
         call: &CallFacts,
         choice: &EngineChoice,
@@ -146,7 +146,7 @@
             server: choice.server.key(),
             scope: scope_of(&choice.salt),
             parts: call.shared_parts().iter().map(|part| part.hash).collect(),
-            taken_tokens: choice.taken_tokens as u32,
+            taken_tokens: choice.added_tokens as u32,
             ready_ms: (choice.estimate_ms * READY_FACTOR) as u32,
             is_stored: choice.save_to.is_some(),
             source: choice.fetch.map(|fetch| fetch.source),
@@ -159,11 +159,11 @@
         if let Some(state) = self.state_mut(choice.server.key()) {
             state.open += 1;
             state.chats += u32::from(choice.shape == CallShape::Chat);
-            state.backlog.add(choice.urgency, choice.read_tokens);
+            state.backlog.add(choice.urgency, choice.prefill_tokens);
         }
         SendTicket {
             server: choice.server.key(),
-            tokens: choice.read_tokens,
+            tokens: choice.prefill_tokens,
             urgency: choice.urgency,
             shape: choice.shape,
             is_queued: true,
@@ -176,7 +176,12 @@
     }
 
     /// Records the first part of a response.
-    pub fn answered(&mut self, ticket: &mut SendTicket, load: Option<LoadReport>, now: Instant) {
+    pub fn record_response(
+        &mut self,
+        ticket: &mut SendTicket,
+        load: Option<LoadReport>,
+        now: Instant,
+    ) {
         if let Some(state) = self.state_mut(ticket.server) {
             if ticket.is_queued {
                 state.backlog.take(ticket.urgency, ticket.tokens);
@@ -187,7 +192,7 @@
     }
 
     /// Removes a request that ended, successfully or not, from the server's counts.
-    pub fn left(&mut self, ticket: &SendTicket) {
+    pub fn record_end(&mut self, ticket: &SendTicket) {
         if let Some(state) = self.state_mut(ticket.server) {
             state.open = state.open.saturating_sub(1);
             let chats = u32::from(ticket.shape == CallShape::Chat);
@@ -199,7 +204,7 @@
     }
 
     /// Records a complete, successful response.
-    pub fn succeeded(&mut self, ticket: &SendTicket, now: Instant) {
+    pub fn record_success(&mut self, ticket: &SendTicket, now: Instant) {
         let latency = now.saturating_duration_since(ticket.sent_at);
         if let Some(state) = self.state_mut(ticket.server) {
             state.succeeded(latency, now);
@@ -207,21 +212,21 @@
     }
 
     /// Records the longest gap of a finished stream, as a share of the gap that its route accepts.
-    pub fn paused(&mut self, ticket: &SendTicket, share: f64, now: Instant) {
+    pub fn record_stall(&mut self, ticket: &SendTicket, share: f64, now: Instant) {
         if ticket.shape == CallShape::Chat {
-            self.stalls.note(share, now);
+            self.stalls.record(share, now);
         }
     }
 
     /// Records a failed request.
-    pub fn failed(&mut self, server: ServerKey, now: Instant) {
+    pub fn record_failure(&mut self, server: ServerKey, now: Instant) {
         if let Some(state) = self.state_mut(server) {
             state.failed(now);
         }
     }
 
     /// Records that the server rejected a plain request as full.
-    pub fn turned_away(&mut self, server: ServerKey, now: Instant) {
+    pub fn record_rejection(&mut self, server: ServerKey, now: Instant) {
         if let Some(state) = self.state_mut(server) {
             state.mark_full(FULL_BACKOFF, now);
         }
@@ -229,7 +234,7 @@
 
     /// Records that an engine rejected a prompt. If the engine runs older weights than the target version,
     /// it is assumed to be loading that version.
-    pub fn turned_away_prompt(
+    pub fn record_prompt_rejection(
         &mut self,
         server: ServerKey,
         model: &ModelName,
@@ -251,7 +256,7 @@
 
     /// Records that an engine rejected a request because it runs other weights than expected. It is assumed
     /// to run the target version, unless that is what was expected.
-    pub fn misjudged_weights(
+    pub fn record_weights_mismatch(
         &mut self,
         server: ServerKey,
         model: &ModelName,
@@ -273,21 +278,21 @@
     }
 
     /// Records that this router, as the lease holder, ordered the engine to load weights.
-    pub fn order_given(&mut self, server: ServerKey, now: Instant) {
+    pub fn record_load_order(&mut self, server: ServerKey, now: Instant) {
         if let Some(state) = self.state_mut(server) {
             state.mark_loading(now);
         }
     }
 
     /// Records that the load order failed and the engine keeps its weights.
-    pub fn order_given_up(&mut self, server: ServerKey) {
+    pub fn record_load_failure(&mut self, server: ServerKey) {
         if let Some(state) = self.state_mut(server) {
             state.clear_loading();
         }
     }
 
     /// Records that the engine confirmed the load.
-    pub fn order_done(&mut self, server: ServerKey, model: &ModelName, seen: WeightsVersion) {
+    pub fn record_load(&mut self, server: ServerKey, model: &ModelName, seen: WeightsVersion) {
         if let Some(state) = self.state_mut(server) {
             state.mark_loaded(model, seen);
         }
--- a/crates/dispatch/src/server_registry/choices.rs
+++ b/crates/dispatch/src/server_registry/choices.rs
@@ -29,7 +29,7 @@
 use crate::engine_choice::EngineContext;
 use crate::engine_choice::scope_of;
 use crate::experiment::Mechanism;
-use crate::experiment::is_on;
+use crate::experiment::is_enabled;
 use crate::gossip_interval;
 use crate::prompt_source::PromptSource;
 
@@ -61,7 +61,7 @@
         };
         let cost = |state: &ServerState| {
             let slots = f64::from(state.entry.slots.max(1));
-            let open = state.occupancy(now).max(state.open + self.peers.sum(state.key()).open);
+            let open = state.occupancy(now).max(state.open + self.peers.total(state.key()).open);
             let load = 1.0 + f64::from(open) / slots;
             let cross_zone = if state.entry.zone == *zone { 0.0 } else { CROSS_ZONE_MS };
             let warm_up = state.entry.warm_up.as_secs_f64().min(1.0) * WARM_UP_MS;
@@ -84,12 +84,12 @@
         let choice = self.choose_engine(&placement.request(view, &placement.excluded));
         // Falls back to servers that this prompt has already been sent to.
         let choice = choice.or_else(|| self.choose_engine(&placement.request(view, &[])));
-        let Some(choice) = choice else { return Placement::Nowhere };
+        let Some(choice) = choice else { return Placement::NoEngine };
         if !has_room(placement, &choice, self.current_gossip_interval(view.now)) {
-            return Placement::Wait(choice.read_tokens);
+            return Placement::Queued(choice.prefill_tokens);
         }
-        let ticket = self.begin_prompt(&placement.call, &choice, view.now);
-        Placement::Taken(Box::new(AssignedEngine { choice, ticket }))
+        let ticket = self.record_prompt_send(&placement.call, &choice, view.now);
+        Placement::Assigned(Box::new(AssignedEngine { choice, ticket }))
     }
 
     /// The configured gossip interval, or by default that of direct messages between all routers.
@@ -101,7 +101,7 @@
     /// can respond within the target latency, selects again with the urgency of a late request.
     pub fn choose_engine(&self, request: &EngineRequest<'_>) -> Option<EngineChoice> {
         let priority = request.call.priority;
-        if is_short(request.call) && is_on(Mechanism::ShortFirst) {
+        if is_short(request.call) && is_enabled(Mechanism::ShortFirst) {
             return self.cheapest_engine(request, Urgency::short(priority));
         }
         let choice = self.cheapest_engine(request, Urgency::timely(priority))?;
@@ -125,28 +125,28 @@
             _ => self.current_gossip_interval(request.now).as_secs_f64() * 1_000.0,
         };
         let context = |engine: &EligibleEngine<'_>| EngineContext {
-            is_home: engine.is_home,
+            is_owner: engine.is_owner,
             urgency,
             shape,
             chat_rank: engine.chat_rank,
             engines: eligible.len(),
             routers,
             gossip_interval_ms,
-            others: self.peers.sum(engine.state.key()),
+            others: self.peers.total(engine.state.key()),
             sources: sources.get(&engine.weights).map_or(&[][..], Vec::as_slice),
             demand: &self.demand,
             stall: self.stalls.strength(request.now),
         };
         let is_sampled =
-            |engine: &EligibleEngine<'_>| request.draws(engine.state, &context(engine));
+            |engine: &EligibleEngine<'_>| request.is_sampled(engine.state, &context(engine));
         let (engines, is_open) = engines_to_rate(&eligible, request.now, is_sampled);
         let evaluate = |engine: &EligibleEngine<'a>| {
             request.candidate(engine.state, engine.weights, &context(engine))
         };
         let best = engines.into_iter().map(evaluate).min_by(|a, b| a.cost.total_cmp(&b.cost))?;
-        let reason = match (is_open, best.is_home) {
+        let reason = match (is_open, best.is_owner) {
             (false, _) => ChoiceReason::LastResort,
-            (true, true) => ChoiceReason::Home,
+            (true, true) => ChoiceReason::Owner,
             (true, false) => ChoiceReason::Cheaper,
         };
         Some(EngineChoice {
@@ -160,17 +160,17 @@
             shape,
             estimate_ms: best.estimate_ms,
             queue_ms: best.queue_ms,
-            reread_tokens: best.reread_tokens,
-            read_tokens: best.read_tokens,
-            taken_tokens: best.taken_tokens,
+            recomputed_tokens: best.recomputed_tokens,
+            prefill_tokens: best.prefill_tokens,
+            added_tokens: best.added_tokens,
         })
     }
 
-    /// Engines that may start the call. Their chat ranks and the home engine are the same on all routers.
+    /// Engines that may start the call. Their chat ranks and the prompt's owner are the same on all routers.
     fn eligible_engines(&self, request: &EngineRequest<'_>) -> Vec<EligibleEngine<'_>> {
         let eligible = |state| {
             let weights = request.allows(state)?;
-            Some(EligibleEngine { state, weights, is_home: false, chat_rank: 0 })
+            Some(EligibleEngine { state, weights, is_owner: false, chat_rank: 0 })
         };
         let mut eligible: Vec<EligibleEngine<'_>> =
             self.servers.values().filter_map(eligible).collect();
@@ -178,9 +178,9 @@
         for (rank, engine) in eligible.iter_mut().enumerate() {
             engine.chat_rank = rank;
         }
-        let home = eligible.iter_mut().max_by_key(|engine| request.home_score(engine.state));
-        if let Some(home) = home {
-            home.is_home = true;
+        let owner = eligible.iter_mut().max_by_key(|engine| request.owner_score(engine.state));
+        if let Some(owner) = owner {
+            owner.is_owner = true;
         }
         eligible
     }
@@ -210,7 +210,7 @@
             key: state.key(),
             address: state.entry.address,
             zone: state.entry.zone.clone(),
-            tokens: request.known_tokens(state, scope),
+            tokens: request.known_cached_tokens(state, scope),
             ready_tokens: request.ready_tokens(state, scope),
             link_mbps,
             link: state.link,
@@ -237,7 +237,7 @@
     /// requested recently or make up most of the prompt. A prompt is stored whole, with its unshared part, so
     /// that storing every prompt on first use would evict entries too early.
     fn save_to(&self, request: &EngineRequest<'_>, salt: &str) -> Option<SocketAddr> {
-        if !is_on(Mechanism::StoreKeeping) {
+        if !is_enabled(Mechanism::StoreKeeping) {
             return None;
         }
         let store = request.table.cache_store()?;
@@ -264,7 +264,7 @@
     state: &'a ServerState,
     weights: WeightsVersion,
     /// Whether this is the engine that all routers prefer for an uncached prompt.
-    is_home: bool,
+    is_owner: bool,
     /// Position in the order in which engines are filled with chats.
     chat_rank: usize,
 }
--- a/crates/dispatch/src/server_registry/gossip.rs
+++ b/crates/dispatch/src/server_registry/gossip.rs
@@ -24,8 +24,8 @@
 impl ServerRegistry {
     /// Builds the next gossip message: current loads, and the pending prompts and cache updates with at most
     /// `max_parts` parts. Prompts and cache updates in the message are no longer pending.
-    pub fn take_news(&mut self, max_parts: usize, now: Instant) -> GossipMessage {
-        self.peers.drop_silent(now);
+    pub fn take_gossip(&mut self, max_parts: usize, now: Instant) -> GossipMessage {
+        self.peers.remove_expired(now);
         let busy_servers = self.servers.values().filter(|state| 0 < state.open);
         let loads = busy_servers
             .map(|state| PeerLoad {
@@ -41,15 +41,15 @@
     }
 
     /// Applies a gossip message from another router.
-    pub fn hear(&mut self, message: &GossipMessage, now: Instant) {
+    pub fn apply_gossip(&mut self, message: &GossipMessage, now: Instant) {
         let Some(host) = &message.host else { return };
-        self.peers.hear(host, message, now);
+        self.peers.record_message(host, message, now);
         for notice in &message.loading {
             let Some(state) = self.servers.get_mut(&notice.server) else { continue };
             match notice.stage {
                 LoadingStage::Loading => state.mark_loading(now),
-                LoadingStage::InPlace => state.mark_loaded(&notice.model, notice.version),
-                LoadingStage::GivenUp => state.clear_loading(),
+                LoadingStage::Loaded => state.mark_loaded(&notice.model, notice.version),
+                LoadingStage::Failed => state.clear_loading(),
             }
         }
         for notice in &message.prompts {
@@ -61,37 +61,37 @@
     }
 
     /// Applies a cache update received from an engine or the prompt store, and queues it for gossip.
-    pub fn hear_cache(&mut self, notice: CacheNotice, now: Instant) {
+    pub fn apply_cache_update(&mut self, notice: CacheNotice, now: Instant) {
         self.apply_cache_notice(&notice, now);
         self.pending_cache_updates.push(notice);
     }
 
     fn apply_cache_notice(&mut self, notice: &CacheNotice, now: Instant) {
-        let memory = match notice.server {
+        let cache = match notice.server {
             ServerKey::STORE => Some(&mut self.store_cache),
-            server => self.servers.get_mut(&server).map(|state| &mut state.memory),
+            server => self.servers.get_mut(&server).map(|state| &mut state.cache),
         };
-        let Some(memory) = memory else { return };
+        let Some(cache) = cache else { return };
         if notice.is_reset {
-            memory.clear();
+            cache.clear();
         }
         for (key, tokens) in &notice.parts {
-            memory.hear(*key, *tokens, now);
+            cache.apply_event(*key, *tokens, now);
         }
     }
 
     /// Updates cache, demand and link estimates for a prompt that this or another router sent.
     pub(super) fn apply_prompt_notice(&mut self, notice: &PromptNotice, now: Instant) {
         let parts = || notice.parts.iter().copied();
-        parts().for_each(|part| self.demand.note(part, now));
+        parts().for_each(|part| self.demand.record(part, now));
         let taken = f64::from(notice.taken_tokens);
         let ready_at = now + Duration::from_millis(u64::from(notice.ready_ms));
         if let Some(state) = self.servers.get_mut(&notice.server) {
-            state.memory.read(notice.scope, parts(), taken, ready_at);
+            state.cache.record_prompt(notice.scope, parts(), taken, ready_at);
         }
         if notice.is_stored || notice.source == Some(ServerKey::STORE) {
             let stored = if notice.is_stored { taken } else { 0.0 };
-            self.store_cache.read(notice.scope, parts(), stored, ready_at);
+            self.store_cache.record_prompt(notice.scope, parts(), stored, ready_at);
         }
         let transfer_ms = f64::from(notice.transfer_ms);
         match notice.source {
--- a/crates/dispatch/src/server_state.rs
+++ b/crates/dispatch/src/server_state.rs
@@ -48,7 +48,7 @@
     /// End of the backoff after a failed connection.
     backoff_until: Option<Instant>,
     backoff_count: u32,
-    pub(crate) contact: ServerProbe,
+    pub(crate) probe: ServerProbe,
     /// End of the backoff after a request was rejected as full.
     full_until: Option<Instant>,
     /// Until when the engine counts as loading weights.
@@ -58,7 +58,7 @@
     /// Versions that the engine is probably loading. Used only to route requests: if they also decided about
     /// load orders, a wrong assumption would leave the engine on old weights.
     assumed: IndexMap<ModelName, WeightsVersion>,
-    pub(crate) memory: PromptCacheEstimate,
+    pub(crate) cache: PromptCacheEstimate,
     /// Load on its link to other engines.
     pub(crate) link: LinkUsage,
 }
@@ -87,12 +87,12 @@
             failures: DecayingMean::new(0.0, now),
             backoff_until: None,
             backoff_count: 0,
-            contact: ServerProbe::default(),
+            probe: ServerProbe::default(),
             full_until: None,
             loading_until: None,
             weights,
             assumed: IndexMap::new(),
-            memory: PromptCacheEstimate::default(),
+            cache: PromptCacheEstimate::default(),
             link: LinkUsage::default(),
         }
     }
@@ -117,7 +117,7 @@
             *known = version;
             self.loading_until = None;
             // Loading weights empties the engine's cache.
-            self.memory.clear();
+            self.cache.clear();
         }
     }
 
@@ -147,7 +147,7 @@
     pub(crate) fn record_response(&mut self, report: Option<LoadReport>, now: Instant) {
         self.backoff_until = None;
         self.backoff_count = 0;
-        self.contact.reached(now);
+        self.probe.record_reached(now);
         if let Some(report) = report {
             self.report = Some((report, now));
         }
@@ -158,7 +158,7 @@
         let backoff = MIN_BACKOFF * 2_u32.pow(self.backoff_count.min(4));
         self.backoff_until = Some(now + backoff.min(MAX_BACKOFF));
         self.backoff_count += 1;
-        self.contact.failed(outcome, now);
+        self.probe.record_failure(outcome, now);
     }
 
     /// Backs off after a connection that probably failed through a local fault. Requests try other servers
--- a/crates/dispatch/src/server_table.rs
+++ b/crates/dispatch/src/server_table.rs
@@ -57,7 +57,7 @@
 impl ServerTable {
     /// Records a response of the store to a read sent at `sent`, before the records of that read are applied.
     /// Returns whether this ended an outage.
-    pub fn contact(&mut self, sent: BootTime, now: BootTime) -> bool {
+    pub fn record_response(&mut self, sent: BootTime, now: BootTime) -> bool {
         let was_out = self.last_contact.is_some_and(|last| MIN_OUTAGE <= sent.since(last));
         if was_out {
             self.recovered_at = Some(now);
--- a/crates/dispatch/src/store_access.rs
+++ b/crates/dispatch/src/store_access.rs
@@ -4,7 +4,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreAccess {
     /// It can, to its own knowledge, and does if its request is refused.
-    InReach,
+    Reachable,
     /// Its last read failed; if its request is refused, it gets no records.
-    OutOfReach,
+    Unreachable,
 }
--- a/crates/dispatch/src/weights_table.rs
+++ b/crates/dispatch/src/weights_table.rs
@@ -34,7 +34,7 @@
 
 impl WeightsTable {
     /// Adds a target version. Returns whether it is newer than all previous ones.
-    pub fn name_version(
+    pub fn add_target(
         &mut self,
         model: &ModelName,
         version: WeightsVersion,
@@ -53,7 +53,7 @@
 
     /// Sets the age of a version as reported by another router. Only applies to versions from before this
     /// router's start, which count as old until their age is reported. Returns whether the age was set.
-    pub fn correct_age(
+    pub fn set_reported_age(
         &mut self,
         model: &ModelName,
         version: WeightsVersion,
@@ -95,7 +95,7 @@
 
     /// How long a request sent now to an engine with this version may wait there before it starts. `None`
     /// means no limit, for the latest version.
-    pub fn time_to_begin(
+    pub fn max_start_delay(
         &self,
         model: &ModelName,
         version: WeightsVersion,
--- a/crates/dispatch/tests/budgets.rs
+++ b/crates/dispatch/tests/budgets.rs
@@ -35,9 +35,9 @@
         for (router, delay) in traffic {
             now += Duration::from_millis(u64::from(delay) * 4);
             let router = &mut routers[usize::from(router) % ROUTERS];
-            router.first(&service(), now);
+            router.record_first_send(&service(), now);
             first_sends.push(now);
-            while router.try_repeat(&service(), now) {
+            while router.try_retry(&service(), now) {
                 retries.push(now);
             }
         }
@@ -63,8 +63,8 @@
     let start = Instant::now();
     let mut budget = RetryBudget::new(CONF, start);
     budget.set_hosts(6);
-    assert!(!budget.try_repeat(&service(), start + Duration::from_secs(9)));
-    assert!(budget.try_repeat(&service(), start + Duration::from_secs(11)));
+    assert!(!budget.try_retry(&service(), start + Duration::from_secs(9)));
+    assert!(budget.try_retry(&service(), start + Duration::from_secs(11)));
 }
 
 #[test]
@@ -73,25 +73,25 @@
     let later = start + Duration::from_secs(60);
     let mut budget = RetryBudget::new(CONF, start);
     budget.set_hosts(6);
-    while budget.try_repeat(&service(), later) {}
-    assert!(budget.try_repeat(&ServiceName::new("desk"), later));
+    while budget.try_retry(&service(), later) {}
+    assert!(budget.try_retry(&ServiceName::new("desk"), later));
 }
 
 struct CrashCase {
     name: &'static str,
     /// Servers that crashed while they ran the request.
     crashes: &'static [&'static str],
-    convicted: bool,
+    is_rejected: bool,
 }
 
 const CRASHES: &[CrashCase] = &[
-    CrashCase { name: "one crash", crashes: &["a"], convicted: false },
+    CrashCase { name: "one crash", crashes: &["a"], is_rejected: false },
     CrashCase {
         name: "repeated reports of one server",
         crashes: &["a", "a", "a"],
-        convicted: false,
+        is_rejected: false,
     },
-    CrashCase { name: "crashes of three servers", crashes: &["a", "b", "c"], convicted: true },
+    CrashCase { name: "crashes of three servers", crashes: &["a", "b", "c"], is_rejected: true },
 ];
 
 #[test]
@@ -100,10 +100,10 @@
     for case in CRASHES {
         let mut tracker = CrashTracker::new(CrashConf::default());
         for server in case.crashes {
-            tracker.note(7, key(server), now);
+            tracker.record(7, key(server), now);
         }
-        assert_eq!(tracker.is_convicted(7), case.convicted, "{}", case.name);
-        assert!(!tracker.is_convicted(8), "{}: another request", case.name);
+        assert_eq!(tracker.must_reject(7), case.is_rejected, "{}", case.name);
+        assert!(!tracker.must_reject(8), "{}: another request", case.name);
     }
 }
 
@@ -112,8 +112,8 @@
     let now = Instant::now();
     let mut tracker = CrashTracker::new(CrashConf::default());
     for server in ["a", "b", "c"] {
-        tracker.note(7, key(server), now);
+        tracker.record(7, key(server), now);
     }
-    tracker.acquit(7);
-    assert!(!tracker.is_convicted(7));
+    tracker.clear(7);
+    assert!(!tracker.must_reject(7));
 }
--- a/crates/dispatch/tests/bulk_reads.rs
+++ b/crates/dispatch/tests/bulk_reads.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use fulmargate_dispatch::BulkReadLimiter;
-use fulmargate_dispatch::history_pause;
+use fulmargate_dispatch::history_retry_delay;
 use tokio::time::Instant;
 
 /// 10 Mbit/s; the share for bulk reads is 312,500 bytes per second.
@@ -92,6 +92,10 @@
 #[test]
 fn failed_history_reads_back_off() {
     for (failures, seconds) in RETRY_DELAYS {
-        assert_eq!(history_pause(*failures), Duration::from_secs(*seconds), "{failures} failures");
+        assert_eq!(
+            history_retry_delay(*failures),
+            Duration::from_secs(*seconds),
+            "{failures} failures"
+        );
     }
 }
--- a/crates/dispatch/tests/cache_gossip.rs
+++ b/crates/dispatch/tests/cache_gossip.rs
@@ -5,7 +5,7 @@
 use fulmargate_dispatch::CacheNotice;
 use fulmargate_dispatch::ServerKey;
 use fulmargate_dispatch::ServerRegistry;
-use fulmargate_dispatch::published_parts;
+use fulmargate_dispatch::max_published_parts;
 use tokio::time::Instant;
 
 /// Parts per message for 90 peers on a link of 10 Mbit/s.
@@ -102,7 +102,7 @@
 fn message_size_follows_link_bandwidth_and_fleet_size() {
     for case in PARTS {
         let since = Duration::from_millis(case.since_ms);
-        assert_eq!(published_parts(case.link, case.peers, since), case.parts, "{}", case.name);
+        assert_eq!(max_published_parts(case.link, case.peers, since), case.parts, "{}", case.name);
     }
 }
 
@@ -110,14 +110,17 @@
 #[test]
 fn the_oldest_pending_parts_are_dropped() {
     const PARTS_PER_UPDATE: usize = 4_000;
-    let mut book = ServerRegistry::default();
+    let mut registry = ServerRegistry::default();
     let now = Instant::now();
     for round in 0..5 {
         let first = round * PARTS_PER_UPDATE as u64;
         let parts = (0..PARTS_PER_UPDATE as u64).map(|number| (first + number, 16)).collect();
-        book.hear_cache(CacheNotice { server: ServerKey(1), is_reset: round == 0, parts }, now);
+        registry.apply_cache_update(
+            CacheNotice { server: ServerKey(1), is_reset: round == 0, parts },
+            now,
+        );
     }
-    let sent = book.take_news(usize::MAX, now).caches;
+    let sent = registry.take_gossip(usize::MAX, now).caches;
     assert_eq!(part_count(&sent), MAX_PENDING);
     let oldest_kept = (5 * PARTS_PER_UPDATE - MAX_PENDING) as u64;
     assert_eq!(parts(&sent)[0], (oldest_kept, 16), "the oldest parts are dropped");
@@ -128,21 +131,21 @@
 /// updates go first, and replace older ones of the same part.
 #[test]
 fn newer_updates_are_sent_before_older_ones() {
-    let mut book = ServerRegistry::default();
+    let mut registry = ServerRegistry::default();
     let now = Instant::now();
     let update_of = |server: u64, parts: Vec<(u64, u32)>| CacheNotice {
         server: ServerKey(server),
         is_reset: false,
         parts,
     };
-    book.hear_cache(update_of(1, (0..400).map(|part| (part, 16)).collect()), now);
-    book.take_news(MAX_PARTS, now);
+    registry.apply_cache_update(update_of(1, (0..400).map(|part| (part, 16)).collect()), now);
+    registry.take_gossip(MAX_PARTS, now);
     let new = [(7, 0), (9_000, 16)];
-    book.hear_cache(update_of(1, new.to_vec()), now);
-    book.hear_cache(update_of(2, vec![(5, 16)]), now);
-    let sent = parts(&book.take_news(MAX_PARTS, now).caches);
+    registry.apply_cache_update(update_of(1, new.to_vec()), now);
+    registry.apply_cache_update(update_of(2, vec![(5, 16)]), now);
+    let sent = parts(&registry.take_gossip(MAX_PARTS, now).caches);
     assert!(new.iter().chain(&[(5, 16)]).all(|part| sent.contains(part)), "{sent:?}");
-    let later = parts(&book.take_news(MAX_PARTS, now).caches);
+    let later = parts(&registry.take_gossip(MAX_PARTS, now).caches);
     assert!(
         later.iter().all(|(part, _)| *part != 7),
         "the older update must not be sent: {later:?}"
@@ -151,14 +154,14 @@
 
 /// Messages until no update is pending.
 fn messages_of(case: &UpdateCase) -> Vec<Vec<CacheNotice>> {
-    let mut book = ServerRegistry::default();
+    let mut registry = ServerRegistry::default();
     let now = Instant::now();
     let mut messages = Vec::new();
     for round in 0.. {
         for notice in notices(case, round) {
-            book.hear_cache(notice, now);
+            registry.apply_cache_update(notice, now);
         }
-        let message = book.take_news(MAX_PARTS, now);
+        let message = registry.take_gossip(MAX_PARTS, now);
         if message.caches.is_empty() {
             break;
         }
--- a/crates/dispatch/tests/cache_store.rs
+++ b/crates/dispatch/tests/cache_store.rs
@@ -59,11 +59,11 @@
 fn prompts_that_are_mostly_shared_are_saved() {
     for case in SAVE_CASES {
         let now = Instant::now();
-        let mut book = ServerRegistry::default();
-        book.sync(&engines(&["e1", "e2"]), now);
+        let mut registry = ServerRegistry::default();
+        registry.sync(&engines(&["e1", "e2"]), now);
         let shared_parts = [(11, case.shared_tokens)];
         let (table, weights) = (table(Vec::new(), Vec::new()), WeightsTable::default());
-        let choose = |book: &ServerRegistry, call: &CallFacts| {
+        let choose = |registry: &ServerRegistry, call: &CallFacts| {
             let request = EngineRequest {
                 call,
                 service: &ServiceName::new(ENGINES),
@@ -77,15 +77,15 @@
                 now,
                 boot_now: BootTime(100_000),
             };
-            book.choose_engine(&request).expect("an engine is chosen")
+            registry.choose_engine(&request).expect("an engine is chosen")
         };
         if case.requested_before {
             let before = prompt_call("before", &shared_parts, now);
-            let mut choice = choose(&book, &before);
+            let mut choice = choose(&registry, &before);
             choice.save_to = None;
-            book.begin_prompt(&before, &choice, now);
+            registry.record_prompt_send(&before, &choice, now);
         }
         let call = prompt_call("call", &shared_parts, now);
-        assert_eq!(choose(&book, &call).save_to.is_some(), case.is_saved, "{}", case.name);
+        assert_eq!(choose(&registry, &call).save_to.is_some(), case.is_saved, "{}", case.name);
     }
 }
--- a/crates/dispatch/tests/choices.rs
+++ b/crates/dispatch/tests/choices.rs
@@ -24,8 +24,8 @@
 use fulmargate_names::ServerName;
 use fulmargate_names::ServiceName;
 use fulmargate_names::WeightsVersion;
-use support::DESK;
 use support::ENGINES;
+use support::PLAIN_SERVICE;
 use support::engines;
 use support::key;
 use support::model;
@@ -39,7 +39,7 @@
 const ENGINE_NAMES: &[&str] = &["e1", "e2", "e3", "e4"];
 
 struct ChoiceFixture {
-    book: ServerRegistry,
+    registry: ServerRegistry,
     table: RouteTable,
     weights: WeightsTable,
     now: Instant,
@@ -49,11 +49,11 @@
 impl ChoiceFixture {
     fn new() -> ChoiceFixture {
         let now = Instant::now();
-        let mut book = ServerRegistry::default();
-        book.sync(&engines(ENGINE_NAMES), now);
+        let mut registry = ServerRegistry::default();
+        registry.sync(&engines(ENGINE_NAMES), now);
         let table = table(Vec::new(), Vec::new());
         let weights = WeightsTable::default();
-        ChoiceFixture { book, table, weights, now, boot_now: BootTime(100_000) }
+        ChoiceFixture { registry, table, weights, now, boot_now: BootTime(100_000) }
     }
 
     /// A fleet with this many engines and other routers, all idle.
@@ -61,16 +61,18 @@
         let mut fixture = ChoiceFixture::new();
         let names: Vec<String> = (0..engine_count).map(|number| format!("e{number}")).collect();
         let names: Vec<&str> = names.iter().map(String::as_str).collect();
-        fixture.book.sync(&engines(&names), fixture.now);
+        fixture.registry.sync(&engines(&names), fixture.now);
         for number in 0..routers {
             let host = Some(HostName::new(&format!("host-{number}")));
-            fixture.book.hear(&GossipMessage { host, ..GossipMessage::default() }, fixture.now);
+            fixture
+                .registry
+                .apply_gossip(&GossipMessage { host, ..GossipMessage::default() }, fixture.now);
         }
         fixture
     }
 
     fn choose(&self, call: &CallFacts, excluded: &[ServerKey]) -> Option<EngineChoice> {
-        self.book.choose_engine(&EngineRequest {
+        self.registry.choose_engine(&EngineRequest {
             call,
             service: &ServiceName::new(ENGINES),
             model: &model(),
@@ -88,7 +90,7 @@
     fn send(&mut self, id: &str) -> EngineChoice {
         let call = prompt_call(id, SHARED_PARTS, self.now);
         let choice = self.choose(&call, &[]).expect("an engine is chosen");
-        self.book.begin_prompt(&call, &choice, self.now);
+        self.registry.record_prompt_send(&call, &choice, self.now);
         choice
     }
 
@@ -111,28 +113,28 @@
 #[test]
 fn uncached_prompts_go_to_their_home_engine_in_a_large_fleet() {
     let mut fixture = ChoiceFixture::fleet(140, 65);
-    fixture.book.set_gossip_interval(Duration::from_millis(66));
+    fixture.registry.set_gossip_interval(Duration::from_millis(66));
     let reasons = (0..200).map(|number| {
         let call = prompt_call(&format!("c{number}"), &[(number, 6_300)], fixture.now);
         fixture.choose(&call, &[]).expect("an engine is chosen").reason
     });
-    let home_count = reasons.filter(|reason| *reason == ChoiceReason::Home).count();
-    assert!(190 <= home_count, "{home_count} of 200 prompts went to their home engine");
+    let home_count = reasons.filter(|reason| *reason == ChoiceReason::Owner).count();
+    assert!(190 <= home_count, "{home_count} of 200 prompts went to their owner engine");
 }
 
-/// With a long backlog at its home engine, a prompt goes elsewhere and fetches the prefix instead
+/// With a long backlog at its owner engine, a prompt goes elsewhere and fetches the prefix instead
 /// of prefilling it again.
 #[test]
 fn a_busy_home_engine_is_bypassed_and_its_prefix_fetched() {
     let mut fixture = ChoiceFixture::new();
-    let home = ChoiceFixture::name(&fixture.send("c1"));
+    let owner = ChoiceFixture::name(&fixture.send("c1"));
     fixture.now += Duration::from_secs(1);
     let choices: Vec<EngineChoice> =
         (0..6).map(|number| fixture.send(&format!("d{number}"))).collect();
-    let alternative = choices.iter().find(|choice| ChoiceFixture::name(choice) != home);
+    let alternative = choices.iter().find(|choice| ChoiceFixture::name(choice) != owner);
     let alternative = alternative.expect("another engine is chosen");
     assert!(alternative.fetch.is_some(), "the prefix is fetched");
-    assert_eq!(alternative.read_tokens, 2_000.0, "only the unshared tokens are prefilled");
+    assert_eq!(alternative.prefill_tokens, 2_000.0, "only the unshared tokens are prefilled");
 }
 
 struct FetchCase {
@@ -166,7 +168,7 @@
             let parts = vec![(scope ^ 11, 2_500), (scope ^ 12, 3_800)];
             let server = first.server.key();
             let notice = CacheNotice { server, is_reset: false, parts };
-            fixture.book.hear_cache(notice, fixture.now);
+            fixture.registry.apply_cache_update(notice, fixture.now);
         }
         fixture.now += Duration::from_millis(case.after_ms);
         let call = prompt_call("c2", SHARED_PARTS, fixture.now);
@@ -181,14 +183,14 @@
     let mut fixture = ChoiceFixture::new();
     let first = fixture.send("c1");
     let call = prompt_call("c2", SHARED_PARTS, fixture.now);
-    assert_eq!(fixture.choose(&call, &[]).expect("an engine is chosen").read_tokens, 2_000.0);
+    assert_eq!(fixture.choose(&call, &[]).expect("an engine is chosen").prefill_tokens, 2_000.0);
     let scope = scope_of(&first.salt);
     let parts = vec![(scope ^ 11, 0), (scope ^ 12, 0)];
     for server in [first.server.key(), ServerKey::STORE] {
         let notice = CacheNotice { server, is_reset: false, parts: parts.clone() };
-        fixture.book.hear_cache(notice, fixture.now);
+        fixture.registry.apply_cache_update(notice, fixture.now);
     }
-    assert_eq!(fixture.choose(&call, &[]).expect("an engine is chosen").read_tokens, 8_300.0);
+    assert_eq!(fixture.choose(&call, &[]).expect("an engine is chosen").prefill_tokens, 8_300.0);
 }
 
 /// An engine that loads weights refuses requests. The lease holder reports it, and routers avoid
@@ -197,30 +199,30 @@
 fn engines_loading_weights_get_no_requests() {
     let mut fixture = ChoiceFixture::new();
     let call = prompt_call("c", SHARED_PARTS, fixture.now);
-    let home = fixture.choose(&call, &[]).expect("an engine is chosen").server;
+    let owner = fixture.choose(&call, &[]).expect("an engine is chosen").server;
     let notice = |stage| GossipMessage {
         host: Some(HostName::new("holder")),
         loading: vec![LoadingNotice {
-            server: home.key(),
+            server: owner.key(),
             model: model(),
             version: WeightsVersion(2),
             stage,
         }],
         ..GossipMessage::default()
     };
-    fixture.book.hear(&notice(LoadingStage::Loading), fixture.now);
-    assert_ne!(fixture.choose(&call, &[]).expect("an engine is chosen").server, home);
-    fixture.book.hear(&notice(LoadingStage::GivenUp), fixture.now);
+    fixture.registry.apply_gossip(&notice(LoadingStage::Loading), fixture.now);
+    assert_ne!(fixture.choose(&call, &[]).expect("an engine is chosen").server, owner);
+    fixture.registry.apply_gossip(&notice(LoadingStage::Failed), fixture.now);
     let choice = fixture.choose(&call, &[]).expect("an engine is chosen");
     assert_eq!(
         (&choice.server, choice.weights),
-        (&home, WeightsVersion(1)),
+        (&owner, WeightsVersion(1)),
         "the engine kept its weights"
     );
-    fixture.book.hear(&notice(LoadingStage::Loading), fixture.now);
-    fixture.book.hear(&notice(LoadingStage::InPlace), fixture.now);
+    fixture.registry.apply_gossip(&notice(LoadingStage::Loading), fixture.now);
+    fixture.registry.apply_gossip(&notice(LoadingStage::Loaded), fixture.now);
     let choice = fixture.choose(&call, &[]).expect("an engine is chosen");
-    assert_eq!((&choice.server, choice.weights), (&home, WeightsVersion(2)));
+    assert_eq!((&choice.server, choice.weights), (&owner, WeightsVersion(2)));
 }
 
 struct WeightsCase {
@@ -245,7 +247,7 @@
         let mut fixture = ChoiceFixture::new();
         let busy = fixture.send("w1").server.key();
         let announced = BootTime(fixture.boot_now.0 - case.age_ms);
-        fixture.weights.name_version(&model(), WeightsVersion(2), announced);
+        fixture.weights.add_target(&model(), WeightsVersion(2), announced);
         let call = prompt_call("w2", SHARED_PARTS, fixture.now);
         let mut others: Vec<ServerKey> = ENGINE_NAMES.iter().map(|name| key(name)).collect();
         others.retain(|name| *name != busy);
@@ -260,13 +262,13 @@
 fn new_routers_learn_version_ages() {
     let now = BootTime(50_000);
     let mut weights = WeightsTable::default();
-    weights.name_version(&model(), WeightsVersion(1), BootTime::default());
-    weights.name_version(&model(), WeightsVersion(2), BootTime::default());
+    weights.add_target(&model(), WeightsVersion(1), BootTime::default());
+    weights.add_target(&model(), WeightsVersion(2), BootTime::default());
     let age = |weights: &WeightsTable| weights.outdated_for(&model(), WeightsVersion(1), now);
     assert_eq!(age(&weights), Duration::from_millis(50_000));
-    assert!(weights.correct_age(&model(), WeightsVersion(2), Duration::from_millis(300), now));
+    assert!(weights.set_reported_age(&model(), WeightsVersion(2), Duration::from_millis(300), now));
     assert_eq!(age(&weights), Duration::from_millis(300));
-    assert!(!weights.correct_age(&model(), WeightsVersion(2), Duration::ZERO, now));
+    assert!(!weights.set_reported_age(&model(), WeightsVersion(2), Duration::ZERO, now));
     assert_eq!(age(&weights), Duration::from_millis(300), "only the first report counts");
 }
 
@@ -274,11 +276,11 @@
 fn unreachable_engines_are_a_last_resort() {
     let mut fixture = ChoiceFixture::new();
     let call = prompt_call("c", SHARED_PARTS, fixture.now);
-    let home = fixture.choose(&call, &[]).expect("an engine is chosen").server;
-    fixture.book.unreachable(home.key(), fixture.now);
-    assert_ne!(fixture.choose(&call, &[]).expect("an engine is chosen").server, home);
+    let owner = fixture.choose(&call, &[]).expect("an engine is chosen").server;
+    fixture.registry.record_unreachable(owner.key(), fixture.now);
+    assert_ne!(fixture.choose(&call, &[]).expect("an engine is chosen").server, owner);
     for name in ENGINE_NAMES {
-        fixture.book.unreachable(key(name), fixture.now);
+        fixture.registry.record_unreachable(key(name), fixture.now);
     }
     assert!(fixture.choose(&call, &[]).is_some());
     let all: Vec<ServerKey> = ENGINE_NAMES.iter().map(|name| key(name)).collect();
@@ -290,13 +292,13 @@
 #[test]
 fn a_server_whose_address_was_reused_is_removed() {
     let mut fixture = ChoiceFixture::new();
-    fixture.book.forget(key("e1"));
-    fixture.book.sync(&engines(ENGINE_NAMES), fixture.now);
-    assert!(fixture.book.state(key("e1")).is_none());
-    fixture.book.sync(&engines(&["e2", "e3"]), fixture.now);
-    fixture.book.sync(&engines(ENGINE_NAMES), fixture.now);
+    fixture.registry.forget(key("e1"));
+    fixture.registry.sync(&engines(ENGINE_NAMES), fixture.now);
+    assert!(fixture.registry.state(key("e1")).is_none());
+    fixture.registry.sync(&engines(&["e2", "e3"]), fixture.now);
+    fixture.registry.sync(&engines(ENGINE_NAMES), fixture.now);
     assert!(
-        fixture.book.state(key("e1")).is_some(),
+        fixture.registry.state(key("e1")).is_some(),
         "the server was removed from the list and added again"
     );
 }
@@ -304,23 +306,25 @@
 #[test]
 fn plain_calls_go_to_the_fastest_server() {
     let now = Instant::now();
-    let mut book = ServerRegistry::default();
-    let entries: Vec<_> = ["d1", "d2", "d3"].map(|name| Arc::new(server(name, DESK))).into();
-    book.sync(&entries, now);
-    let service = ServiceName::new(DESK);
-    let choose = |book: &ServerRegistry| {
-        let server = book.choose_plain(&service, &zone(), &[], now).expect("a server is chosen");
+    let mut registry = ServerRegistry::default();
+    let entries: Vec<_> =
+        ["d1", "d2", "d3"].map(|name| Arc::new(server(name, PLAIN_SERVICE))).into();
+    registry.sync(&entries, now);
+    let service = ServiceName::new(PLAIN_SERVICE);
+    let choose = |registry: &ServerRegistry| {
+        let server =
+            registry.choose_plain(&service, &zone(), &[], now).expect("a server is chosen");
         server.name.to_string()
     };
     let call = prompt_call("p", &[], now);
-    let mut ticket = book.begin(&call, key("d1"), now);
+    let mut ticket = registry.record_send(&call, key("d1"), now);
     let busy = LoadReport { running: 8, waiting: 9, slots: 8 };
-    book.answered(&mut ticket, Some(busy), now);
-    assert_ne!(choose(&book), "d1", "d1 is full");
+    registry.record_response(&mut ticket, Some(busy), now);
+    assert_ne!(choose(&registry), "d1", "d1 is full");
     for _ in 0..5 {
-        book.failed(key("d2"), now);
+        registry.record_failure(key("d2"), now);
     }
-    assert_eq!(choose(&book), "d3", "d2 has failed repeatedly");
+    assert_eq!(choose(&registry), "d3", "d2 has failed repeatedly");
 }
 
 struct StartCase {
@@ -350,9 +354,9 @@
     for case in START_CASES {
         let now = BootTime(100_000);
         let mut weights = WeightsTable::default();
-        weights.name_version(&model(), WeightsVersion(2), BootTime(now.0 - case.age_ms));
+        weights.add_target(&model(), WeightsVersion(2), BootTime(now.0 - case.age_ms));
         let bound = Duration::from_secs(8);
-        let remaining = weights.time_to_begin(&model(), WeightsVersion(case.version), bound, now);
+        let remaining = weights.max_start_delay(&model(), WeightsVersion(case.version), bound, now);
         assert_eq!(
             remaining.map(|remaining| remaining.as_millis() as u64),
             case.remaining_ms,
@@ -373,7 +377,7 @@
 
 const HERDING_CASES: &[HerdingCase] = &[
     HerdingCase {
-        name: "a small fleet agrees on the home engine",
+        name: "a small fleet agrees on the owner engine",
         routers: 5,
         min_engines: 1,
         max_engines: 1,
@@ -451,8 +455,8 @@
         let holder = first.server.name.clone();
         for number in 0..case.request_count {
             let call = prompt_call(&format!("sent-{number}"), SHARED_PARTS, fixture.now);
-            let ticket = fixture.book.begin_prompt(&call, &first, fixture.now);
-            fixture.book.left(&ticket);
+            let ticket = fixture.registry.record_prompt_send(&call, &first, fixture.now);
+            fixture.registry.record_end(&ticket);
         }
         fixture.now += Duration::from_secs(1);
         let calls = (0..50)
--- a/crates/dispatch/tests/configuration.rs
+++ b/crates/dispatch/tests/configuration.rs
@@ -12,14 +12,14 @@
 use fulmargate_names::StoreEpoch;
 use fulmargate_names::TeamName;
 use fulmargate_names::WeightsVersion;
-use support::DESK;
+use support::PLAIN_SERVICE;
 use support::model;
 use support::route;
 use support::table;
 use support::team;
 
 fn route_with_prefix(name: &str, prefix: &str) -> RouteRule {
-    let rule = route(RouteKind::Idempotent, DESK, 2);
+    let rule = route(RouteKind::Idempotent, PLAIN_SERVICE, 2);
     RouteRule { name: name.to_owned(), path_prefix: prefix.to_owned(), ..rule }
 }
 
@@ -237,10 +237,10 @@
         for step in case.steps {
             match *step {
                 Renew(sent) => proof.renew(BootTime(sent)),
-                Doubt(epoch, now) => proof.doubt(StoreEpoch(epoch), BootTime(now)),
-                Settle(epoch) => proof.settle(StoreEpoch(epoch)),
-                Known(version) => proof.note_known(ConfigVersion(version)),
-                InForce(version) => proof.put_in_force(ConfigVersion(version)),
+                Doubt(epoch, now) => proof.mark_untrusted(StoreEpoch(epoch), BootTime(now)),
+                Settle(epoch) => proof.mark_trusted(StoreEpoch(epoch)),
+                Known(version) => proof.observe_version(ConfigVersion(version)),
+                InForce(version) => proof.set_active_version(ConfigVersion(version)),
             }
         }
         assert_eq!(proof.admits(BootTime(case.now)), case.admits, "{}", case.name);
@@ -259,6 +259,6 @@
             proof.renew(BootTime(*sent));
         }
         assert_eq!(proof.admits(BootTime(case.now)), case.admits, "{}", case.name);
-        assert_eq!(proof.refuses(BootTime(case.now)), case.refuses, "{}", case.name);
+        assert_eq!(proof.may_reject(BootTime(case.now)), case.refuses, "{}", case.name);
     }
 }
--- a/crates/dispatch/tests/forward_budgets.rs
+++ b/crates/dispatch/tests/forward_budgets.rs
@@ -14,8 +14,8 @@
 const WIDE_BYTES_PER_S: f64 = 25_000_000.0;
 const CONFIGURATION_BYTES: usize = 397_000;
 const PAGE_BYTES: usize = 16_000;
-const IN_REACH: StoreAccess = StoreAccess::InReach;
-const OUT_OF_REACH: StoreAccess = StoreAccess::OutOfReach;
+const IN_REACH: StoreAccess = StoreAccess::Reachable;
+const OUT_OF_REACH: StoreAccess = StoreAccess::Unreachable;
 
 struct BurstCase {
     name: &'static str,
@@ -102,7 +102,7 @@
     let mut budget = ForwardBudget::new(NARROW_BYTES_PER_S, start);
     assert!(!budget.try_take(CONFIGURATION_BYTES, IN_REACH, start));
     assert!(budget.try_take(CONFIGURATION_BYTES, OUT_OF_REACH, start));
-    assert!(budget.left() < 0);
+    assert!(budget.available_bytes() < 0);
     assert!(budget.try_take(0, IN_REACH, start), "an answer without records is always granted");
     let before_refill = start + Duration::from_millis(1_000);
     assert!(!budget.try_take(CONFIGURATION_BYTES, OUT_OF_REACH, before_refill));
@@ -120,7 +120,7 @@
     assert!(!budget.try_take(PAGE_BYTES, IN_REACH, start));
     assert!(budget.try_take(PAGE_BYTES, OUT_OF_REACH, start));
     let expected = NARROW_BYTES_PER_S * 0.05 - (CONFIGURATION_BYTES + PAGE_BYTES) as f64;
-    assert_eq!(budget.left(), expected as i64, "small answers count against the budget");
+    assert_eq!(budget.available_bytes(), expected as i64, "small answers count against the budget");
 }
 
 /// Guards against answers that are each allowed but together saturate the link: in any period, no
--- a/crates/dispatch/tests/gossip_topologies.rs
+++ b/crates/dispatch/tests/gossip_topologies.rs
@@ -7,8 +7,8 @@
 use fulmargate_dispatch::GossipTarget;
 use fulmargate_dispatch::GossipTopology;
 use fulmargate_dispatch::RelayChoice;
-use fulmargate_dispatch::is_passed_on;
-use fulmargate_dispatch::is_taken_in;
+use fulmargate_dispatch::should_apply;
+use fulmargate_dispatch::should_forward;
 use fulmargate_names::HostName;
 use fulmargate_names::ZoneName;
 use indexmap::IndexMap;
@@ -94,13 +94,13 @@
                 continue;
             }
             let zone = &self.hosts[receiver].zone;
-            if is_taken_in(GossipPath::Direct, subscribes, &own.zone, zone) {
+            if should_apply(GossipPath::Direct, subscribes, &own.zone, zone) {
                 *self.received.entry((receiver, sender)).or_default() += 1;
             }
             if subscribes {
                 self.subscribers.entry(receiver).or_default().insert(sender);
             }
-            if is_passed_on(GossipPath::Direct, &own.zone, &self.hosts[receiver].zone) {
+            if should_forward(GossipPath::Direct, &own.zone, &self.hosts[receiver].zone) {
                 self.pending.entry(receiver).or_default().push(sender);
             }
         }
@@ -111,7 +111,7 @@
             let zone = self.hosts[relay].zone.clone();
             for subscriber in self.subscribers.get(&relay).cloned().unwrap_or_default() {
                 let relay_host = self.hosts[relay].host.clone();
-                self.choices[subscriber].heard(&relay_host, now);
+                self.choices[subscriber].record_message(&relay_host, now);
                 self.sent[relay] += 1;
                 let is_same_zone = self.hosts[subscriber].zone == zone;
                 for sender in origins.iter().copied().filter(|sender| *sender != subscriber) {
@@ -120,7 +120,7 @@
                     }
                     *self.received.entry((subscriber, sender)).or_default() += 1;
                     let (origin, own) = (&self.hosts[sender].zone, &self.hosts[subscriber].zone);
-                    if is_passed_on(GossipPath::Relayed, origin, own) {
+                    if should_forward(GossipPath::Relayed, origin, own) {
                         self.pending.entry(subscriber).or_default().push(sender);
                     }
                 }
@@ -300,10 +300,10 @@
         let hosts = fleet(case.zones, case.hosts, case.wide);
         let topology = GossipTopology::new(&hosts, DIRECT_HOSTS);
         assert!(
-            topology.pace.as_millis() as u64 <= case.max_interval_ms,
+            topology.interval.as_millis() as u64 <= case.max_interval_ms,
             "{}: {:?}",
             case.name,
-            topology.pace
+            topology.interval
         );
         let relays = topology.relays.map(|relays| relays["zone-0"].len());
         assert_eq!(relays, case.relays, "{}", case.name);
--- a/crates/dispatch/tests/leases.rs
+++ b/crates/dispatch/tests/leases.rs
@@ -34,20 +34,20 @@
 /// A router that reads the topic and acts only when a history steps it, as if suspended in between.
 struct TestRouter {
     host: &'static str,
-    fold: FleetState,
+    fleet_state: FleetState,
     keeper: LeaseKeeper,
 }
 
 impl TestRouter {
     fn new(host: &'static str) -> TestRouter {
         let keeper = LeaseKeeper::new(HostName::new(host), LEASE_DURATION);
-        TestRouter { host, fold: FleetState::default(), keeper }
+        TestRouter { host, fleet_state: FleetState::default(), keeper }
     }
 
     fn read(&mut self, topic: &[FleetRecord], now: BootTime) {
-        let from = self.fold.end().offset.0 as usize;
+        let from = self.fleet_state.end().offset.0 as usize;
         for (offset, record) in topic.iter().enumerate().skip(from) {
-            self.fold.apply(LogOffset(offset as u64), record, now);
+            self.fleet_state.apply(LogOffset(offset as u64), record, now);
         }
     }
 }
@@ -86,7 +86,7 @@
 /// is lost.
 fn decide(router: &mut TestRouter, topic: &mut Vec<FleetRecord>, action: u8, now: BootTime) {
     let LeaseStep::Append { at } =
-        router.keeper.step(&router.fold, BootTime(0), LinkRank::Equal, now)
+        router.keeper.step(&router.fleet_state, BootTime(0), LinkRank::Equal, now)
     else {
         return;
     };
@@ -95,7 +95,7 @@
     }
     topic.push(lease_record(router.host));
     if action % 4 == 1 {
-        router.keeper.appended(at.fence(), now);
+        router.keeper.record_append(at.fence(), now);
     }
 }
 
@@ -167,12 +167,12 @@
 #[test]
 fn the_next_step_depends_on_the_newest_record() {
     for case in step_cases() {
-        let mut fold = FleetState::default();
+        let mut fleet_state = FleetState::default();
         if let Some((host, seen)) = case.lease {
-            fold.apply(LogOffset(0), &lease_record(host), BootTime(seen));
+            fleet_state.apply(LogOffset(0), &lease_record(host), BootTime(seen));
         }
         let keeper = LeaseKeeper::new(HostName::new("h0"), LEASE_DURATION);
-        let step = keeper.step(&fold, BootTime(0), LinkRank::Equal, BootTime(case.now));
+        let step = keeper.step(&fleet_state, BootTime(0), LinkRank::Equal, BootTime(case.now));
         assert_eq!(step, case.step, "{}", case.name);
     }
 }
@@ -181,12 +181,12 @@
 /// first.
 #[test]
 fn the_last_holder_appends_first() {
-    let mut fold = FleetState::default();
-    fold.apply(LogOffset(0), &lease_record("h1"), BootTime(1_000));
+    let mut fleet_state = FleetState::default();
+    fleet_state.apply(LogOffset(0), &lease_record("h1"), BootTime(1_000));
     let work_since = BootTime(20_000);
     let step = |host: &str, now: u64| {
         let keeper = LeaseKeeper::new(HostName::new(host), LEASE_DURATION);
-        keeper.step(&fold, work_since, LinkRank::Equal, BootTime(now))
+        keeper.step(&fleet_state, work_since, LinkRank::Equal, BootTime(now))
     };
     assert_eq!(step("h1", 20_001), LeaseStep::Append { at: position(1) });
     assert!(matches!(step("h0", 20_001), LeaseStep::Wait(_)));
@@ -226,11 +226,11 @@
 fn hosts_do_not_all_append_at_once() {
     for case in JITTER_CASES {
         let hosts = host_names(case.hosts);
-        let fold = fold_with_members(&hosts);
+        let fleet_state = fleet_with_members(&hosts);
         let (work_since, now) = (BootTime(10_000), BootTime(10_000 + case.elapsed_ms));
         let appends = |host: &&String| {
             let keeper = LeaseKeeper::new(HostName::new(host), LEASE_DURATION);
-            let step = keeper.step(&fold, work_since, LinkRank::Equal, now);
+            let step = keeper.step(&fleet_state, work_since, LinkRank::Equal, now);
             matches!(step, LeaseStep::Append { .. })
         };
         let count = hosts.iter().filter(appends).count();
@@ -261,13 +261,13 @@
 fn hosts_do_not_all_append_when_a_lease_expires() {
     for case in EXPIRY_CASES {
         let hosts = host_names(90);
-        let mut fold = fold_with_members(&hosts);
-        fold.apply(fold.end().offset, &lease_record("gone"), BootTime(20_000));
+        let mut fleet_state = fleet_with_members(&hosts);
+        fleet_state.apply(fleet_state.end().offset, &lease_record("gone"), BootTime(20_000));
         let expired_at = BootTime(20_000).after(LEASE_DURATION);
         let now = expired_at.after(Duration::from_millis(case.elapsed_ms));
         let appends = |host: &&String| {
             let keeper = LeaseKeeper::new(HostName::new(host), LEASE_DURATION);
-            let step = keeper.step(&fold, BootTime(10_000), LinkRank::Equal, now);
+            let step = keeper.step(&fleet_state, BootTime(10_000), LinkRank::Equal, now);
             matches!(step, LeaseStep::Append { .. })
         };
         let count = hosts.iter().filter(appends).count();
@@ -284,8 +284,8 @@
 }
 
 /// The state after reading a topic in which each of these hosts has joined.
-fn fold_with_members(hosts: &[String]) -> FleetState {
-    let mut fold = FleetState::default();
+fn fleet_with_members(hosts: &[String]) -> FleetState {
+    let mut fleet_state = FleetState::default();
     for (offset, host) in hosts.iter().enumerate() {
         let record = FleetRecord::Joined {
             host: HostName::new(host),
@@ -295,9 +295,9 @@
             link_kbps: 20_000,
             epoch: StoreEpoch(0),
         };
-        fold.apply(LogOffset(offset as u64), &record, BootTime(0));
+        fleet_state.apply(LogOffset(offset as u64), &record, BootTime(0));
     }
-    fold
+    fleet_state
 }
 
 struct RankCase {
@@ -354,11 +354,12 @@
 fn hosts_with_the_widest_links_append_first() {
     for case in RANK_CASES {
         let hosts = host_names(90);
-        let mut fold = fold_with_members(&hosts);
+        let mut fleet_state = fleet_with_members(&hosts);
         if let Some(host) = case.lease {
-            fold.apply(fold.end().offset, &lease_record(host), BootTime(1_000));
+            fleet_state.apply(fleet_state.end().offset, &lease_record(host), BootTime(1_000));
         }
-        let waits: Vec<u64> = hosts.iter().map(|host| wait_ms(host, &fold, case.rank)).collect();
+        let waits: Vec<u64> =
+            hosts.iter().map(|host| wait_ms(host, &fleet_state, case.rank)).collect();
         let (first, last) = (waits.iter().min().copied(), waits.iter().max().copied());
         let is_in_range = |actual: Option<u64>, (low, high): (u64, u64)| {
             actual.is_some_and(|actual| low <= actual && actual <= high)
@@ -369,9 +370,9 @@
 }
 
 /// Wait of a host if work arrives long after the last lease expired.
-fn wait_ms(host: &str, fold: &FleetState, rank: LinkRank) -> u64 {
+fn wait_ms(host: &str, fleet_state: &FleetState, rank: LinkRank) -> u64 {
     let now = BootTime(20_000);
-    match LeaseKeeper::new(HostName::new(host), LEASE_DURATION).step(fold, now, rank, now) {
+    match LeaseKeeper::new(HostName::new(host), LEASE_DURATION).step(fleet_state, now, rank, now) {
         LeaseStep::Wait(wait) => wait.as_millis() as u64,
         LeaseStep::Append { .. } => 0,
         LeaseStep::Act => panic!("{host} has no lease"),
@@ -381,29 +382,29 @@
 /// Guards against the lease moving to another host while its holder renews it.
 #[test]
 fn a_renewed_lease_stays_with_its_holder() {
-    let mut fold = FleetState::default();
-    fold.apply(LogOffset(0), &lease_record("h1"), BootTime(1_000));
+    let mut fleet_state = FleetState::default();
+    fleet_state.apply(LogOffset(0), &lease_record("h1"), BootTime(1_000));
     for (host, rank) in [("h0", LinkRank::Widest { hosts: 1 }), ("h2", LinkRank::Equal)] {
         let keeper = LeaseKeeper::new(HostName::new(host), LEASE_DURATION);
-        let step = keeper.step(&fold, BootTime(0), rank, BootTime(3_999));
+        let step = keeper.step(&fleet_state, BootTime(0), rank, BootTime(3_999));
         assert_eq!(step, LeaseStep::Wait(Duration::from_millis(1)), "{host}");
     }
     let mut holder = LeaseKeeper::new(HostName::new("h1"), LEASE_DURATION);
-    holder.appended(FencingNumber(0), BootTime(1_000));
-    let act = holder.step(&fold, BootTime(0), LinkRank::Narrower, BootTime(2_000));
+    holder.record_append(FencingNumber(0), BootTime(1_000));
+    let act = holder.step(&fleet_state, BootTime(0), LinkRank::Narrower, BootTime(2_000));
     assert_eq!(act, LeaseStep::Act);
-    let renewal = holder.step(&fold, BootTime(0), LinkRank::Narrower, BootTime(2_600));
+    let renewal = holder.step(&fleet_state, BootTime(0), LinkRank::Narrower, BootTime(2_600));
     assert_eq!(renewal, LeaseStep::Append { at: position(1) });
 }
 
 /// Guards against a late, repeated read making a lease look younger or restoring an older one.
 #[test]
 fn a_record_that_is_read_twice_counts_once() {
-    let mut fold = FleetState::default();
-    fold.apply(LogOffset(0), &lease_record("h0"), BootTime(1_000));
-    fold.apply(LogOffset(1), &lease_record("h1"), BootTime(2_000));
-    fold.apply(LogOffset(0), &lease_record("h0"), BootTime(9_000));
-    let lease = fold.lease().expect("no lease was read");
+    let mut fleet_state = FleetState::default();
+    fleet_state.apply(LogOffset(0), &lease_record("h0"), BootTime(1_000));
+    fleet_state.apply(LogOffset(1), &lease_record("h1"), BootTime(2_000));
+    fleet_state.apply(LogOffset(0), &lease_record("h0"), BootTime(9_000));
+    let lease = fleet_state.lease().expect("no lease was read");
     assert_eq!((lease.host.as_str(), lease.seen), ("h1", BootTime(2_000)));
-    assert_eq!(fold.end(), position(2));
+    assert_eq!(fleet_state.end(), position(2));
 }
--- a/crates/dispatch/tests/local_faults.rs
+++ b/crates/dispatch/tests/local_faults.rs
@@ -23,7 +23,7 @@
     IsLost(u64, &'static str, bool),
     IsOpen(u64, &'static str, bool),
     /// Step for a request that waits for a silent server.
-    SilentStep(u64, &'static str, ProbeStep),
+    NextProbeStep(u64, &'static str, ProbeStep),
 }
 
 struct ReachCase {
@@ -33,7 +33,7 @@
 
 use ConnectOutcome::Reached;
 use ConnectOutcome::Refused;
-use ConnectOutcome::Silent;
+use ConnectOutcome::TimedOut;
 use ReachStep::*;
 
 /// Two servers in each of three zones.
@@ -46,48 +46,48 @@
     ReachCase {
         name: "saturated link: no server is considered lost",
         steps: &[
-            SendFailed(0, ALL_SERVERS, Silent),
+            SendFailed(0, ALL_SERVERS, TimedOut),
             IsSuspected(0, true),
-            SilentStep(10, "a1", ProbeStep::Ask),
-            SilentStep(20, "a1", ProbeStep::Wait),
-            SendFailed(400, ALL_SERVERS, Silent),
-            SendFailed(800, ALL_SERVERS, Silent),
+            NextProbeStep(10, "a1", ProbeStep::Probe),
+            NextProbeStep(20, "a1", ProbeStep::Wait),
+            SendFailed(400, ALL_SERVERS, TimedOut),
+            SendFailed(800, ALL_SERVERS, TimedOut),
             IsLost(800, "a1", false),
-            SendFailed(1_200, ALL_SERVERS, Silent),
+            SendFailed(1_200, ALL_SERVERS, TimedOut),
             IsLost(1_200, "a1", false),
-            SilentStep(1_210, "b1", ProbeStep::Ask),
+            NextProbeStep(1_210, "b1", ProbeStep::Probe),
         ],
     },
     ReachCase {
         name: "link saturated just after all servers were reached",
         steps: &[
             Tried(0, ALL_SERVERS, Reached),
-            SendFailed(160, &["a1"], Silent),
+            SendFailed(160, &["a1"], TimedOut),
             IsSuspected(160, false),
-            SendFailed(200, &["b1"], Silent),
+            SendFailed(200, &["b1"], TimedOut),
             IsSuspected(200, true),
-            SendFailed(600, ALL_BUT_A1, Silent),
+            SendFailed(600, ALL_BUT_A1, TimedOut),
             IsSuspected(600, true),
         ],
     },
     ReachCase {
         name: "no server reached: the suspicion lasts",
         steps: &[
-            Tried(0, ALL_SERVERS, Silent),
-            Tried(900, ALL_SERVERS, Silent),
-            Tried(1_800, ALL_SERVERS, Silent),
-            Tried(2_700, ALL_SERVERS, Silent),
-            Tried(3_600, ALL_SERVERS, Silent),
-            Tried(4_500, ALL_SERVERS, Silent),
+            Tried(0, ALL_SERVERS, TimedOut),
+            Tried(900, ALL_SERVERS, TimedOut),
+            Tried(1_800, ALL_SERVERS, TimedOut),
+            Tried(2_700, ALL_SERVERS, TimedOut),
+            Tried(3_600, ALL_SERVERS, TimedOut),
+            Tried(4_500, ALL_SERVERS, TimedOut),
             IsSuspected(4_500, true),
         ],
     },
     ReachCase {
         name: "the suspicion ends when servers are reached again",
         steps: &[
-            SendFailed(0, ALL_SERVERS, Silent),
-            SendFailed(800, ALL_SERVERS, Silent),
-            SendFailed(1_000, ALL_SERVERS, Silent),
+            SendFailed(0, ALL_SERVERS, TimedOut),
+            SendFailed(800, ALL_SERVERS, TimedOut),
+            SendFailed(1_000, ALL_SERVERS, TimedOut),
             Tried(1_100, ZONE_A, Reached),
             IsSuspected(1_100, false),
             IsLost(1_100, "b1", false),
@@ -95,42 +95,46 @@
     },
     ReachCase {
         name: "the suspicion expires without further attempts",
-        steps: &[Tried(0, ALL_SERVERS, Silent), IsSuspected(999, true), IsSuspected(1_000, false)],
+        steps: &[
+            Tried(0, ALL_SERVERS, TimedOut),
+            IsSuspected(999, true),
+            IsSuspected(1_000, false),
+        ],
     },
     ReachCase {
         name: "failures before a suspicion do not count after it",
         steps: &[
-            SendFailed(0, &["a1"], Silent),
-            SendFailed(300, &["a1"], Silent),
-            SendFailed(500, ALL_SERVERS, Silent),
+            SendFailed(0, &["a1"], TimedOut),
+            SendFailed(300, &["a1"], TimedOut),
+            SendFailed(500, ALL_SERVERS, TimedOut),
             IsSuspected(500, true),
             Tried(800, ALL_BUT_A1, Reached),
             IsSuspected(800, false),
-            SendFailed(900, &["a1"], Silent),
+            SendFailed(900, &["a1"], TimedOut),
             IsLost(900, "a1", false),
-            SendFailed(1_400, &["a1"], Silent),
+            SendFailed(1_400, &["a1"], TimedOut),
             IsLost(1_400, "a1", true),
         ],
     },
     ReachCase {
         name: "a server that has long been down does not delay the suspicion",
         steps: &[
-            SendFailed(0, &["a1"], Silent),
-            SendFailed(400, &["a1"], Silent),
-            SendFailed(800, &["a1"], Silent),
+            SendFailed(0, &["a1"], TimedOut),
+            SendFailed(400, &["a1"], TimedOut),
+            SendFailed(800, &["a1"], TimedOut),
             Tried(950, &["a2", "b1"], Reached),
-            Tried(1_150, &["b2", "c1", "c2"], Silent),
+            Tried(1_150, &["b2", "c1", "c2"], TimedOut),
             IsSuspected(1_150, true),
         ],
     },
     ReachCase {
         name: "a server that refuses connections is lost during a suspicion, too",
         steps: &[
-            Tried(0, ALL_BUT_A1, Silent),
+            Tried(0, ALL_BUT_A1, TimedOut),
             SendFailed(0, &["a1"], Refused),
             SendFailed(300, &["a1"], Refused),
-            SilentStep(310, "a1", ProbeStep::Unreachable),
-            Tried(600, ALL_BUT_A1, Silent),
+            NextProbeStep(310, "a1", ProbeStep::Unreachable),
+            Tried(600, ALL_BUT_A1, TimedOut),
             SendFailed(600, &["a1"], Refused),
             IsSuspected(600, true),
             IsLost(600, "a1", true),
@@ -139,9 +143,9 @@
     ReachCase {
         name: "servers are avoided only briefly during a suspicion",
         steps: &[
-            SendFailed(0, ALL_SERVERS, Silent),
-            SendFailed(400, ALL_SERVERS, Silent),
-            SendFailed(800, ALL_SERVERS, Silent),
+            SendFailed(0, ALL_SERVERS, TimedOut),
+            SendFailed(400, ALL_SERVERS, TimedOut),
+            SendFailed(800, ALL_SERVERS, TimedOut),
             IsOpen(1_199, "a1", false),
             IsOpen(1_200, "a1", true),
         ],
@@ -153,11 +157,11 @@
         name: "one server of many is down",
         steps: &[
             Tried(0, ALL_BUT_A1, Reached),
-            SendFailed(0, &["a1"], Silent),
-            SendFailed(400, &["a1"], Silent),
+            SendFailed(0, &["a1"], TimedOut),
+            SendFailed(400, &["a1"], TimedOut),
             IsSuspected(400, false),
-            SilentStep(410, "a1", ProbeStep::Unreachable),
-            SendFailed(700, &["a1"], Silent),
+            NextProbeStep(410, "a1", ProbeStep::Unreachable),
+            SendFailed(700, &["a1"], TimedOut),
             IsSuspected(700, false),
             IsLost(700, "a1", true),
         ],
@@ -166,16 +170,16 @@
         name: "two servers fail together while another one is reached",
         steps: &[
             Tried(100, &["c1"], Reached),
-            SendFailed(200, &["a1", "b1"], Silent),
+            SendFailed(200, &["a1", "b1"], TimedOut),
             IsSuspected(200, false),
-            SendFailed(600, &["a1", "b1"], Silent),
+            SendFailed(600, &["a1", "b1"], TimedOut),
             IsSuspected(600, false),
             Tried(700, &["c1"], Reached),
-            SendFailed(900, &["a1", "b1"], Silent),
+            SendFailed(900, &["a1", "b1"], TimedOut),
             IsSuspected(900, false),
             IsLost(900, "a1", true),
             Tried(2_200, &["c1"], Reached),
-            SendFailed(2_500, &["a1", "b1"], Silent),
+            SendFailed(2_500, &["a1", "b1"], TimedOut),
             IsSuspected(2_500, false),
         ],
     },
@@ -183,9 +187,9 @@
         name: "a server that was reached again is not lost",
         steps: &[
             Tried(0, ALL_BUT_A1, Reached),
-            SendFailed(0, &["a1"], Silent),
-            SendFailed(400, &["a1"], Silent),
-            SendFailed(1_200, &["a1"], Silent),
+            SendFailed(0, &["a1"], TimedOut),
+            SendFailed(400, &["a1"], TimedOut),
+            SendFailed(1_200, &["a1"], TimedOut),
             IsLost(1_200, "a1", true),
             Tried(2_800, &["a1"], Reached),
             IsLost(2_800, "a1", false),
@@ -195,21 +199,21 @@
     ReachCase {
         name: "a connection that timed out is tried once more",
         steps: &[
-            SendFailed(0, &["a1"], Silent),
-            SilentStep(10, "a1", ProbeStep::Ask),
-            SendFailed(160, &["a1"], Silent),
-            SilentStep(170, "a1", ProbeStep::Unreachable),
+            SendFailed(0, &["a1"], TimedOut),
+            NextProbeStep(10, "a1", ProbeStep::Probe),
+            SendFailed(160, &["a1"], TimedOut),
+            NextProbeStep(170, "a1", ProbeStep::Unreachable),
         ],
     },
     ReachCase {
         name: "cut off from two zones, own zone reached before",
         steps: &[
             Tried(0, ZONE_A, Reached),
-            SendFailed(0, OTHER_ZONES, Silent),
+            SendFailed(0, OTHER_ZONES, TimedOut),
             IsSuspected(0, false),
-            SendFailed(400, OTHER_ZONES, Silent),
+            SendFailed(400, OTHER_ZONES, TimedOut),
             Tried(700, ZONE_A, Reached),
-            SendFailed(700, OTHER_ZONES, Silent),
+            SendFailed(700, OTHER_ZONES, TimedOut),
             IsSuspected(700, false),
             IsLost(700, "b1", true),
             IsLost(700, "a1", false),
@@ -218,14 +222,14 @@
     ReachCase {
         name: "cut off from two zones, own zone reached afterwards",
         steps: &[
-            SendFailed(0, OTHER_ZONES, Silent),
+            SendFailed(0, OTHER_ZONES, TimedOut),
             IsSuspected(0, true),
             Tried(100, ZONE_A, Reached),
             IsSuspected(100, false),
-            SendFailed(300, OTHER_ZONES, Silent),
-            SendFailed(600, OTHER_ZONES, Silent),
+            SendFailed(300, OTHER_ZONES, TimedOut),
+            SendFailed(600, OTHER_ZONES, TimedOut),
             Tried(800, ZONE_A, Reached),
-            SendFailed(900, OTHER_ZONES, Silent),
+            SendFailed(900, OTHER_ZONES, TimedOut),
             IsLost(900, "b1", true),
         ],
     },
@@ -233,10 +237,10 @@
         name: "cut off from three of four zones of equal size",
         steps: &[
             Tried(0, &["a1"], Reached),
-            SendFailed(0, &["b1", "b2", "c1"], Silent),
+            SendFailed(0, &["b1", "b2", "c1"], TimedOut),
             IsSuspected(0, false),
             Tried(600, &["a1"], Reached),
-            SendFailed(600, &["b1", "b2", "c1"], Silent),
+            SendFailed(600, &["b1", "b2", "c1"], TimedOut),
             IsSuspected(600, false),
         ],
     },
@@ -244,20 +248,20 @@
         name: "cut off with one server of six: the suspicion is bounded",
         steps: &[
             Tried(0, &["a1"], Reached),
-            SendFailed(0, ALL_BUT_A1, Silent),
+            SendFailed(0, ALL_BUT_A1, TimedOut),
             IsSuspected(0, true),
             Tried(900, &["a1"], Reached),
-            SendFailed(900, ALL_BUT_A1, Silent),
+            SendFailed(900, ALL_BUT_A1, TimedOut),
             Tried(1_800, &["a1"], Reached),
-            SendFailed(1_800, ALL_BUT_A1, Silent),
+            SendFailed(1_800, ALL_BUT_A1, TimedOut),
             Tried(2_700, &["a1"], Reached),
-            SendFailed(2_700, ALL_BUT_A1, Silent),
+            SendFailed(2_700, ALL_BUT_A1, TimedOut),
             IsSuspected(2_999, true),
             IsSuspected(3_000, false),
             Tried(3_100, &["a1"], Reached),
-            SendFailed(3_100, ALL_BUT_A1, Silent),
-            SendFailed(3_400, ALL_BUT_A1, Silent),
-            SendFailed(3_700, ALL_BUT_A1, Silent),
+            SendFailed(3_100, ALL_BUT_A1, TimedOut),
+            SendFailed(3_400, ALL_BUT_A1, TimedOut),
+            SendFailed(3_700, ALL_BUT_A1, TimedOut),
             IsSuspected(3_700, false),
             IsLost(3_700, "b1", true),
         ],
@@ -265,30 +269,30 @@
     ReachCase {
         name: "the same with few attempts",
         steps: &[
-            SendFailed(0, ALL_BUT_A1, Silent),
+            SendFailed(0, ALL_BUT_A1, TimedOut),
             Tried(500, &["a1"], Reached),
-            SendFailed(1_600, ALL_BUT_A1, Silent),
+            SendFailed(1_600, ALL_BUT_A1, TimedOut),
             IsSuspected(1_600, true),
             Tried(2_200, &["a1"], Reached),
-            SendFailed(3_300, ALL_BUT_A1, Silent),
+            SendFailed(3_300, ALL_BUT_A1, TimedOut),
             IsSuspected(3_400, true),
             IsSuspected(3_500, false),
             Tried(4_000, &["a1"], Reached),
-            SendFailed(5_100, ALL_BUT_A1, Silent),
+            SendFailed(5_100, ALL_BUT_A1, TimedOut),
             IsSuspected(5_100, false),
         ],
     },
     ReachCase {
         name: "suspicions that recur share one upper bound",
         steps: &[
-            SendFailed(0, OTHER_ZONES, Silent),
+            SendFailed(0, OTHER_ZONES, TimedOut),
             Tried(500, ZONE_A, Reached),
             IsSuspected(500, false),
-            SendFailed(1_600, OTHER_ZONES, Silent),
+            SendFailed(1_600, OTHER_ZONES, TimedOut),
             IsSuspected(1_600, true),
             Tried(2_200, ZONE_A, Reached),
             IsSuspected(2_200, false),
-            SendFailed(3_600, OTHER_ZONES, Silent),
+            SendFailed(3_600, OTHER_ZONES, TimedOut),
             IsSuspected(3_600, false),
         ],
     },
@@ -296,18 +300,18 @@
         name: "no new suspicion while the cut goes on, with pauses between attempts",
         steps: &[
             Tried(0, &["a1"], Reached),
-            SendFailed(0, ALL_BUT_A1, Silent),
+            SendFailed(0, ALL_BUT_A1, TimedOut),
             Tried(1_500, &["a1"], Reached),
-            SendFailed(1_500, ALL_BUT_A1, Silent),
+            SendFailed(1_500, ALL_BUT_A1, TimedOut),
             IsSuspected(1_500, true),
             Tried(3_200, &["a1"], Reached),
-            SendFailed(3_200, ALL_BUT_A1, Silent),
+            SendFailed(3_200, ALL_BUT_A1, TimedOut),
             IsSuspected(3_200, false),
             Tried(5_800, &["a1"], Reached),
-            SendFailed(5_800, ALL_BUT_A1, Silent),
+            SendFailed(5_800, ALL_BUT_A1, TimedOut),
             IsSuspected(5_800, false),
             Tried(8_800, &["a1"], Reached),
-            SendFailed(8_800, ALL_BUT_A1, Silent),
+            SendFailed(8_800, ALL_BUT_A1, TimedOut),
             IsSuspected(8_800, true),
         ],
     },
@@ -315,9 +319,9 @@
         name: "one of two servers is down",
         steps: &[
             Tried(0, &["a2"], Reached),
-            SendFailed(0, &["a1"], Silent),
-            SendFailed(300, &["a1"], Silent),
-            SendFailed(600, &["a1"], Silent),
+            SendFailed(0, &["a1"], TimedOut),
+            SendFailed(300, &["a1"], TimedOut),
+            SendFailed(600, &["a1"], TimedOut),
             IsSuspected(600, false),
             IsLost(600, "a1", true),
         ],
@@ -325,22 +329,22 @@
     ReachCase {
         name: "the only server is down",
         steps: &[
-            SendFailed(0, &["a1"], Silent),
-            SendFailed(300, &["a1"], Silent),
-            SendFailed(600, &["a1"], Silent),
+            SendFailed(0, &["a1"], TimedOut),
+            SendFailed(300, &["a1"], TimedOut),
+            SendFailed(600, &["a1"], TimedOut),
             IsSuspected(600, false),
             IsLost(600, "a1", true),
         ],
     },
     ReachCase {
         name: "the first attempt after a start fails",
-        steps: &[IsSuspected(0, false), SendFailed(1, &["a1"], Silent), IsSuspected(1, false)],
+        steps: &[IsSuspected(0, false), SendFailed(1, &["a1"], TimedOut), IsSuspected(1, false)],
     },
     ReachCase {
         name: "old attempts do not count",
         steps: &[
-            Tried(0, &["b1"], Silent),
-            Tried(1_000, &["a1"], Silent),
+            Tried(0, &["b1"], TimedOut),
+            Tried(1_000, &["a1"], TimedOut),
             IsSuspected(1_000, false),
         ],
     },
@@ -349,33 +353,38 @@
 fn run_case(case: &ReachCase) {
     let start = Instant::now();
     let at = |ms: &u64| start + Duration::from_millis(*ms);
-    let mut book = ServerRegistry::default();
-    book.sync(&engines(ALL_SERVERS), start);
+    let mut registry = ServerRegistry::default();
+    registry.sync(&engines(ALL_SERVERS), start);
     let entry_of = |name: &str| engines(&[name]).remove(0);
     for step in case.steps {
         match step {
             Tried(ms, names, end) => {
-                names.iter().for_each(|name| book.tried(key(name), *end, at(ms)));
+                names.iter().for_each(|name| registry.record_connect(key(name), *end, at(ms)));
             }
             SendFailed(ms, names, end) => {
                 for name in *names {
-                    book.tried(key(name), *end, at(ms));
+                    registry.record_connect(key(name), *end, at(ms));
                 }
-                names.iter().for_each(|name| book.unreachable(key(name), at(ms)));
+                names.iter().for_each(|name| registry.record_unreachable(key(name), at(ms)));
             }
             IsSuspected(ms, is_suspected) => {
-                assert_eq!(book.doubts_itself(at(ms)), *is_suspected, "{} at {ms}", case.name);
+                assert_eq!(
+                    registry.suspects_local_fault(at(ms)),
+                    *is_suspected,
+                    "{} at {ms}",
+                    case.name
+                );
             }
             IsLost(ms, name, lost) => {
-                let found = book.is_lost(&entry_of(name), at(ms));
+                let found = registry.is_lost(&entry_of(name), at(ms));
                 assert_eq!(found, *lost, "{}: {name} at {ms}", case.name);
             }
             IsOpen(ms, name, open) => {
-                let state = book.state(key(name)).expect("the server is listed");
+                let state = registry.state(key(name)).expect("the server is listed");
                 assert_eq!(state.is_open(at(ms)), *open, "{}: {name} at {ms}", case.name);
             }
-            SilentStep(ms, name, step) => {
-                let found = book.silent(key(name), at(ms));
+            NextProbeStep(ms, name, step) => {
+                let found = registry.next_probe_step(key(name), at(ms));
                 assert_eq!(found, *step, "{}: {name} at {ms}", case.name);
             }
         }
@@ -401,19 +410,22 @@
 fn a_suspicion_is_reported_once() {
     let start = Instant::now();
     let at = |ms| start + Duration::from_millis(ms);
-    let mut book = ServerRegistry::default();
-    assert_eq!(book.reach_news(at(0)), None);
+    let mut registry = ServerRegistry::default();
+    assert_eq!(registry.take_suspicion_change(at(0)), None);
     for name in OTHER_ZONES {
-        book.tried(key(name), Silent, at(0));
+        registry.record_connect(key(name), TimedOut, at(0));
     }
-    let count = |silent, heard| ReachabilityCount { silent, heard };
-    assert_eq!(book.reach_news(at(10)), Some(SuspicionChange::Doubted(count(4, 0))));
-    assert_eq!(book.reach_news(at(20)), None);
-    assert_eq!(book.doubt_end(at(20)), Some(at(1_000)));
-    book.tried(key("a1"), Refused, at(300));
-    assert_eq!(book.reach_news(at(300)), None);
-    book.tried(key("a2"), Reached, at(400));
-    let ended = SuspicionChange::Restored(count(4, 2), Duration::from_millis(390));
-    assert_eq!(book.reach_news(at(400)), Some(ended));
-    assert_eq!((book.reach_news(at(410)), book.doubt_end(at(410))), (None, None));
+    let count = |unresponsive, responsive| ReachabilityCount { unresponsive, responsive };
+    assert_eq!(registry.take_suspicion_change(at(10)), Some(SuspicionChange::Started(count(4, 0))));
+    assert_eq!(registry.take_suspicion_change(at(20)), None);
+    assert_eq!(registry.suspicion_end(at(20)), Some(at(1_000)));
+    registry.record_connect(key("a1"), Refused, at(300));
+    assert_eq!(registry.take_suspicion_change(at(300)), None);
+    registry.record_connect(key("a2"), Reached, at(400));
+    let ended = SuspicionChange::Ended(count(4, 2), Duration::from_millis(390));
+    assert_eq!(registry.take_suspicion_change(at(400)), Some(ended));
+    assert_eq!(
+        (registry.take_suspicion_change(at(410)), registry.suspicion_end(at(410))),
+        (None, None)
+    );
 }
--- a/crates/dispatch/tests/peer_discovery.rs
+++ b/crates/dispatch/tests/peer_discovery.rs
@@ -53,7 +53,7 @@
         for (at, is_over) in checks_from_start(case) {
             let seen = case.members.iter().filter(|(from, _)| *from <= at);
             let members: Vec<HostName> = seen.map(|(_, host)| HostName::new(host)).collect();
-            let actual = discovery.is_over(&own, &members, start + Duration::from_millis(at));
+            let actual = discovery.is_complete(&own, &members, start + Duration::from_millis(at));
             if let Some(is_over) = is_over {
                 assert_eq!(actual, is_over, "{} after {at} ms", case.name);
             }
--- a/crates/dispatch/tests/peers.rs
+++ b/crates/dispatch/tests/peers.rs
@@ -11,7 +11,7 @@
 use fulmargate_dispatch::ServerKey;
 use fulmargate_dispatch::Urgency;
 use fulmargate_dispatch::gossip_interval;
-use fulmargate_dispatch::urgent_pace;
+use fulmargate_dispatch::urgent_interval;
 use fulmargate_names::HostName;
 use indexmap::IndexMap;
 use quickcheck::Gen;
@@ -44,7 +44,7 @@
 /// Guards against requests that have ended still being counted at an engine. After any messages,
 /// the totals must be those of the newest current message of each router.
 fn totals_match_current_reports(messages: Vec<TestMessage>) -> bool {
-    let mut board = PeerLoadTable::default();
+    let mut peer_loads = PeerLoadTable::default();
     let mut newest: IndexMap<u8, (u64, Vec<PeerLoad>)> = IndexMap::new();
     let start = Instant::now();
     let mut elapsed = 0;
@@ -53,14 +53,14 @@
         let loads: Vec<PeerLoad> = loads.into_iter().map(load).collect();
         let name = HostName::new(&format!("host-{}", host % 5));
         let message = GossipMessage { loads, ..GossipMessage::default() };
-        board.hear(&name, &message, start + Duration::from_millis(elapsed));
+        peer_loads.record_message(&name, &message, start + Duration::from_millis(elapsed));
         newest.insert(host % 5, (elapsed, message.loads));
     }
-    board.drop_silent(start + Duration::from_millis(elapsed));
+    peer_loads.remove_expired(start + Duration::from_millis(elapsed));
     newest.retain(|_, (at, _)| elapsed - *at < MESSAGE_TTL_MS);
     let current: Vec<PeerLoad> = newest.into_values().flat_map(|(_, loads)| loads).collect();
     (0..4).map(ServerKey).all(|server| {
-        let PeerTotal { open, chats, backlog } = board.sum(server);
+        let PeerTotal { open, chats, backlog } = peer_loads.total(server);
         (open, chats, backlog.total()) == expected_sum(&current, server)
     })
 }
@@ -169,7 +169,7 @@
 #[test]
 fn urgent_messages_keep_to_a_share_of_the_link() {
     for case in URGENT_CASES {
-        let interval = urgent_pace(case.peers, case.message_bytes, case.link);
+        let interval = urgent_interval(case.peers, case.message_bytes, case.link);
         assert_eq!(interval, case.interval, "{}", case.name);
         let regular_interval = gossip_interval(case.peers);
         assert!(interval <= regular_interval, "{}: regular messages are more frequent", case.name);
@@ -235,14 +235,19 @@
 #[test]
 fn links_are_ranked_by_current_reports() {
     for case in RANK_CASES {
-        let mut board = PeerLoadTable::default();
+        let mut peer_loads = PeerLoadTable::default();
         let start = Instant::now();
         for (number, link_kbps) in case.others.iter().enumerate() {
             let message = GossipMessage { link_kbps: *link_kbps, ..GossipMessage::default() };
-            board.hear(&HostName::new(&format!("host-{number}")), &message, start);
+            peer_loads.record_message(&HostName::new(&format!("host-{number}")), &message, start);
         }
-        assert_eq!(board.link_rank(case.own, start), case.rank, "{}", case.name);
+        assert_eq!(peer_loads.link_rank(case.own, start), case.rank, "{}", case.name);
         let later = start + Duration::from_millis(MESSAGE_TTL_MS);
-        assert_eq!(board.link_rank(case.own, later), LinkRank::Equal, "{}: expired", case.name);
+        assert_eq!(
+            peer_loads.link_rank(case.own, later),
+            LinkRank::Equal,
+            "{}: expired",
+            case.name
+        );
     }
 }
--- a/crates/dispatch/tests/progress.rs
+++ b/crates/dispatch/tests/progress.rs
@@ -5,12 +5,12 @@
 use fulmargate_dispatch::CallProgress;
 use fulmargate_dispatch::NextStep;
 use fulmargate_dispatch::RouteKind;
-use fulmargate_dispatch::SendEnd;
+use fulmargate_dispatch::SendOutcome;
 use fulmargate_names::Disposition;
 use fulmargate_names::ErrorKind;
 use quickcheck::Gen;
 use quickcheck::QuickCheck;
-use support::DESK;
+use support::PLAIN_SERVICE;
 use support::route;
 use support::stream;
 
@@ -18,14 +18,14 @@
     name: &'static str,
     kind: RouteKind,
     max_attempts: u32,
-    ends: &'static [SendEnd],
+    ends: &'static [SendOutcome],
     last_step: NextStep,
 }
 
 const OUTCOME_UNKNOWN: NextStep = NextStep::GiveUp(ErrorKind::OutcomeUnknown);
 
 fn progress_cases() -> Vec<ProgressCase> {
-    use SendEnd::*;
+    use SendOutcome::*;
     vec![
         ProgressCase {
             name: "non-idempotent, connection broken",
@@ -103,7 +103,7 @@
 #[test]
 fn ends_determine_the_next_step() {
     for case in progress_cases() {
-        let route = route(case.kind, DESK, case.max_attempts);
+        let route = route(case.kind, PLAIN_SERVICE, case.max_attempts);
         let mut progress = CallProgress::default();
         let steps: Vec<NextStep> =
             case.ends.iter().map(|end| progress.after(*end, &route)).collect();
@@ -115,25 +115,27 @@
 /// and a charge could be made twice.
 #[test]
 fn not_run_is_reported_only_if_certain() {
-    const ENDS: [SendEnd; 7] = [
-        SendEnd::NotSent,
-        SendEnd::Refused,
-        SendEnd::OtherServer,
-        SendEnd::OtherWeights,
-        SendEnd::Broken,
-        SendEnd::TimedOut,
-        SendEnd::Unreachable,
+    const ENDS: [SendOutcome; 7] = [
+        SendOutcome::NotSent,
+        SendOutcome::Refused,
+        SendOutcome::OtherServer,
+        SendOutcome::OtherWeights,
+        SendOutcome::Broken,
+        SendOutcome::TimedOut,
+        SendOutcome::Unreachable,
     ];
     fn property(choices: Vec<u8>) -> bool {
-        let ends: Vec<SendEnd> =
+        let ends: Vec<SendOutcome> =
             choices.into_iter().map(|choice| ENDS[usize::from(choice) % ENDS.len()]).collect();
         for kind in [RouteKind::NonIdempotent, RouteKind::Idempotent, stream(true)] {
-            let route = route(kind, DESK, 2);
+            let route = route(kind, PLAIN_SERVICE, 2);
             let mut progress = CallProgress::default();
             let mut may_have_run = false;
             for end in ends.iter().copied() {
-                may_have_run |=
-                    matches!(end, SendEnd::Broken | SendEnd::TimedOut | SendEnd::Unreachable);
+                may_have_run |= matches!(
+                    end,
+                    SendOutcome::Broken | SendOutcome::TimedOut | SendOutcome::Unreachable
+                );
                 let step = progress.after(end, &route);
                 let mut kinds = vec![progress.failure(), progress.timeout()];
                 if let NextStep::GiveUp(kind) = step {
@@ -158,21 +160,29 @@
 
 struct ArrivalCase {
     name: &'static str,
-    ends: &'static [SendEnd],
+    ends: &'static [SendOutcome],
     arrivals: u32,
 }
 
 const ARRIVAL_CASES: &[ArrivalCase] = &[
-    ArrivalCase { name: "no connection", ends: &[SendEnd::NotSent, SendEnd::NotSent], arrivals: 0 },
-    ArrivalCase { name: "refused", ends: &[SendEnd::NotSent, SendEnd::Refused], arrivals: 1 },
-    ArrivalCase { name: "broken", ends: &[SendEnd::Broken, SendEnd::NotSent], arrivals: 1 },
+    ArrivalCase {
+        name: "no connection",
+        ends: &[SendOutcome::NotSent, SendOutcome::NotSent],
+        arrivals: 0,
+    },
+    ArrivalCase {
+        name: "refused",
+        ends: &[SendOutcome::NotSent, SendOutcome::Refused],
+        arrivals: 1,
+    },
+    ArrivalCase { name: "broken", ends: &[SendOutcome::Broken, SendOutcome::NotSent], arrivals: 1 },
 ];
 
 /// Sends without a connection must not use up the retry budget.
 #[test]
 fn sends_without_a_connection_are_not_arrivals() {
     for case in ARRIVAL_CASES {
-        let route = route(RouteKind::Idempotent, DESK, 3);
+        let route = route(RouteKind::Idempotent, PLAIN_SERVICE, 3);
         let mut progress = CallProgress::default();
         for end in case.ends {
             progress.after(*end, &route);
@@ -185,12 +195,12 @@
     name: &'static str,
     kind: RouteKind,
     max_attempts: u32,
-    ends: &'static [SendEnd],
+    ends: &'static [SendOutcome],
     is_allowed: bool,
 }
 
 fn failover_cases() -> Vec<FailoverCase> {
-    use SendEnd::*;
+    use SendOutcome::*;
     let case = |name, kind, max_attempts, ends, is_allowed| FailoverCase {
         name,
         kind,
@@ -212,11 +222,11 @@
 #[test]
 fn a_silent_server_is_abandoned_only_for_another() {
     for case in failover_cases() {
-        let route = route(case.kind, DESK, case.max_attempts);
+        let route = route(case.kind, PLAIN_SERVICE, case.max_attempts);
         let mut progress = CallProgress::default();
         for end in case.ends {
             progress.after(*end, &route);
         }
-        assert_eq!(progress.may_go_elsewhere(&route), case.is_allowed, "{}", case.name);
+        assert_eq!(progress.may_fail_over(&route), case.is_allowed, "{}", case.name);
     }
 }
--- a/crates/dispatch/tests/readers.rs
+++ b/crates/dispatch/tests/readers.rs
@@ -138,14 +138,14 @@
 #[test]
 fn links_are_known_from_messages() {
     let now = Instant::now();
-    let mut board = PeerLoadTable::default();
+    let mut peer_loads = PeerLoadTable::default();
     let zone = ZoneName::new("north");
     for (name, link_kbps) in [("host-1", Some(NARROW_KBPS)), ("host-2", None)] {
         let message =
             GossipMessage { zone: Some(zone.clone()), link_kbps, ..GossipMessage::default() };
-        board.hear(&HostName::new(name), &message, now);
+        peer_loads.record_message(&HostName::new(name), &message, now);
     }
-    let links: Vec<u32> = board.zone_peers(&zone, now).map(|peer| peer.link_kbps).collect();
+    let links: Vec<u32> = peer_loads.zone_peers(&zone, now).map(|peer| peer.link_kbps).collect();
     assert_eq!(links, [NARROW_KBPS, 0]);
 }
 
@@ -213,7 +213,7 @@
         let mut cache = LogCache::default();
         for (from, count) in case.reads {
             cache.add(position(*from), &vec![b"record".to_vec(); *count]);
-            cache.prove(BootTime(1_000));
+            cache.mark_complete(BootTime(1_000));
         }
         let answer =
             cache.answer(position(case.from), MAX_AGE, BootTime(case.now), BootTime(case.now));
@@ -231,7 +231,7 @@
     let mut cache = LogCache::default();
     cache.add(position(0), &vec![b"lost".to_vec(); 2]);
     cache.add(LogPosition { epoch: StoreEpoch(1), ..position(1) }, &vec![b"new".to_vec(); 2]);
-    cache.prove(BootTime(1_000));
+    cache.mark_complete(BootTime(1_000));
     assert_eq!(
         cache.answer(in_epoch(0), MAX_AGE, now, now),
         None,
@@ -252,7 +252,7 @@
     name: &'static str,
     /// On the reader's clock: when its newest read was sent, and when the request was received and
     /// answered.
-    proven: u64,
+    complete_as_of: u64,
     received: u64,
     answered: u64,
     /// On the requester's clock: when the request was sent, and the time up to which the answer
@@ -264,7 +264,7 @@
 const AGE_CASES: &[AgeCase] = &[
     AgeCase {
         name: "answered immediately",
-        proven: 1_000,
+        complete_as_of: 1_000,
         received: 1_500,
         answered: 1_500,
         asked: 70_000,
@@ -272,7 +272,7 @@
     },
     AgeCase {
         name: "held before it was answered",
-        proven: 1_000,
+        complete_as_of: 1_000,
         received: 1_200,
         answered: 2_400,
         asked: 70_000,
@@ -280,7 +280,7 @@
     },
     AgeCase {
         name: "records were read again while the request was held",
-        proven: 2_000,
+        complete_as_of: 2_000,
         received: 1_200,
         answered: 2_400,
         asked: 70_000,
@@ -295,13 +295,13 @@
     for case in AGE_CASES {
         let mut cache = LogCache::default();
         cache.add(position(0), &[b"record".to_vec()]);
-        cache.prove(BootTime(case.proven));
+        cache.mark_complete(BootTime(case.complete_as_of));
         let (received, answered) = (BootTime(case.received), BootTime(case.answered));
         let answer = cache
             .answer(position(0), MAX_AGE, received, answered)
             .expect("records were not served");
         assert_eq!(
-            answer.proven(BootTime(case.asked)),
+            answer.complete_as_of(BootTime(case.asked)),
             BootTime(case.proven_since),
             "{}",
             case.name
--- a/crates/dispatch/tests/request_queue.rs
+++ b/crates/dispatch/tests/request_queue.rs
@@ -29,7 +29,7 @@
 
 /// Two engines, each busy with a prompt of 20,000 tokens.
 struct QueueFixture {
-    book: ServerRegistry,
+    registry: ServerRegistry,
     queue: RequestQueue,
     table: RouteTable,
     weights: WeightsTable,
@@ -41,10 +41,10 @@
 impl QueueFixture {
     fn new() -> QueueFixture {
         let now = Instant::now();
-        let mut book = ServerRegistry::default();
-        book.sync(&engines(&["e1", "e2"]), now);
+        let mut registry = ServerRegistry::default();
+        registry.sync(&engines(&["e1", "e2"]), now);
         let mut fixture = QueueFixture {
-            book,
+            registry,
             queue: RequestQueue::default(),
             table: table(Vec::new(), Vec::new()),
             weights: WeightsTable::default(),
@@ -54,7 +54,7 @@
         };
         for (id, part) in [("busy-1", 91), ("busy-2", 92)] {
             match fixture.place(&placement_request(prompt_call(id, &[(part, 18_000)], now))) {
-                Placement::Taken(taken) => fixture.busy.push(taken.ticket),
+                Placement::Assigned(taken) => fixture.busy.push(taken.ticket),
                 other => panic!("{id}: {other:?}"),
             }
         }
@@ -73,26 +73,26 @@
     }
 
     fn place(&mut self, placement_request: &PlacementRequest) -> Placement {
-        let mut book = std::mem::take(&mut self.book);
-        let placing = book.place(placement_request, self.view(&zone()));
-        self.book = book;
-        placing
+        let mut registry = std::mem::take(&mut self.registry);
+        let placement = registry.place(placement_request, self.view(&zone()));
+        self.registry = registry;
+        placement
     }
 
     fn enter(&mut self, name: &'static str, call: CallFacts) {
-        let number = self.queue.enter(placement_request(call));
+        let number = self.queue.push(placement_request(call));
         self.names.insert(number, name);
     }
 
     /// Names and outcomes of the prompts that left the queue.
     fn serve(&mut self) -> Vec<(&'static str, &'static str)> {
-        let (mut book, mut queue) =
-            (std::mem::take(&mut self.book), std::mem::take(&mut self.queue));
-        let outcomes = queue.serve(&mut book, self.view(&zone()));
-        (self.book, self.queue) = (book, queue);
+        let (mut registry, mut queue) =
+            (std::mem::take(&mut self.registry), std::mem::take(&mut self.queue));
+        let outcomes = queue.run(&mut registry, self.view(&zone()));
+        (self.registry, self.queue) = (registry, queue);
         let outcome = |end: &QueueOutcome| match end {
-            QueueOutcome::Taken(_) => "taken",
-            QueueOutcome::Nowhere => "nowhere",
+            QueueOutcome::Assigned(_) => "taken",
+            QueueOutcome::NoEngine => "nowhere",
             QueueOutcome::Refused(wait) => {
                 let is_in_range = (300..=2_300).contains(&wait.as_millis());
                 assert!(is_in_range, "retry after {wait:?}");
@@ -192,15 +192,15 @@
     // The first run determines how many tokens each would prefill, and refuses the late one.
     assert_eq!(fixture.serve(), [("late", "refused")]);
     assert!(
-        !fixture.queue.goes_first(&queued_call(now, "n", 8, 6_000, 0, 5_000)),
+        !fixture.queue.may_bypass(&queued_call(now, "n", 8, 6_000, 0, 5_000)),
         "long prompts do not bypass the queue"
     );
     assert!(
-        fixture.queue.goes_first(&prompt_call("short", &[(9, 100)], now)),
+        fixture.queue.may_bypass(&prompt_call("short", &[(9, 100)], now)),
         "short prompts bypass the queue"
     );
     for ticket in &mut fixture.busy {
-        fixture.book.answered(ticket, None, now);
+        fixture.registry.record_response(ticket, None, now);
     }
     let outcomes = fixture.serve();
     assert_eq!(outcomes.first(), Some(&("warm", "taken")), "{outcomes:?}");
@@ -211,10 +211,10 @@
 fn removed_prompts_are_not_placed() {
     let mut fixture = QueueFixture::new();
     let call = queued_call(fixture.now, "gone", 7, 6_000, 0, 5_000);
-    let number = fixture.queue.enter(placement_request(call));
-    fixture.queue.leave(number);
+    let number = fixture.queue.push(placement_request(call));
+    fixture.queue.remove(number);
     for ticket in &mut fixture.busy {
-        fixture.book.answered(ticket, None, fixture.now);
+        fixture.registry.record_response(ticket, None, fixture.now);
     }
     assert_eq!(fixture.serve(), []);
 }
--- a/crates/dispatch/tests/restarts.rs
+++ b/crates/dispatch/tests/restarts.rs
@@ -39,7 +39,7 @@
 
 /// A router with one engine.
 struct RestartWorld {
-    book: ServerRegistry,
+    registry: ServerRegistry,
     table: RouteTable,
     now: Instant,
 }
@@ -47,18 +47,18 @@
 impl RestartWorld {
     fn new() -> RestartWorld {
         let table = table(Vec::new(), Vec::new());
-        RestartWorld { book: ServerRegistry::default(), table, now: Instant::now() }
+        RestartWorld { registry: ServerRegistry::default(), table, now: Instant::now() }
     }
 
     fn start_engine(&mut self, start: u64) -> ServerKey {
         let entry = ServerEntry { incarnation: Some(Incarnation(start)), ..server("e", ENGINES) };
         let key = entry.key();
-        self.book.sync(&[Arc::new(entry)], self.now);
+        self.registry.sync(&[Arc::new(entry)], self.now);
         key
     }
 
     fn choose(&self, call: &CallFacts, excluded: &[ServerKey]) -> Option<EngineChoice> {
-        self.book.choose_engine(&EngineRequest {
+        self.registry.choose_engine(&EngineRequest {
             call,
             service: &ServiceName::new(ENGINES),
             model: &model(),
@@ -76,7 +76,7 @@
     fn send(&mut self, id: &str) -> EngineChoice {
         let call = prompt_call(id, PROMPT_PARTS, self.now);
         let choice = self.choose(&call, &[]).expect("no engine was chosen");
-        self.book.begin_prompt(&call, &choice, self.now);
+        self.registry.record_prompt_send(&call, &choice, self.now);
         choice
     }
 }
@@ -88,9 +88,10 @@
     let mut world = RestartWorld::new();
     let old = world.start_engine(6);
     let first = world.send("c1");
-    let open = world.book.begin(&prompt_call("c0", PROMPT_PARTS, world.now), old, world.now);
-    world.book.unreachable(old, world.now);
-    world.book.forget(old);
+    let open =
+        world.registry.record_send(&prompt_call("c0", PROMPT_PARTS, world.now), old, world.now);
+    world.registry.record_unreachable(old, world.now);
+    world.registry.forget(old);
     let new = world.start_engine(7);
     let scope = scope_of(&first.salt);
     let backlog = {
@@ -114,26 +115,30 @@
         }],
         ..GossipMessage::default()
     };
-    world.book.hear(&late_message, world.now);
+    world.registry.apply_gossip(&late_message, world.now);
     let call = prompt_call("c2", PROMPT_PARTS, world.now);
     let choice = world.choose(&call, &[old]).expect("the new incarnation was not chosen");
     assert_eq!(choice.server.key(), new);
     assert_eq!(
         choice.reason,
-        ChoiceReason::Home,
+        ChoiceReason::Owner,
         "the new incarnation is neither unreachable nor loading"
     );
     assert_eq!(choice.weights, WeightsVersion(1));
     assert_eq!(
-        choice.read_tokens,
+        choice.prefill_tokens,
         f64::from(call.prompt_tokens()),
         "nothing is cached at the new incarnation"
     );
-    assert_eq!(world.book.open_at(new), 0, "no requests are in progress at the new incarnation");
-    world.book.begin(&call, new, world.now);
-    world.book.left(&open);
     assert_eq!(
-        world.book.open_at(new),
+        world.registry.open_at(new),
+        0,
+        "no requests are in progress at the new incarnation"
+    );
+    world.registry.record_send(&call, new, world.now);
+    world.registry.record_end(&open);
+    assert_eq!(
+        world.registry.open_at(new),
         1,
         "the end of an old request does not affect the new incarnation"
     );
--- a/crates/dispatch/tests/restores.rs
+++ b/crates/dispatch/tests/restores.rs
@@ -68,36 +68,36 @@
 
 struct TestRouter {
     host: &'static str,
-    fold: FleetState,
+    fleet_state: FleetState,
     keeper: LeaseKeeper,
 }
 
 impl TestRouter {
     fn new(host: &'static str) -> TestRouter {
         let keeper = LeaseKeeper::new(HostName::new(host), LEASE_DURATION);
-        TestRouter { host, fold: FleetState::default(), keeper }
+        TestRouter { host, fleet_state: FleetState::default(), keeper }
     }
 
     /// Reads the topic, from its beginning if the epoch has changed.
     fn read(&mut self, topic: &TestTopic, now: BootTime) {
-        self.fold.begin_epoch(topic.epoch, now);
-        let from = self.fold.end().offset.0 as usize;
+        self.fleet_state.begin_epoch(topic.epoch, now);
+        let from = self.fleet_state.end().offset.0 as usize;
         for (offset, record) in topic.records.iter().enumerate().skip(from) {
-            self.fold.apply(LogOffset(offset as u64), record, now);
+            self.fleet_state.apply(LogOffset(offset as u64), record, now);
         }
     }
 
     fn decide(&mut self, topic: &mut TestTopic, is_acknowledged: bool, now: BootTime) {
-        if !self.fold.is_read() {
+        if !self.fleet_state.is_read() {
             return;
         }
-        let step = self.keeper.step(&self.fold, BootTime(0), LinkRank::Equal, now);
+        let step = self.keeper.step(&self.fleet_state, BootTime(0), LinkRank::Equal, now);
         let LeaseStep::Append { at } = step else { return };
         let Some(position) = topic.append(at, lease_record(self.host, at.epoch)) else { return };
         // A record that was appended in a later epoch than it was based on does not grant the
         // lease.
         if is_acknowledged && position.epoch == at.epoch {
-            self.keeper.appended(position.fence(), now);
+            self.keeper.record_append(position.fence(), now);
         }
     }
 }
@@ -213,15 +213,19 @@
 #[test]
 fn a_lost_lease_is_waited_out() {
     for case in LOST_LEASE_CASES {
-        let mut fold = FleetState::default();
-        fold.begin_epoch(StoreEpoch(0), BootTime(1_000));
-        fold.begin_epoch(StoreEpoch(1), BootTime(20_000));
+        let mut fleet_state = FleetState::default();
+        fleet_state.begin_epoch(StoreEpoch(0), BootTime(1_000));
+        fleet_state.begin_epoch(StoreEpoch(1), BootTime(20_000));
         if let Some((host, epoch)) = case.lease {
-            fold.apply(LogOffset(0), &lease_record(host, StoreEpoch(epoch)), BootTime(20_000));
+            fleet_state.apply(
+                LogOffset(0),
+                &lease_record(host, StoreEpoch(epoch)),
+                BootTime(20_000),
+            );
         }
         let keeper = LeaseKeeper::new(HostName::new("h0"), LEASE_DURATION);
         let now = BootTime(20_000 + case.elapsed_ms);
-        let step = keeper.step(&fold, BootTime(0), LinkRank::Equal, now);
+        let step = keeper.step(&fleet_state, BootTime(0), LinkRank::Equal, now);
         assert_eq!(matches!(step, LeaseStep::Append { .. }), case.appends, "{}", case.name);
     }
 }
@@ -269,41 +273,41 @@
 #[test]
 fn hosts_report_the_newest_configuration_after_a_restore() {
     for case in RESTORE_NOTE_CASES {
-        let mut fold = FleetState::default();
-        fold.begin_epoch(StoreEpoch(1), BootTime(1_000));
-        fold.apply(LogOffset(0), &joined_record("h0"), BootTime(1_000));
+        let mut fleet_state = FleetState::default();
+        fleet_state.begin_epoch(StoreEpoch(1), BootTime(1_000));
+        fleet_state.apply(LogOffset(0), &joined_record("h0"), BootTime(1_000));
         for (offset, (epoch, config, is_settled)) in (1..).zip(case.notes) {
             let (epoch, config) = (StoreEpoch(*epoch), ConfigVersion(*config));
             let note = FleetRecord::Restored { epoch, config, is_settled: *is_settled };
-            fold.apply(LogOffset(offset), &note, BootTime(1_000));
+            fleet_state.apply(LogOffset(offset), &note, BootTime(1_000));
         }
-        let config = fold.restore_note().map(|note| note.config.0);
+        let config = fleet_state.restore_report().map(|note| note.config.0);
         assert_eq!(config, case.expected_config, "{}", case.name);
-        assert_eq!(fold.is_restored_lately(), case.is_recent, "{}", case.name);
+        assert_eq!(fleet_state.is_restore_pending(), case.is_recent, "{}", case.name);
     }
 }
 
 /// Guards against starting hosts waiting although the store was never restored.
 #[test]
 fn the_first_epoch_is_trusted() {
-    let mut fold = FleetState::default();
-    fold.begin_epoch(StoreEpoch(0), BootTime(1_000));
-    fold.apply(LogOffset(0), &joined_record("h0"), BootTime(1_000));
-    assert!(!fold.is_restored_lately());
-    assert_eq!(fold.lost_lease_since(), None);
+    let mut fleet_state = FleetState::default();
+    fleet_state.begin_epoch(StoreEpoch(0), BootTime(1_000));
+    fleet_state.apply(LogOffset(0), &joined_record("h0"), BootTime(1_000));
+    assert!(!fleet_state.is_restore_pending());
+    assert_eq!(fleet_state.lost_lease_since(), None);
 }
 
 /// Guards against two holders at once: the own lease has expired, another host took it, and the
 /// restore lost that host's record.
 #[test]
 fn a_lost_lease_is_waited_out_after_the_own_has_expired() {
-    let mut fold = FleetState::default();
-    fold.begin_epoch(StoreEpoch(0), BootTime(1_000));
+    let mut fleet_state = FleetState::default();
+    fleet_state.begin_epoch(StoreEpoch(0), BootTime(1_000));
     let mut keeper = LeaseKeeper::new(HostName::new("h0"), LEASE_DURATION);
-    keeper.appended(FencingNumber(0), BootTime(1_000));
-    fold.begin_epoch(StoreEpoch(1), BootTime(4_500));
-    fold.apply(LogOffset(0), &lease_record("h0", StoreEpoch(0)), BootTime(4_500));
-    let step = |now| keeper.step(&fold, BootTime(0), LinkRank::Equal, BootTime(now));
+    keeper.record_append(FencingNumber(0), BootTime(1_000));
+    fleet_state.begin_epoch(StoreEpoch(1), BootTime(4_500));
+    fleet_state.apply(LogOffset(0), &lease_record("h0", StoreEpoch(0)), BootTime(4_500));
+    let step = |now| keeper.step(&fleet_state, BootTime(0), LinkRank::Equal, BootTime(now));
     assert!(matches!(step(4_600), LeaseStep::Wait(_)), "another host may hold the lease");
     assert!(matches!(step(7_500), LeaseStep::Append { .. }));
 }
--- a/crates/dispatch/tests/rollouts.rs
+++ b/crates/dispatch/tests/rollouts.rs
@@ -60,7 +60,7 @@
 #[test]
 fn engines_are_ordered_by_reachability_zone_and_load() {
     // The deadline has passed, so that the maximum share of engines may be updated at the same time.
-    let wave =
+    let plan =
         RolloutPlan::new(RolloutConf { max_concurrent_share: 0.5, ..RolloutConf::default() });
     let time = RolloutTime { age: Duration::from_secs(5), bound: Duration::from_secs(6) };
     for case in CASES {
@@ -77,7 +77,7 @@
                 is_open: *is_open,
             })
             .collect();
-        let next = wave.next(&servers, WeightsVersion(2), time);
+        let next = plan.next(&servers, WeightsVersion(2), time);
         let expected: Vec<ServerKey> = case.next.iter().map(|name| key(name)).collect();
         assert_eq!(next, expected, "{}", case.name);
     }
@@ -149,11 +149,11 @@
             is_open: true,
         };
         let servers: Vec<RolloutEngine> = (0..case.engines).map(server).collect();
-        let wave = RolloutTime {
+        let time = RolloutTime {
             age: Duration::from_millis(case.age_ms),
             bound: Duration::from_millis(case.bound_ms),
         };
-        let concurrency = RolloutPlan::default().concurrency(&servers, WeightsVersion(2), wave);
+        let concurrency = RolloutPlan::default().concurrency(&servers, WeightsVersion(2), time);
         assert_eq!(concurrency, case.expected, "{}", case.name);
     }
 }
--- a/crates/dispatch/tests/server_probes.rs
+++ b/crates/dispatch/tests/server_probes.rs
@@ -34,15 +34,20 @@
 const CASES: &[ContactCase] = &[
     ContactCase {
         name: "waiting requests share one probe",
-        events: &[NextStep(0, Ask), NextStep(1, Wait), NextStep(300, Wait), NextStep(400, Ask)],
+        events: &[NextStep(0, Probe), NextStep(1, Wait), NextStep(300, Wait), NextStep(400, Probe)],
     },
     ContactCase {
         name: "a successful probe holds for all requests for a while",
-        events: &[NextStep(0, Ask), Reached(5), NextStep(200, Wait), NextStep(300, Ask)],
+        events: &[NextStep(0, Probe), Reached(5), NextStep(200, Wait), NextStep(300, Probe)],
     },
     ContactCase {
         name: "a failed probe holds for all requests for a while",
-        events: &[NextStep(0, Ask), Failed(150), NextStep(160, Unreachable), NextStep(420, Ask)],
+        events: &[
+            NextStep(0, Probe),
+            Failed(150),
+            NextStep(160, Unreachable),
+            NextStep(420, Probe),
+        ],
     },
     ContactCase {
         name: "three failures over the minimum time make a server lost",
@@ -76,17 +81,22 @@
         let origin = Instant::now();
         let at = |ms: &u64| origin + Duration::from_millis(*ms);
         let entry = Arc::new(server("e", ENGINES));
-        let mut book = ServerRegistry::default();
-        book.sync(std::slice::from_ref(&entry), origin);
+        let mut registry = ServerRegistry::default();
+        registry.sync(std::slice::from_ref(&entry), origin);
         for event in case.events {
             match event {
-                Failed(ms) => book.unreachable(entry.key(), at(ms)),
-                Reached(ms) => book.reached(entry.key(), at(ms)),
+                Failed(ms) => registry.record_unreachable(entry.key(), at(ms)),
+                Reached(ms) => registry.record_reachable(entry.key(), at(ms)),
                 NextStep(ms, step) => {
-                    assert_eq!(book.silent(entry.key(), at(ms)), *step, "{} at {ms}", case.name);
+                    assert_eq!(
+                        registry.next_probe_step(entry.key(), at(ms)),
+                        *step,
+                        "{} at {ms}",
+                        case.name
+                    );
                 }
                 IsLost(ms, is_lost) => {
-                    assert_eq!(book.is_lost(&entry, at(ms)), *is_lost, "{} at {ms}", case.name);
+                    assert_eq!(registry.is_lost(&entry, at(ms)), *is_lost, "{} at {ms}", case.name);
                 }
             }
         }
@@ -103,12 +113,12 @@
         Arc::new(ServerEntry { incarnation, ..server("e", ENGINES) })
     };
     let (old, new) = (incarnation_of(6), incarnation_of(7));
-    let mut book = ServerRegistry::default();
-    book.sync(std::slice::from_ref(&old), now);
-    assert!(!book.is_lost(&old, now));
-    book.sync(&[], now);
-    assert!(!book.is_lost(&old, now), "a server that left the list may still respond");
-    book.sync(std::slice::from_ref(&new), now);
-    assert!(book.is_lost(&old, now));
-    assert!(!book.is_lost(&new, now));
+    let mut registry = ServerRegistry::default();
+    registry.sync(std::slice::from_ref(&old), now);
+    assert!(!registry.is_lost(&old, now));
+    registry.sync(&[], now);
+    assert!(!registry.is_lost(&old, now), "a server that left the list may still respond");
+    registry.sync(std::slice::from_ref(&new), now);
+    assert!(registry.is_lost(&old, now));
+    assert!(!registry.is_lost(&new, now));
 }
--- a/crates/dispatch/tests/servers.rs
+++ b/crates/dispatch/tests/servers.rs
@@ -9,7 +9,7 @@
 use fulmargate_names::Incarnation;
 use fulmargate_names::ServerName;
 use indexmap::IndexSet;
-use support::DESK;
+use support::PLAIN_SERVICE;
 use support::server;
 
 /// One step of a case; times in milliseconds.
@@ -192,7 +192,7 @@
 ];
 
 fn entry(name: &str, stage: ServerStage) -> ServerEntry {
-    ServerEntry { stage, ..server(name, DESK) }
+    ServerEntry { stage, ..server(name, PLAIN_SERVICE) }
 }
 
 fn entry_of(name: &str, incarnation: Option<u64>, stage: ServerStage) -> ServerEntry {
@@ -204,7 +204,7 @@
     for step in steps {
         match step {
             Contact { sent, now } => {
-                table.contact(BootTime(*sent), BootTime(*now));
+                table.record_response(BootTime(*sent), BootTime(*now));
             }
             Put(name, stage) => assert!(table.put(entry(name, *stage))),
             PutIncarnation(name, start, stage) => {
--- a/crates/dispatch/tests/support/mod.rs
+++ b/crates/dispatch/tests/support/mod.rs
@@ -31,7 +31,7 @@
 use tokio::time::Instant;
 
 pub(crate) const ENGINES: &str = "engines";
-pub(crate) const DESK: &str = "desk";
+pub(crate) const PLAIN_SERVICE: &str = "desk";
 
 pub(crate) fn model() -> ModelName {
     ModelName::new("m")
@@ -83,7 +83,7 @@
 }
 
 pub(crate) fn stream(is_resumable: bool) -> RouteKind {
-    RouteKind::Stream(StreamRule { is_resumable, longest_gap: Duration::from_millis(500) })
+    RouteKind::Stream(StreamRule { is_resumable, max_gap: Duration::from_millis(500) })
 }
 
 pub(crate) fn team(name: &str, keys: &[&str], is_isolated: bool) -> TeamRule {
@@ -123,7 +123,7 @@
         routes,
         services: vec![
             service(ENGINES, Some(engine), None),
-            service(DESK, None, None),
+            service(PLAIN_SERVICE, None, None),
             service("kept", None, Some(store)),
         ],
         teams,
@@ -156,6 +156,6 @@
         priority: 1,
         arrived: now,
         deadline: now + Duration::from_secs(5),
-        print: 1,
+        fingerprint: 1,
     }
 }
--- a/crates/emulator/src/main.rs
+++ b/crates/emulator/src/main.rs
@@ -6,7 +6,7 @@
 use comfy_table::Table;
 use comfy_table::presets::ASCII_MARKDOWN;
 use fulmargate_dispatch::experiment::Mechanism;
-use fulmargate_dispatch::experiment::switch_off;
+use fulmargate_dispatch::experiment::disable;
 use fulmargate_emulator::CallKind;
 use fulmargate_emulator::FigureSheet;
 use fulmargate_emulator::FleetSpec;
@@ -60,7 +60,7 @@
         "answered",
     ]);
     for off in &policies {
-        switch_off(off);
+        disable(off);
         let name = off.first().map_or("nothing".to_owned(), ToString::to_string);
         for pattern in &patterns {
             eprintln!("playing {} without {name}", pattern.name());
--- a/crates/emulator/src/play/routers.rs
+++ b/crates/emulator/src/play/routers.rs
@@ -70,18 +70,18 @@
         let wish = self.wish(call);
         let number = self.calls[call].plan.router;
         let router = &mut self.routers[number];
-        if !router.line.goes_first(&wish.call) {
-            let place = router.line.enter(wish);
+        if !router.line.may_bypass(&wish.call) {
+            let place = router.line.push(wish);
             router.places.insert(place, call);
             self.serve_soon(number);
             return;
         }
         let view = self.shared.view(&router.weights, self.now);
-        match router.book.place(&wish, view) {
-            Placement::Taken(taken) => self.send(call, *taken),
-            Placement::Nowhere => self.refuse(call, 0.3),
-            Placement::Wait(_) => {
-                let place = router.line.enter(wish);
+        match router.registry.place(&wish, view) {
+            Placement::Assigned(taken) => self.send(call, *taken),
+            Placement::NoEngine => self.refuse(call, 0.3),
+            Placement::Queued(_) => {
+                let place = router.line.push(wish);
                 router.places.insert(place, call);
                 self.serve_soon(number);
             }
@@ -157,7 +157,7 @@
         let place =
             router.places.iter().find(|(_, waiting)| **waiting == call).map(|(place, _)| *place);
         if let Some(place) = place {
-            router.line.leave(place);
+            router.line.remove(place);
             router.places.swap_remove(&place);
         }
         if let Some(send) = self.calls[call].send.take() {
@@ -171,7 +171,7 @@
         let state = &mut self.sends[send];
         let router = state.router;
         if let Some(ticket) = state.ticket.take() {
-            self.routers[router].book.left(&ticket);
+            self.routers[router].registry.record_end(&ticket);
         }
         self.serve_soon(router);
     }
@@ -179,7 +179,7 @@
     pub(super) fn no_connection(&mut self, send: usize) {
         let (call, router, engine) = self.origin(send);
         let now = self.shared.time(self.now);
-        self.routers[router].book.unreachable(self.shared.entries[engine].key(), now);
+        self.routers[router].registry.record_unreachable(self.shared.entries[engine].key(), now);
         self.try_again(send, call, engine);
     }
 
@@ -189,7 +189,7 @@
         let (key, model) = (self.shared.entries[engine].key(), &self.shared.model);
         let wanted = Some(WeightsVersion(self.named));
         let now = self.shared.time(self.now);
-        self.routers[router].book.turned_away_prompt(key, model, wanted, now);
+        self.routers[router].registry.record_prompt_rejection(key, model, wanted, now);
         self.try_again(send, call, engine);
     }
 
@@ -221,7 +221,7 @@
             return;
         }
         let now = self.shared.time(self.now);
-        self.routers[router].book.unreachable(self.shared.entries[engine].key(), now);
+        self.routers[router].registry.record_unreachable(self.shared.entries[engine].key(), now);
         self.calls[call].runs += 1;
         self.try_again(send, call, engine);
     }
@@ -240,7 +240,7 @@
             self.sends[send].has_begun = true;
             state.first_event.get_or_insert(heard);
             if let Some(ticket) = &mut self.sends[send].ticket {
-                self.routers[router].book.answered(ticket, None, now);
+                self.routers[router].registry.record_response(ticket, None, now);
             }
             self.serve_soon(router);
         }
@@ -251,8 +251,8 @@
         self.calls[call].end = Some(CallEnd::Whole);
         let share = self.calls[call].longest_pause / 250.0;
         if let Some(ticket) = &self.sends[send].ticket {
-            self.routers[router].book.succeeded(ticket, now);
-            self.routers[router].book.paused(ticket, share, now);
+            self.routers[router].registry.record_success(ticket, now);
+            self.routers[router].registry.record_stall(ticket, share, now);
         }
         self.close(send);
     }
@@ -270,7 +270,7 @@
         let router = &mut self.routers[number];
         router.is_served_soon = false;
         let view = self.shared.view(&router.weights, self.now);
-        let ends = router.line.serve(&mut router.book, view);
+        let ends = router.line.run(&mut router.registry, view);
         let mut ended = Vec::new();
         for (place, end) in ends {
             if let Some(call) = router.places.swap_remove(&place) {
@@ -280,8 +280,8 @@
         let is_empty = router.line.is_empty();
         for (call, end) in ended {
             match end {
-                QueueOutcome::Taken(taken) => self.send(call, *taken),
-                QueueOutcome::Nowhere => self.refuse(call, 0.3),
+                QueueOutcome::Assigned(taken) => self.send(call, *taken),
+                QueueOutcome::NoEngine => self.refuse(call, 0.3),
                 QueueOutcome::Refused(wait) => self.refuse(call, wait.as_secs_f64()),
             }
         }
@@ -294,11 +294,11 @@
     /// A router tells the others what it has under way.
     pub(super) fn speak(&mut self, router: usize) {
         let now = self.shared.time(self.now);
-        let mut news = self.routers[router].book.take_news(usize::MAX, now);
+        let mut news = self.routers[router].registry.take_gossip(usize::MAX, now);
         news.host = Some(HostName::new(&format!("host-{router}")));
         for (other, state) in self.routers.iter_mut().enumerate() {
             if other != router {
-                state.book.hear(&news, now);
+                state.registry.apply_gossip(&news, now);
             }
         }
         let waiting = self.routers.iter().map(|router| router.line.len()).sum();
@@ -319,7 +319,7 @@
             }
             let notice = CacheNotice { server, is_reset: false, parts };
             for router in &mut self.routers {
-                router.book.hear_cache(notice.clone(), now);
+                router.registry.apply_cache_update(notice.clone(), now);
             }
         }
         self.queue.add(self.now + CACHE_WORD_MS, PlayEvent::CacheWords);
--- a/crates/emulator/src/play/weights.rs
+++ b/crates/emulator/src/play/weights.rs
@@ -29,7 +29,7 @@
         let boot_now = BootTime(100_000 + self.now as u64);
         for router in &mut self.routers {
             let version = WeightsVersion(self.named);
-            router.weights.name_version(&self.shared.model, version, boot_now);
+            router.weights.add_target(&self.shared.model, version, boot_now);
         }
         let lease = if self.named == 2 { LEASE_MS } else { 0.0 };
         self.queue.add(self.now + lease, PlayEvent::Wave);
@@ -45,13 +45,13 @@
             .iter()
             .enumerate()
             .filter_map(|(number, entry)| {
-                let state = router.book.state(entry.key())?;
+                let state = router.registry.state(entry.key())?;
                 Some(RolloutEngine {
                     key: entry.key(),
                     name: entry.name.clone(),
                     zone: entry.zone.clone(),
                     version: state.confirmed_weights(model)?,
-                    load: router.book.open_at(entry.key()),
+                    load: router.registry.open_at(entry.key()),
                     is_ordered: self.ordered.contains(&number),
                     is_open: state.is_open(self.shared.time(self.now)),
                 })
@@ -87,7 +87,8 @@
                 self.ordered.swap_remove(&engine);
                 continue;
             }
-            let is_idle = self.routers[HOLDER].book.open_at(self.shared.entries[engine].key()) == 0;
+            let is_idle =
+                self.routers[HOLDER].registry.open_at(self.shared.entries[engine].key()) == 0;
             if self.engines[engine].order.is_some() || !is_idle && 0 < self.engines[engine].load() {
                 continue;
             }
@@ -117,12 +118,12 @@
         }
         self.engines[engine].loaded();
         self.ordered.swap_remove(&engine);
-        self.tell_stage(engine, LoadingStage::InPlace);
+        self.tell_stage(engine, LoadingStage::Loaded);
     }
 
     fn tell_stage(&mut self, engine: usize, stage: LoadingStage) {
         let version = match stage {
-            LoadingStage::InPlace => WeightsVersion(self.engines[engine].weights),
+            LoadingStage::Loaded => WeightsVersion(self.engines[engine].weights),
             _ => WeightsVersion(self.named),
         };
         let notice = LoadingNotice {
@@ -135,7 +136,7 @@
         let news = GossipMessage { host, loading: vec![notice], ..GossipMessage::default() };
         let now = self.shared.time(self.now);
         for router in &mut self.routers {
-            router.book.hear(&news, now);
+            router.registry.apply_gossip(&news, now);
         }
     }
 }
--- a/crates/emulator/src/router_model.rs
+++ b/crates/emulator/src/router_model.rs
@@ -55,7 +55,7 @@
 
 /// One router.
 pub(crate) struct RouterModel {
-    pub(crate) book: ServerRegistry,
+    pub(crate) registry: ServerRegistry,
     pub(crate) line: RequestQueue,
     pub(crate) weights: WeightsTable,
     /// Calls that wait, by their place in the line.
@@ -120,19 +120,19 @@
             priority: 1,
             arrived: now,
             deadline: now + left,
-            print: 0,
+            fingerprint: 0,
         }
     }
 }
 
 impl RouterModel {
     pub(crate) fn new(shared: &SharedKnowledge) -> RouterModel {
-        let mut book = ServerRegistry::default();
-        book.sync(&shared.entries, shared.start);
+        let mut registry = ServerRegistry::default();
+        registry.sync(&shared.entries, shared.start);
         let mut weights = WeightsTable::default();
-        weights.name_version(&shared.model, WeightsVersion(1), BootTime::default());
+        weights.add_target(&shared.model, WeightsVersion(1), BootTime::default());
         RouterModel {
-            book,
+            registry,
             line: RequestQueue::default(),
             weights,
             places: IndexMap::new(),
@@ -150,10 +150,8 @@
 
 fn route_rule(kind: CallKind, service: &ServiceName) -> RouteRule {
     let sheet = kind.spec();
-    let rule = StreamRule {
-        is_resumable: kind == CallKind::Lookup,
-        longest_gap: Duration::from_millis(250),
-    };
+    let rule =
+        StreamRule { is_resumable: kind == CallKind::Lookup, max_gap: Duration::from_millis(250) };
     RouteRule {
         name: route_name(kind).to_owned(),
         host: "h".to_owned(),
--- a/crates/emulator/tests/patterns.rs
+++ b/crates/emulator/tests/patterns.rs
@@ -1,7 +1,7 @@
 //! Load patterns, and what the decisions make of them.
 
 use fulmargate_dispatch::experiment::Mechanism;
-use fulmargate_dispatch::experiment::switch_off;
+use fulmargate_dispatch::experiment::disable;
 use fulmargate_emulator::CallKind;
 use fulmargate_emulator::FigureSheet;
 use fulmargate_emulator::FleetSpec;
@@ -12,7 +12,7 @@
 const LENGTH_S: f64 = 14.0;
 
 fn sheet(pattern: LoadPattern, off: &[Mechanism], seed: u64) -> FigureSheet {
-    switch_off(off);
+    disable(off);
     play(FleetSpec { length_s: LENGTH_S, ..FleetSpec::default() }, pattern, seed)
 }
 
@@ -120,7 +120,7 @@
         assert!(case.least <= figure, "{what}: {figure:.3}");
         assert!(without <= case.most_without, "{what}: {without:.3}");
     }
-    switch_off(&[]);
+    disable(&[]);
 }
 
 /// Callers with long prompts are never answered under load.
@@ -137,7 +137,7 @@
 /// Share of requests with a first event within 400 ms, before a burst and from two seconds after it.
 fn shares_around_a_burst(off: &[Mechanism]) -> (f64, f64) {
     let spec = FleetSpec { length_s: 18.0, ..FleetSpec::default() };
-    switch_off(off);
+    disable(off);
     let day = |seed| play(spec, LoadPattern::Burst, seed);
     let sheets: Vec<FigureSheet> = (1..=3).map(day).collect();
     let mean = |from_s, to_s| {
--- a/crates/entry/src/control/cache_event_client.rs
+++ b/crates/entry/src/control/cache_event_client.rs
@@ -87,7 +87,7 @@
         let _permit = self.backfill_permits.acquire().await;
         let wait = self.bandwidth_share.borrow().wait(Instant::now());
         sleep(wait).await;
-        let page_transfer_time = self.bandwidth_share.borrow().time_of(MOST_PAGE_BYTES);
+        let page_transfer_time = self.bandwidth_share.borrow().transfer_time(MOST_PAGE_BYTES);
         let request = CacheQuestion {
             since,
             wait: BACKFILL_POLL_WAIT,
--- a/crates/entry/src/control/cache_reader.rs
+++ b/crates/entry/src/control/cache_reader.rs
@@ -12,7 +12,7 @@
 use fulmargate_consortium::StoreError;
 use fulmargate_dispatch::CacheNotice;
 use fulmargate_dispatch::ServerKey;
-use fulmargate_dispatch::history_pause;
+use fulmargate_dispatch::history_retry_delay;
 use fulmargate_names::EventKind;
 use fulmargate_names::Incarnation;
 use tokio::time::Instant;
@@ -106,7 +106,7 @@
         self.mode = ReadMode::Backfill;
         self.failures = self.failures.saturating_add(1);
         match self.epoch {
-            None => history_pause(self.failures),
+            None => history_retry_delay(self.failures),
             Some(_) => LIVE_RETRY_DELAY,
         }
     }
@@ -127,6 +127,6 @@
             return;
         }
         let notice = CacheNotice { server: self.source.key, is_reset, parts: page.parts };
-        self.state.book().hear_cache(notice, Instant::now());
+        self.state.servers().apply_cache_update(notice, Instant::now());
     }
 }
--- a/crates/entry/src/control/cache_watcher.rs
+++ b/crates/entry/src/control/cache_watcher.rs
@@ -50,12 +50,12 @@
         let own = &self.state.settings.host;
         // A new process knows no live peers and would assign all sources to itself, saturating its
         // link with backfills.
-        if !self.peer_discovery.is_over(own, &self.state.fleet.load().members, Instant::now()) {
+        if !self.peer_discovery.is_complete(own, &self.state.fleet.load().members, Instant::now()) {
             return IndexMap::new();
         }
         let table = self.state.table.load();
         let Some(table) = table.as_ref() else { return IndexMap::new() };
-        let book = self.state.book();
+        let book = self.state.servers();
         let peers = book.live_peers(Instant::now());
         let engines = book.states().filter(|state| table.has_engines(&state.entry().service));
         let mut sources: IndexMap<ServerKey, CacheSource> =
--- a/crates/entry/src/control/connection_table.rs
+++ b/crates/entry/src/control/connection_table.rs
@@ -28,7 +28,7 @@
 
 use crate::control::fleet_codec::RELAY_HEADER;
 use crate::control::fleet_codec::RELAYED_PATH;
-use crate::sockets::watch_peer;
+use crate::sockets::set_peer_timeout;
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
 /// A connection is closed when sent data stays unacknowledged for this time.
@@ -225,7 +225,7 @@
     max_buffered_bytes: usize,
 ) -> Result<PeerConnection, ConnectionError> {
     let stream = TcpStream::connect(address).await?;
-    watch_peer(&stream, PEER_TIMEOUT)?;
+    set_peer_timeout(&stream, PEER_TIMEOUT)?;
     let (mut client, connection) = h2::client::handshake(stream).await?;
     let task = actix_rt::spawn(async move {
         if let Err(err) = connection.await {
