--- a/crates/entry/src/control/control_thread.rs
+++ b/crates/entry/src/control/control_thread.rs
@@ -31,8 +31,8 @@
 use crate::control::relay_forwarder::RelayForwarder;
 use crate::control::relay_queue::SharedRelays;
 use crate::control::server_watcher::ServerWatcher;
+use crate::daemon::ShutdownTokens;
 use crate::daemon::StartError;
-use crate::daemon::StopTokens;
 use crate::state::CrashSighting;
 use crate::state::SharedState;
 use crate::telemetry::render_metrics;
@@ -61,7 +61,7 @@
 /// other routers.
 pub(crate) struct ControlThread {
     pub(crate) state: Arc<SharedState>,
-    pub(crate) stop: StopTokens,
+    pub(crate) stop: ShutdownTokens,
     pub(crate) path: PathBuf,
 }
 
@@ -75,14 +75,14 @@
         System::new().block_on(async move {
             let ControlListeners { readiness, metrics, peers } = listeners;
             let pages = serve_http_pages(self.state.clone(), self.stop.clone(), readiness, metrics)
-                .map_err(|err| StartError::Thread { what: "pages", reason: err.to_string() })?;
+                .map_err(|err| StartError::Thread { task: "pages", reason: err.to_string() })?;
             actix_rt::spawn(pages);
             let record_cache = Rc::new(RecordCache::new(self.state.settings.link_bytes_per_s()));
             let relays = SharedRelays::default();
             let listener =
                 PeerListener::new(self.state.clone(), record_cache.clone(), relays.clone(), peers)
-                    .map_err(|err| StartError::Thread { what: "peers", reason: err.to_string() })?;
-            spawn_until_cancelled(&self.stop.ended, listener.run());
+                    .map_err(|err| StartError::Thread { task: "peers", reason: err.to_string() })?;
+            spawn_until_cancelled(&self.stop.complete, listener.run());
             self.start_tasks(&record_cache, &relays, crashes);
             self.serve_signals().await?;
             self.shut_down().await;
@@ -97,7 +97,7 @@
         crashes: UnboundedReceiver<CrashSighting>,
     ) {
         let client = StoreClient::new(self.state.settings.store);
-        let token = self.stop.ended.clone();
+        let token = self.stop.complete.clone();
         let fleet_state = SharedFleetState::default();
         // Each watcher has its own connection to the router that it reads from.
         let source = || {
@@ -122,7 +122,7 @@
         spawn_until_cancelled(&token, CacheWatcher::new(self.state.clone()).run());
         let scheduler = OrderScheduler::new(self.state.clone(), client, fleet_state, reader);
         // Cancelled when the shutdown begins, so that another host takes the lease.
-        spawn_until_cancelled(&self.stop.begun, scheduler.run());
+        spawn_until_cancelled(&self.stop.requested, scheduler.run());
         spawn_until_cancelled(&token, run_metrics_upkeep(self.state.clone()));
     }
 
@@ -131,7 +131,7 @@
     async fn serve_signals(&self) -> Result<(), StartError> {
         let register = |kind: SignalKind| {
             signal(kind)
-                .map_err(|err| StartError::Thread { what: "signals", reason: err.to_string() })
+                .map_err(|err| StartError::Thread { task: "signals", reason: err.to_string() })
         };
         let mut sigterm = register(SignalKind::terminate())?;
         let mut sigint = register(SignalKind::interrupt())?;
@@ -163,16 +163,16 @@
         let kind = EventKind::StopBegun;
         let open = self.state.open_requests.load(Ordering::Relaxed);
         tracing::info!(event = kind.number(), name = kind.name(), open);
-        self.stop.begun.cancel();
+        self.stop.requested.cancel();
         sleep(READINESS_DRAIN_DELAY).await;
-        self.stop.closing.cancel();
+        self.stop.draining.cancel();
         let remaining = self.state.settings.bounds.stop_grace() - READINESS_DRAIN_DELAY;
         let drain_timeout = remaining.saturating_sub(SHUTDOWN_MARGIN);
         let all_ended =
             tokio::time::timeout(drain_timeout, self.wait_for_connections()).await.is_ok();
         let kind = EventKind::StopEnded;
         tracing::info!(event = kind.number(), name = kind.name(), all_ended);
-        self.stop.ended.cancel();
+        self.stop.complete.cancel();
     }
 
     async fn wait_for_connections(&self) {
--- a/crates/entry/src/control/epoch_tracker.rs
+++ b/crates/entry/src/control/epoch_tracker.rs
@@ -42,7 +42,7 @@
             return Ok(false);
         }
         self.has_advanced = true;
-        self.state.proof().doubt(epoch, boot_now());
+        self.state.proof().mark_untrusted(epoch, boot_now());
         let kind = EventKind::StoreRestored;
         tracing::warn!(event = kind.number(), name = kind.name(), topic = self.topic, %before, %epoch);
         Ok(true)
--- a/crates/entry/src/control/fleet_watcher.rs
+++ b/crates/entry/src/control/fleet_watcher.rs
@@ -140,17 +140,18 @@
 
     fn pending_restore_record(&self) -> Option<FleetRecord> {
         let fleet_state = self.reader.fleet_state.borrow();
-        if !fleet_state.is_restored_lately() || !self.reader.source.is_reader() {
+        if !fleet_state.is_restore_pending() || !self.reader.source.is_reader() {
             return None;
         }
         let proof = *self.reader.state.proof();
-        let is_settled = !proof.is_doubted(boot_now());
+        let is_settled = !proof.is_untrusted(boot_now());
         // A host that has just started knows no more than the store does.
         if !is_settled && !self.reader.epoch.borrow().has_advanced() {
             return None;
         }
-        let config = proof.in_force();
-        let is_recorded = fleet_state.restore_note().is_some_and(|note| config <= note.config);
+        let config = proof.active_version();
+        let is_recorded =
+            fleet_state.restore_report().is_some_and(|report| config <= report.config);
         let is_due = config != ConfigVersion(0) && (!is_recorded || is_settled);
         is_due.then(|| FleetRecord::Restored { epoch: fleet_state.end().epoch, config, is_settled })
     }
@@ -228,20 +229,20 @@
 
     fn publish(&self) {
         let fleet_state = self.fleet_state.borrow();
-        self.state.budget().set_hosts(fleet_state.hosts());
+        self.state.retry_budget().set_hosts(fleet_state.hosts());
         let hosts = fleet_state.fleet_hosts(boot_now()).map(|(host, _)| (host.host, host.zone));
         self.state.quotas().set_routers(hosts, Instant::now());
         let members = fleet_state.members().map(|(host, _)| host.clone()).collect();
         let view = FleetView { members, lease: fleet_state.lease().cloned() };
         self.state.fleet.store(Arc::new(view));
         let mut proof = self.state.proof();
-        if let Some(note) = fleet_state.restore_note() {
-            proof.note_known(note.config);
+        if let Some(report) = fleet_state.restore_report() {
+            proof.observe_version(report.config);
         }
         // Confirms the configuration only if the restore precedes this process. After one seen by
         // this router, operators first have to write again, or have to have had time to.
-        if !fleet_state.is_restored_lately() && !self.epoch.borrow().has_advanced() {
-            proof.settle(fleet_state.end().epoch);
+        if !fleet_state.is_restore_pending() && !self.epoch.borrow().has_advanced() {
+            proof.mark_trusted(fleet_state.end().epoch);
         }
     }
 
@@ -259,10 +260,10 @@
         self.fleet_state.borrow_mut().apply(offset, &record, boot_now());
         if let FleetRecord::Crash { print, server, start } = &record {
             let mut crashes = self.state.crashes();
-            crashes.note(*print, *start, Instant::now());
-            let (count, is_convicted) = (crashes.count(*print), crashes.is_convicted(*print));
+            crashes.record(*print, *start, Instant::now());
+            let (count, must_reject) = (crashes.count(*print), crashes.must_reject(*print));
             drop(crashes);
-            let kind = match is_convicted {
+            let kind = match must_reject {
                 true => EventKind::RequestConvicted,
                 false => EventKind::RequestSuspected,
             };
@@ -299,8 +300,8 @@
 }
 
 fn crash_record(sighting: CrashSighting) -> FleetRecord {
-    let CrashSighting { print, server } = sighting;
-    FleetRecord::Crash { print, server: server.name.clone(), start: server.key() }
+    let CrashSighting { fingerprint, server } = sighting;
+    FleetRecord::Crash { print: fingerprint, server: server.name.clone(), start: server.key() }
 }
 
 async fn append_missing(
--- a/crates/entry/src/control/gossip_sender.rs
+++ b/crates/entry/src/control/gossip_sender.rs
@@ -10,8 +10,8 @@
 use fulmargate_dispatch::GossipTarget;
 use fulmargate_dispatch::GossipTopology;
 use fulmargate_dispatch::WeightsAge;
-use fulmargate_dispatch::published_parts;
-use fulmargate_dispatch::urgent_pace;
+use fulmargate_dispatch::max_published_parts;
+use fulmargate_dispatch::urgent_interval;
 use fulmargate_names::HostName;
 use indexmap::IndexSet;
 use tokio::time::Instant;
@@ -77,19 +77,20 @@
         let link_bytes_per_s = self.state.settings.link_bytes_per_s();
         loop {
             let plan = self.next_plan(message_bytes);
-            self.state.book().set_gossip_interval(plan.interval);
+            self.state.servers().set_gossip_interval(plan.interval);
             tokio::select! {
                 () = sleep(plan.interval) => {}
                 () = self.state.loading.changed() => sleep_until(last_round + plan.urgent_interval).await,
             }
             let since_last_round = last_round.elapsed().min(plan.interval);
             last_round = Instant::now();
-            let gossip = self.next_message(published_parts(
+            let gossip = self.next_message(max_published_parts(
                 link_bytes_per_s,
                 plan.recipients,
                 since_last_round,
             ));
-            let is_busy = has_updates(&gossip) || self.relays.choice.borrow().is_awaiting();
+            let is_busy =
+                has_updates(&gossip) || self.relays.choice.borrow().is_waiting_for_relay();
             message_bytes = 0;
             // The message after the last update is sent at once, to report that nothing is in
             // progress. Later ones are keepalives.
@@ -110,16 +111,17 @@
         match topology.targets(&own, &mut choice, Instant::now()) {
             Some(targets) => GossipPlan {
                 targets: targets.into_iter().filter_map(|target| self.resolve(target)).collect(),
-                interval: topology.pace,
+                interval: topology.interval,
                 urgent_interval: RELAYED_URGENT_INTERVAL,
                 idle_interval: RELAYED_IDLE_INTERVAL,
                 recipients: hosts.len(),
             },
             None => {
                 let targets = self.all_peers();
-                let urgent_interval = urgent_pace(targets.len(), message_bytes, link_bytes_per_s);
+                let urgent_interval =
+                    urgent_interval(targets.len(), message_bytes, link_bytes_per_s);
                 let (interval, idle_interval, recipients) =
-                    (topology.pace, IDLE_INTERVAL, targets.len());
+                    (topology.interval, IDLE_INTERVAL, targets.len());
                 GossipPlan { targets, interval, urgent_interval, idle_interval, recipients }
             }
         }
@@ -135,7 +137,7 @@
     /// from here and silent relays, so that they aren't chosen as relays.
     fn fleet_hosts(&self, own: &FleetHost) -> Vec<FleetHost> {
         let now = Instant::now();
-        let mut hosts = self.state.book().fleet_hosts(now);
+        let mut hosts = self.state.servers().fleet_hosts(now);
         let live_hosts: IndexSet<HostName> = hosts.iter().map(|host| host.host.clone()).collect();
         // Without any live peer, members are known only from their records, of any age.
         let has_no_live_peers = live_hosts.is_empty();
@@ -149,7 +151,7 @@
         hosts.retain(|host| {
             host.host != own.host
                 && !connections.has_failed(&host.host)
-                && !choice.is_silent(&host.host, now)
+                && !choice.failed_recently(&host.host, now)
         });
         hosts.push(own.clone());
         hosts
@@ -180,7 +182,7 @@
     }
 
     fn next_message(&self, max_parts: usize) -> GossipMessage {
-        let mut gossip = self.state.book().take_news(max_parts, Instant::now());
+        let mut gossip = self.state.servers().take_gossip(max_parts, Instant::now());
         gossip.host = Some(self.state.settings.host.clone());
         gossip.zone = Some(self.state.settings.zone.clone());
         gossip.link_kbps = Some(self.state.settings.link_kbps());
--- a/crates/entry/src/control/log_source.rs
+++ b/crates/entry/src/control/log_source.rs
@@ -40,7 +40,7 @@
 use crate::control::fleet_codec::encode_payload;
 use crate::control::fleet_watcher::SharedFleetState;
 use crate::control::record_cache::RecordCache;
-use crate::sockets::watch_peer;
+use crate::sockets::set_peer_timeout;
 use crate::state::SharedState;
 use crate::state::boot_now;
 
@@ -61,10 +61,10 @@
 const PEER_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// Records, and the time up to which they are known to be complete.
-pub(crate) struct ProvenPage {
+pub(crate) struct SourcePage {
     pub(crate) records: Vec<Vec<u8>>,
     /// Send time of the read that proves completeness; `None` if there is more to read.
-    pub(crate) proven: Option<BootTime>,
+    pub(crate) complete_as_of: Option<BootTime>,
 }
 
 /// The newest record of each key of a topic.
@@ -139,7 +139,7 @@
             record_cache,
             connection: Rc::default(),
             failed_readers: Rc::default(),
-            store_state: Rc::new(Cell::new(StoreAccess::InReach)),
+            store_state: Rc::new(Cell::new(StoreAccess::Reachable)),
         }
     }
 
@@ -168,7 +168,7 @@
         let sent = boot_now();
         let first = self.client.newest(topic, None, PAGE_TIMEOUT).await?;
         let (end, mut next, mut records) = (first.end, first.next, first.records);
-        self.state.note_epoch(end.epoch);
+        self.state.record_epoch(end.epoch);
         while let Some(after) = next {
             let page = self.client.newest(topic, Some(&after), PAGE_TIMEOUT).await?;
             if page.end.epoch != end.epoch {
@@ -193,7 +193,7 @@
         from: LogPosition,
         wait: Duration,
         grace: Duration,
-    ) -> Result<ProvenPage, StoreError> {
+    ) -> Result<SourcePage, StoreError> {
         tokio::select! {
             page = self.read_any_source(topic, from, wait, grace) => page,
             epoch = self.state.epoch_after(from.epoch) => Err(StoreError::Restored { epoch }),
@@ -206,7 +206,7 @@
         from: LogPosition,
         wait: Duration,
         grace: Duration,
-    ) -> Result<ProvenPage, StoreError> {
+    ) -> Result<SourcePage, StoreError> {
         if let Some((reader, address)) = self.select_reader() {
             let request = log_request(topic, from, wait);
             let requested_at = boot_now();
@@ -214,8 +214,8 @@
                 Ok(answer) => {
                     metrics::counter!("fulmargate_log_reads_total", "source" => "router")
                         .increment(1);
-                    let proven = Some(answer.proven(requested_at));
-                    return Ok(ProvenPage { records: answer.records, proven });
+                    let complete_as_of = Some(answer.complete_as_of(requested_at));
+                    return Ok(SourcePage { records: answer.records, complete_as_of });
                 }
                 Err(err) => {
                     tracing::debug!(
@@ -237,17 +237,17 @@
         from: LogPosition,
         wait: Duration,
         grace: Duration,
-    ) -> Result<ProvenPage, StoreError> {
+    ) -> Result<SourcePage, StoreError> {
         let sent = boot_now();
         let result = self.client.read(topic, from, wait, wait + grace).await;
         self.store_state.set(match &result {
             Ok(_) | Err(StoreError::Deleted { .. } | StoreError::Restored { .. }) => {
-                StoreAccess::InReach
+                StoreAccess::Reachable
             }
-            Err(_) => StoreAccess::OutOfReach,
+            Err(_) => StoreAccess::Unreachable,
         });
         if let Err(StoreError::Restored { epoch }) = &result {
-            self.state.note_epoch(*epoch);
+            self.state.record_epoch(*epoch);
         }
         let page = result?;
         metrics::counter!("fulmargate_log_reads_total", "source" => "store").increment(1);
@@ -255,7 +255,7 @@
         if self.may_serve_peers() {
             self.record_cache.put(topic, from, &page.records, is_complete.then_some(sent));
         }
-        Ok(ProvenPage { records: page.records, proven: is_complete.then_some(sent) })
+        Ok(SourcePage { records: page.records, complete_as_of: is_complete.then_some(sent) })
     }
 
     /// Whether other hosts may request records from this one.
@@ -267,7 +267,7 @@
     /// that has just started find a reader before it has received any gossip.
     fn zone_peers(&self) -> Vec<ZonePeer> {
         let settings = &self.state.settings;
-        let mut peers = self.state.book().zone_peers(&settings.zone, Instant::now());
+        let mut peers = self.state.servers().zone_peers(&settings.zone, Instant::now());
         let live_hosts: IndexSet<HostName> = peers.iter().map(|peer| peer.host.clone()).collect();
         let fleet_state = self.fleet_state.borrow();
         let recent = fleet_state.new_members(&settings.zone, boot_now());
@@ -329,7 +329,7 @@
         };
         let mut client = client.ready().await?;
         let mut http_request = Request::post(format!("http://{address}/log"));
-        if self.store_state.get() == StoreAccess::OutOfReach {
+        if self.store_state.get() == StoreAccess::Unreachable {
             http_request = http_request.header(STORE_STATE_HEADER, STORE_UNREACHABLE);
         }
         let http_request = http_request.body(());
@@ -361,7 +361,7 @@
 async fn connect(address: SocketAddr) -> Result<ReaderConnection, RequestError> {
     let connecting = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
     let stream = connecting.map_err(|_| RequestError::TimedOut)??;
-    watch_peer(&stream, PEER_TIMEOUT)?;
+    set_peer_timeout(&stream, PEER_TIMEOUT)?;
     let (client, connection) = h2::client::handshake(stream).await?;
     let task = actix_rt::spawn(async move {
         if let Err(err) = connection.await {
--- a/crates/entry/src/control/operator_watcher.rs
+++ b/crates/entry/src/control/operator_watcher.rs
@@ -21,7 +21,7 @@
 
 use crate::control::epoch_tracker::EpochTracker;
 use crate::control::log_source::LogSource;
-use crate::control::log_source::ProvenPage;
+use crate::control::log_source::SourcePage;
 use crate::control::store_retry::StoreRetry;
 use crate::state::SharedState;
 use crate::state::boot_now;
@@ -98,7 +98,7 @@
         self.apply_page(from.epoch, &page);
         self.next = Some(from.after(page.records.len()));
         // A page may end before the topic does; only a complete read proves that nothing is newer.
-        if let Some(sent) = page.proven {
+        if let Some(sent) = page.complete_as_of {
             self.renew_proof(sent);
         }
         Ok(())
@@ -123,10 +123,10 @@
         }
     }
 
-    fn apply_page(&mut self, epoch: StoreEpoch, page: &ProvenPage) {
+    fn apply_page(&mut self, epoch: StoreEpoch, page: &SourcePage) {
         for record in &page.records {
             match split_keyed(record) {
-                Ok(record) if self.apply(&record) => self.state.proof().settle(epoch),
+                Ok(record) if self.apply(&record) => self.state.proof().mark_trusted(epoch),
                 Ok(_) => {}
                 Err(err) => self.record_unreadable(&err),
             }
@@ -167,7 +167,7 @@
             keys,
         );
         self.state.table.store(Some(table));
-        self.state.proof().put_in_force(version);
+        self.state.proof().set_active_version(version);
         true
     }
 
@@ -194,7 +194,7 @@
         // Lower bound for when the version was named: after an outage or at process start it may be
         // long ago. Other routers report its age.
         let named_after = self.written_after.unwrap_or_default();
-        if !weights.name_version(model, version, named_after) {
+        if !weights.add_target(model, version, named_after) {
             return;
         }
         self.state.weights.store(Arc::new(weights));
--- a/crates/entry/src/control/order_scheduler.rs
+++ b/crates/entry/src/control/order_scheduler.rs
@@ -109,7 +109,7 @@
 
     fn rollout_for(&self, model: &ModelName, target: WeightsTarget) -> PendingRollout {
         let in_progress = self.shared.in_progress.borrow();
-        let book = self.state.book();
+        let book = self.state.servers();
         let now = Instant::now();
         let table = self.state.table.load();
         let has_engines = |service| table.as_ref().is_some_and(|table| table.has_engines(service));
@@ -139,7 +139,7 @@
         }
         let now = boot_now();
         let link_kbps = self.state.settings.link_kbps();
-        let link_rank = self.state.book().link_rank(link_kbps, Instant::now());
+        let link_rank = self.state.servers().link_rank(link_kbps, Instant::now());
         let step = {
             let fleet_state = self.fleet_state.borrow();
             self.shared.lease.borrow().step(&fleet_state, rollout.target.learned, link_rank, now)
@@ -202,7 +202,7 @@
             fleet_state.apply(position.offset, record, sent);
         }
         let fence = position.fence();
-        self.shared.lease.borrow_mut().appended(fence, sent);
+        self.shared.lease.borrow_mut().record_append(fence, sent);
         let kind = EventKind::LeaseTaken;
         tracing::info!(event = kind.number(), name = kind.name(), %fence);
     }
@@ -218,11 +218,11 @@
             bound: self.state.settings.bounds.weights(),
         };
         for key in self.wave.next(&rollout.servers, rollout.target.version, wave) {
-            let entry = self.state.book().state(key).map(|state| state.entry().clone());
+            let entry = self.state.servers().state(key).map(|state| state.entry().clone());
             let Some(entry) = entry else { continue };
             self.shared.in_progress.borrow_mut().insert(key);
-            self.state.book().order_given(key, Instant::now());
-            self.state.loading.begin(key, &rollout.model, rollout.target.version);
+            self.state.servers().record_load_order(key, Instant::now());
+            self.state.loading.start(key, &rollout.model, rollout.target.version);
             let task = OrderTask {
                 state: self.state.clone(),
                 engines: self.engines.clone(),
--- a/crates/entry/src/control/order_task.rs
+++ b/crates/entry/src/control/order_task.rs
@@ -23,7 +23,7 @@
 use crate::control::order_scheduler::SchedulerState;
 use crate::state::SharedState;
 use crate::state::boot_now;
-use crate::state::note_connect;
+use crate::state::record_connect_outcome;
 use crate::traffic::CONNECT_TIMEOUT;
 
 /// Timeout of a report. An engine answers within milliseconds; the rest allows for the CPU time of
@@ -75,12 +75,12 @@
         let key = self.entry.key();
         let kind = match outcome {
             OrderOutcome::InPlace(version) => {
-                self.state.book().order_done(key, &self.model, version);
-                self.state.loading.done(key, version);
+                self.state.servers().record_load(key, &self.model, version);
+                self.state.loading.finish(key, version);
                 EventKind::WeightsInPlace
             }
             OrderOutcome::Silent => {
-                self.state.book().unreachable(key, Instant::now());
+                self.state.servers().record_unreachable(key, Instant::now());
                 self.abandon();
                 EventKind::OrderRefused
             }
@@ -89,7 +89,7 @@
                 EventKind::OrderRefused
             }
             OrderOutcome::Slow => {
-                self.state.loading.drop_notice(key);
+                self.state.loading.remove(key);
                 EventKind::OrderRefused
             }
         };
@@ -99,15 +99,15 @@
     }
 
     fn abandon(&self) {
-        self.state.book().order_given_up(self.entry.key());
-        self.state.loading.give_up(self.entry.key());
+        self.state.servers().record_load_failure(self.entry.key());
+        self.state.loading.abandon(self.entry.key());
     }
 
     /// Waits for the requests that routers have open at the engine; they send no new ones. The
     /// engine would reject queued requests on an earlier order.
     async fn wait_until_idle(&self) {
         let deadline = Instant::now() + DRAIN_TIMEOUT;
-        while Instant::now() < deadline && 0 < self.state.book().open_at(self.entry.key()) {
+        while Instant::now() < deadline && 0 < self.state.servers().open_at(self.entry.key()) {
             sleep(DRAIN_POLL_INTERVAL).await;
         }
     }
@@ -136,7 +136,7 @@
                 Some(OrderAnswer::Holds) => return OrderOutcome::InPlace(target.version),
                 Some(OrderAnswer::Accepted) => sleep(LOAD_WAIT).await,
                 Some(OrderAnswer::Superseded) => {
-                    self.shared.lease.borrow_mut().refused();
+                    self.shared.lease.borrow_mut().drop_lease();
                     return OrderOutcome::NotHolder;
                 }
                 Some(OrderAnswer::Misdirected) => return OrderOutcome::Gone,
@@ -155,7 +155,7 @@
         // Reports count as connection attempts, so that a host whose own network is impaired doesn't
         // take healthy engines for unreachable.
         if let Some(outcome) = report_connect_end(&answer, started_at.elapsed()) {
-            note_connect(&self.state, self.entry.key(), outcome);
+            record_connect_outcome(&self.state, self.entry.key(), outcome);
         }
         match answer {
             Ok(report) => Some(report),
@@ -208,7 +208,7 @@
 ) -> Option<ConnectOutcome> {
     match answer {
         Err(StoreError::NoAnswer { .. }) if REPORT_TIMEOUT <= elapsed => {
-            Some(ConnectOutcome::Silent)
+            Some(ConnectOutcome::TimedOut)
         }
         Err(StoreError::NoAnswer { .. }) => Some(ConnectOutcome::Refused),
         _ if CONNECT_TIMEOUT < elapsed => None,
--- a/crates/entry/src/control/order_task/tests.rs
+++ b/crates/entry/src/control/order_task/tests.rs
@@ -38,7 +38,7 @@
         name: "timed out",
         is_answered: false,
         elapsed: REPORT_TIMEOUT,
-        expected: Some(ConnectOutcome::Silent),
+        expected: Some(ConnectOutcome::TimedOut),
     },
 ];
 
--- a/crates/entry/src/control/pages.rs
+++ b/crates/entry/src/control/pages.rs
@@ -10,7 +10,7 @@
 use actix_web::dev::Server;
 use actix_web::web;
 
-use crate::daemon::StopTokens;
+use crate::daemon::ShutdownTokens;
 use crate::state::SharedState;
 use crate::state::entry_status;
 use crate::telemetry::render_metrics;
@@ -20,12 +20,12 @@
 
 struct PageState {
     state: Arc<SharedState>,
-    stop: StopTokens,
+    stop: ShutdownTokens,
 }
 
 pub(crate) fn serve_http_pages(
     state: Arc<SharedState>,
-    stop: StopTokens,
+    stop: ShutdownTokens,
     readiness: TcpListener,
     metrics: TcpListener,
 ) -> io::Result<Server> {
@@ -44,9 +44,9 @@
 /// Fails while the host is stopping, before it has a configuration and servers, and when its
 /// configuration may be outdated.
 async fn ready(page: web::Data<PageState>) -> HttpResponse {
-    let is_stopping = page.stop.begun.is_cancelled();
+    let is_stopping = page.stop.requested.is_cancelled();
     let is_known = page.state.table.load().is_some() && page.state.admits_keys();
-    let has_servers = page.state.book().states().next().is_some();
+    let has_servers = page.state.servers().states().next().is_some();
     if is_known && has_servers && !is_stopping {
         return HttpResponse::Ok().finish();
     }
--- a/crates/entry/src/control/peer_listener.rs
+++ b/crates/entry/src/control/peer_listener.rs
@@ -13,8 +13,8 @@
 use fulmargate_dispatch::GossipPath;
 use fulmargate_dispatch::LogRequest;
 use fulmargate_dispatch::StoreAccess;
-use fulmargate_dispatch::is_passed_on;
-use fulmargate_dispatch::is_taken_in;
+use fulmargate_dispatch::should_apply;
+use fulmargate_dispatch::should_forward;
 use fulmargate_names::EventKind;
 use fulmargate_names::HostName;
 use h2::RecvStream;
@@ -37,11 +37,11 @@
 use crate::control::record_cache::CacheReply;
 use crate::control::record_cache::RecordCache;
 use crate::control::relay_queue::SharedRelays;
-use crate::sockets::watch_peer;
+use crate::sockets::set_peer_timeout;
 use crate::state::SharedState;
 use crate::state::boot_now;
-use crate::telemetry::count_given;
-use crate::telemetry::count_refused;
+use crate::telemetry::count_records_rejected;
+use crate::telemetry::count_records_served;
 use crate::telemetry::topic_label;
 
 /// A connection whose peer stops answering is closed after a few of these.
@@ -106,7 +106,7 @@
     relays: SharedRelays,
     stream: TcpStream,
 ) {
-    if let Err(err) = watch_peer(&stream, PEER_TIMEOUT) {
+    if let Err(err) = set_peer_timeout(&stream, PEER_TIMEOUT) {
         tracing::debug!("could not set the peer timeout: {err}");
     }
     let requester = stream.peer_addr().ok();
@@ -152,8 +152,8 @@
     mut respond: SendResponse<Bytes>,
 ) {
     let store = match request.headers().contains_key(STORE_STATE_HEADER) {
-        true => StoreAccess::OutOfReach,
-        false => StoreAccess::InReach,
+        true => StoreAccess::Unreachable,
+        false => StoreAccess::Reachable,
     };
     let mut body = request.into_body();
     let mut bytes = Vec::new();
@@ -208,11 +208,11 @@
     requester: Option<SocketAddr>,
 ) {
     match reply {
-        CacheReply::Records(answer) => count_given(log_request.topic, answer.bytes()),
+        CacheReply::Records(answer) => count_records_served(log_request.topic, answer.bytes()),
         CacheReply::OverBudget { bytes, remaining } => {
-            count_refused(log_request.topic);
+            count_records_rejected(log_request.topic);
             let kind = EventKind::HandOnRefused;
-            if !state.lines.allows(kind, Instant::now()) {
+            if !state.log_limiter.allows(kind, Instant::now()) {
                 return;
             }
             tracing::info!(
@@ -247,7 +247,7 @@
     ) {
         self.receive_messages(body).await;
         if let Some(relay) = &self.relay {
-            self.relays.choice.borrow_mut().ended(relay, Instant::now());
+            self.relays.choice.borrow_mut().record_end(relay, Instant::now());
         }
     }
 
@@ -259,7 +259,7 @@
                 return;
             }
             if let Some(relay) = &self.relay {
-                self.relays.choice.borrow_mut().heard(relay, Instant::now());
+                self.relays.choice.borrow_mut().record_message(relay, Instant::now());
             }
             buffer.extend_from_slice(&chunk);
             while let Some(message) = split_message(&mut buffer) {
@@ -272,7 +272,7 @@
                     }
                 }
             }
-            self.state.waiting.wake();
+            self.state.prompt_queue.wake();
             if MAX_MESSAGE_BYTES < buffer.len() {
                 return;
             }
@@ -292,20 +292,20 @@
         if path == GossipPath::Direct && gossip.subscribes {
             queue.subscribe(host, origin_zone, Instant::now());
         }
-        if is_passed_on(path, origin_zone, &settings.zone) {
+        if should_forward(path, origin_zone, &settings.zone) {
             match path {
                 GossipPath::Direct => queue.push_own_zone(message),
                 GossipPath::Relayed => queue.push_other_zone(message),
             }
         }
-        if is_taken_in(path, gossip.subscribes, origin_zone, &settings.zone) {
+        if should_apply(path, gossip.subscribes, origin_zone, &settings.zone) {
             apply_gossip(&self.state, gossip);
         }
     }
 }
 
 fn apply_gossip(state: &SharedState, gossip: &GossipMessage) {
-    state.book().hear(gossip, Instant::now());
+    state.servers().apply_gossip(gossip, Instant::now());
     if let (Some(host), Some(report)) = (&gossip.host, &gossip.quotas) {
         state.quotas().receive(host, report, Instant::now());
     }
@@ -316,7 +316,7 @@
     let mut is_changed = false;
     for age in &gossip.weights {
         let reported_age = Duration::from_millis(age.age_ms);
-        is_changed |= weights.correct_age(&age.model, age.version, reported_age, boot_now());
+        is_changed |= weights.set_reported_age(&age.model, age.version, reported_age, boot_now());
     }
     if is_changed {
         state.weights.store(Arc::new(weights));
--- a/crates/entry/src/control/record_cache.rs
+++ b/crates/entry/src/control/record_cache.rs
@@ -60,13 +60,13 @@
         topic: LogTopic,
         from: LogPosition,
         records: &[Vec<u8>],
-        proven: Option<BootTime>,
+        complete_as_of: Option<BootTime>,
     ) {
         let mut caches = self.caches.borrow_mut();
         let cache = caches.entry(topic).or_default();
         cache.add(from, records);
-        if let Some(sent) = proven {
-            cache.prove(sent);
+        if let Some(sent) = complete_as_of {
+            cache.mark_complete(sent);
         }
         drop(caches);
         self.changed.notify_waiters();
@@ -78,13 +78,14 @@
         let received_at = boot_now();
         let max_age = max_proof_age(request);
         let deadline = Instant::now() + Duration::from_millis(request.wait_ms);
-        let known_proof = self.proven(request.topic);
+        let known_proof = self.complete_as_of(request.topic);
         loop {
             let changed = self.changed.notified();
             let Some(answer) = self.lookup(request, received_at, max_age) else {
                 return CacheReply::Unavailable;
             };
-            let is_update = !answer.records.is_empty() || self.proven(request.topic) != known_proof;
+            let is_update =
+                !answer.records.is_empty() || self.complete_as_of(request.topic) != known_proof;
             if is_update || deadline <= Instant::now() {
                 return self.charge_budget(answer, store);
             }
@@ -101,7 +102,7 @@
         let bytes = answer.bytes();
         match budget.try_take(bytes, store, Instant::now()) {
             true => CacheReply::Records(answer),
-            false => CacheReply::OverBudget { bytes, remaining: budget.left() },
+            false => CacheReply::OverBudget { bytes, remaining: budget.available_bytes() },
         }
     }
 
@@ -115,8 +116,8 @@
         caches.get(&request.topic)?.answer(request.position(), max_age, received_at, boot_now())
     }
 
-    fn proven(&self, topic: LogTopic) -> Option<BootTime> {
-        self.caches.borrow().get(&topic).and_then(LogCache::proven)
+    fn complete_as_of(&self, topic: LogTopic) -> Option<BootTime> {
+        self.caches.borrow().get(&topic).and_then(LogCache::complete_as_of)
     }
 }
 
--- a/crates/entry/src/control/server_watcher.rs
+++ b/crates/entry/src/control/server_watcher.rs
@@ -92,7 +92,7 @@
     async fn read_next(&mut self, from: LogPosition) -> Result<bool, StoreError> {
         let topic = LogTopic::Servers;
         let page = self.source.read(topic, from, Duration::ZERO, READ_TIMEOUT).await?;
-        self.record_contact(page.proven.unwrap_or_else(boot_now));
+        self.record_contact(page.complete_as_of.unwrap_or_else(boot_now));
         for record in &page.records {
             match split_keyed(record) {
                 Ok(record) => self.apply(&record),
@@ -100,7 +100,7 @@
             }
         }
         self.next = Some(from.after(page.records.len()));
-        Ok(page.proven.is_some())
+        Ok(page.complete_as_of.is_some())
     }
 
     async fn read_listing(&mut self) -> Result<bool, StoreError> {
@@ -120,7 +120,7 @@
     }
 
     fn record_contact(&mut self, sent: BootTime) {
-        if self.table.contact(sent, boot_now()) {
+        if self.table.record_response(sent, boot_now()) {
             let kind = EventKind::ServersLapsed;
             let servers = self.known.len();
             tracing::warn!(event = kind.number(), name = kind.name(), servers);
@@ -163,14 +163,14 @@
     /// Rate-limited, since other writers can append invalid entries at any rate.
     fn log_unusable_entry(&self, reason: &str) {
         let kind = EventKind::ServerEntryUnusable;
-        if self.state.lines.allows(kind, Instant::now()) {
+        if self.state.log_limiter.allows(kind, Instant::now()) {
             tracing::warn!(event = kind.number(), name = kind.name(), reason);
         }
     }
 
     fn publish(&mut self) {
         self.table.expire(boot_now());
-        self.state.book().sync(&self.table.usable(), Instant::now());
+        self.state.servers().sync(&self.table.usable(), Instant::now());
         self.log_changes();
     }
 
--- a/crates/entry/src/daemon.rs
+++ b/crates/entry/src/daemon.rs
@@ -33,10 +33,10 @@
         reason: io::Error,
     },
     /// A thread could not be started, or failed.
-    #[display("{what}: {reason}")]
+    #[display("{task}: {reason}")]
     Thread {
         /// The purpose of the thread.
-        what: &'static str,
+        task: &'static str,
         /// The cause, as text.
         reason: String,
     },
@@ -63,31 +63,31 @@
         metrics = %state.settings.metrics,
         peers = %state.settings.peers,
     );
-    let stop = StopTokens::default();
+    let stop = ShutdownTokens::default();
     let traffic = TrafficThread { state: state.clone(), stop: stop.clone() };
     let handle = thread::Builder::new()
         .name("traffic".to_owned())
         .spawn(move || traffic.run(callers))
-        .map_err(|err| StartError::Thread { what: "traffic thread", reason: err.to_string() })?;
+        .map_err(|err| StartError::Thread { task: "traffic thread", reason: err.to_string() })?;
     let control = ControlThread { state, stop, path: path.to_owned() };
     control.run(ControlListeners { readiness, metrics, peers }, crash_receiver)?;
     match handle.join() {
         Ok(result) => result,
-        Err(_) => Err(StartError::Thread { what: "traffic thread", reason: "panicked".to_owned() }),
+        Err(_) => Err(StartError::Thread { task: "traffic thread", reason: "panicked".to_owned() }),
     }
 }
 
 /// Cancellation tokens for the stages of a graceful shutdown.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct StopTokens {
+pub(crate) struct ShutdownTokens {
     /// Shutdown was requested: readiness checks fail, and every response carries
     /// `connection: close`.
-    pub(crate) begun: CancellationToken,
+    pub(crate) requested: CancellationToken,
     /// The load balancer has had time to remove this host: idle connections are closed, and new
     /// requests are rejected.
-    pub(crate) closing: CancellationToken,
+    pub(crate) draining: CancellationToken,
     /// All requests have completed, or the shutdown timeout has elapsed.
-    pub(crate) ended: CancellationToken,
+    pub(crate) complete: CancellationToken,
 }
 
 /// Opens a listener. If `address` has port 0, replaces it with the port that was assigned.
--- a/crates/entry/src/sockets.rs
+++ b/crates/entry/src/sockets.rs
@@ -15,7 +15,7 @@
 /// Disables Nagle's algorithm and enables detection of a peer that has vanished without a reset.
 /// The connection fails when sent data stays unacknowledged for `timeout`; an idle connection is
 /// probed at that interval.
-pub(crate) fn watch_peer(stream: &TcpStream, timeout: Duration) -> io::Result<()> {
+pub(crate) fn set_peer_timeout(stream: &TcpStream, timeout: Duration) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = stream.as_fd();
     let seconds = timeout.as_secs().max(1) as u32;
--- a/crates/entry/src/state.rs
+++ b/crates/entry/src/state.rs
@@ -7,7 +7,7 @@
 mod status;
 
 pub(crate) use boot_clock::boot_now;
-pub(crate) use connect_outcome::note_connect;
+pub(crate) use connect_outcome::record_connect_outcome;
 pub(crate) use loading_registry::LoadingRegistry;
 pub(crate) use shared_state::CrashSighting;
 pub(crate) use shared_state::FleetView;
--- a/crates/entry/src/state/connect_outcome.rs
+++ b/crates/entry/src/state/connect_outcome.rs
@@ -15,16 +15,20 @@
 use crate::telemetry::count_local_network_suspicion;
 
 /// Records the outcome of a connection attempt to the server. Both threads call this.
-pub(crate) fn note_connect(state: &Arc<SharedState>, server: ServerKey, end: ConnectOutcome) {
+pub(crate) fn record_connect_outcome(
+    state: &Arc<SharedState>,
+    server: ServerKey,
+    end: ConnectOutcome,
+) {
     count_connect(end.name());
     let now = Instant::now();
-    let mut servers = state.book();
-    servers.tried(server, end, now);
-    let change = servers.reach_news(now);
+    let mut servers = state.servers();
+    servers.record_connect(server, end, now);
+    let change = servers.take_suspicion_change(now);
     drop(servers);
     let Some(change) = change else { return };
     log_reachability(state, change);
-    if matches!(change, SuspicionChange::Doubted(_)) {
+    if matches!(change, SuspicionChange::Started(_)) {
         spawn_local(wait_for_recovery(state.clone()));
     }
 }
@@ -33,11 +37,11 @@
 async fn wait_for_recovery(state: Arc<SharedState>) {
     loop {
         let now = Instant::now();
-        let end = state.book().doubt_end(now);
+        let end = state.servers().suspicion_end(now);
         let Some(end) = end else { break };
         sleep_until(end).await;
     }
-    let change = state.book().reach_news(Instant::now());
+    let change = state.servers().take_suspicion_change(Instant::now());
     if let Some(change) = change {
         log_reachability(&state, change);
     }
@@ -45,30 +49,30 @@
 
 fn log_reachability(state: &SharedState, change: SuspicionChange) {
     let kind = match change {
-        SuspicionChange::Doubted(_) => EventKind::OwnReachDoubted,
-        SuspicionChange::Restored(..) => EventKind::OwnReachRestored,
+        SuspicionChange::Started(_) => EventKind::OwnReachDoubted,
+        SuspicionChange::Ended(..) => EventKind::OwnReachRestored,
     };
     if kind == EventKind::OwnReachDoubted {
         count_local_network_suspicion();
     }
-    if !state.lines.allows(kind, Instant::now()) {
+    if !state.log_limiter.allows(kind, Instant::now()) {
         return;
     }
     match change {
-        SuspicionChange::Doubted(count) => {
+        SuspicionChange::Started(count) => {
             tracing::warn!(
                 event = kind.number(),
                 name = kind.name(),
-                silent = count.silent,
-                heard = count.heard,
+                silent = count.unresponsive,
+                heard = count.responsive,
             );
         }
-        SuspicionChange::Restored(count, duration) => {
+        SuspicionChange::Ended(count, duration) => {
             tracing::info!(
                 event = kind.number(),
                 name = kind.name(),
-                silent = count.silent,
-                heard = count.heard,
+                silent = count.unresponsive,
+                heard = count.responsive,
                 for_ms = duration.as_millis() as u64,
             );
         }
--- a/crates/entry/src/state/loading_registry.rs
+++ b/crates/entry/src/state/loading_registry.rs
@@ -42,7 +42,7 @@
 
 impl LoadingRegistry {
     /// Announces that an engine is about to be ordered to load weights.
-    pub(crate) fn begin(&self, server: ServerKey, model: &ModelName, version: WeightsVersion) {
+    pub(crate) fn start(&self, server: ServerKey, model: &ModelName, version: WeightsVersion) {
         let notice =
             LoadingNotice { server, model: model.clone(), version, stage: LoadingStage::Loading };
         let tracked = TrackedNotice { notice, updated: Instant::now(), announcements: 0 };
@@ -51,16 +51,21 @@
     }
 
     /// Announces that the engine has loaded the weights.
-    pub(crate) fn done(&self, server: ServerKey, version: WeightsVersion) {
-        self.finish(server, LoadingStage::InPlace, Some(version));
+    pub(crate) fn finish(&self, server: ServerKey, version: WeightsVersion) {
+        self.update_stage(server, LoadingStage::Loaded, Some(version));
     }
 
     /// Announces that the load was abandoned and the engine keeps its current weights.
-    pub(crate) fn give_up(&self, server: ServerKey) {
-        self.finish(server, LoadingStage::GivenUp, None);
+    pub(crate) fn abandon(&self, server: ServerKey) {
+        self.update_stage(server, LoadingStage::Failed, None);
     }
 
-    fn finish(&self, server: ServerKey, stage: LoadingStage, version: Option<WeightsVersion>) {
+    fn update_stage(
+        &self,
+        server: ServerKey,
+        stage: LoadingStage,
+        version: Option<WeightsVersion>,
+    ) {
         if let Some(tracked) = self.lock().get_mut(&server) {
             tracked.notice.stage = stage;
             tracked.notice.version = version.unwrap_or(tracked.notice.version);
@@ -72,7 +77,7 @@
 
     /// Stops announcing the engine without reporting an outcome: the load may still be running, but this
     /// router no longer tracks it.
-    pub(crate) fn drop_notice(&self, server: ServerKey) {
+    pub(crate) fn remove(&self, server: ServerKey) {
         self.lock().swap_remove(&server);
     }
 
--- a/crates/entry/src/state/loading_registry/tests.rs
+++ b/crates/entry/src/state/loading_registry/tests.rs
@@ -33,7 +33,7 @@
 #[tokio::test(start_paused = true)]
 async fn finished_load_is_announced_at_any_message_interval() {
     for case in CASES {
-        for end in [LoadingStage::InPlace, LoadingStage::GivenUp] {
+        for end in [LoadingStage::Loaded, LoadingStage::Failed] {
             assert_eq!(
                 count_announcements(case, end).await,
                 case.announced,
@@ -48,10 +48,10 @@
 async fn count_announcements(case: &AnnounceCase, end: LoadingStage) -> usize {
     const MESSAGES: usize = 40;
     let registry = LoadingRegistry::default();
-    registry.begin(ENGINE, &ModelName::new("model-1"), VERSION);
+    registry.start(ENGINE, &ModelName::new("model-1"), VERSION);
     match end {
-        LoadingStage::InPlace => registry.done(ENGINE, VERSION),
-        _ => registry.give_up(ENGINE),
+        LoadingStage::Loaded => registry.finish(ENGINE, VERSION),
+        _ => registry.abandon(ENGINE),
     }
     let mut announced = 0;
     for _ in 0..MESSAGES {
--- a/crates/entry/src/state/shared_state.rs
+++ b/crates/entry/src/state/shared_state.rs
@@ -68,13 +68,13 @@
     /// Engines that are loading weights on this router's order.
     pub(crate) loading: LoadingRegistry,
     /// Prompts that are queued for an engine.
-    pub(crate) waiting: PromptQueue,
+    pub(crate) prompt_queue: PromptQueue,
     /// The newest store epoch seen in any response of the store.
     epoch: watch::Sender<StoreEpoch>,
-    pub(crate) lines: LogRateLimiter,
+    pub(crate) log_limiter: LogRateLimiter,
     proof: Mutex<ConfigProof>,
-    book: Mutex<ServerRegistry>,
-    budget: Mutex<RetryBudget>,
+    servers: Mutex<ServerRegistry>,
+    retry_budget: Mutex<RetryBudget>,
     quotas: Mutex<QuotaTracker>,
     crashes: Mutex<CrashTracker>,
 }
@@ -92,7 +92,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct CrashSighting {
     /// Fingerprint of the request.
-    pub(crate) print: u128,
+    pub(crate) fingerprint: u128,
     pub(crate) server: Arc<ServerEntry>,
 }
 
@@ -112,7 +112,7 @@
         let mut proof =
             ConfigProof::new(before(bounds.key_revoke()), before(bounds.config_apply()));
         // The store may have been restored from a backup; the fleet topic shows whether it was.
-        proof.doubt(StoreEpoch(0), boot_now());
+        proof.mark_untrusted(StoreEpoch(0), boot_now());
         let incarnation = Incarnation(uuid::Uuid::new_v4().as_u64_pair().0);
         let quotas = QuotaTracker::new(
             settings.host.clone(),
@@ -129,19 +129,19 @@
             open_connections: AtomicUsize::new(0),
             crash_sender,
             loading: LoadingRegistry::default(),
-            waiting: PromptQueue::default(),
+            prompt_queue: PromptQueue::default(),
             epoch: watch::Sender::default(),
-            lines: LogRateLimiter::default(),
+            log_limiter: LogRateLimiter::default(),
             proof: Mutex::new(proof),
-            book: Mutex::default(),
-            budget: Mutex::new(RetryBudget::new(retry_conf, Instant::now())),
+            servers: Mutex::default(),
+            retry_budget: Mutex::new(RetryBudget::new(retry_conf, Instant::now())),
             quotas: Mutex::new(quotas),
             crashes: Mutex::new(CrashTracker::new(CrashConf::default())),
         }
     }
 
     /// Records a store epoch seen in a response.
-    pub(crate) fn note_epoch(&self, epoch: StoreEpoch) {
+    pub(crate) fn record_epoch(&self, epoch: StoreEpoch) {
         self.epoch.send_if_modified(|newest| {
             let is_newer = *newest < epoch;
             *newest = epoch.max(*newest);
@@ -172,17 +172,17 @@
 
     /// Returns whether a request with an unknown route or key may be rejected now.
     pub(crate) fn may_reject_unknown(&self) -> bool {
-        self.proof().refuses(boot_now())
+        self.proof().may_reject(boot_now())
     }
 
     /// Load, health and weights of the backend servers.
-    pub(crate) fn book(&self) -> MutexGuard<'_, ServerRegistry> {
-        lock(&self.book)
+    pub(crate) fn servers(&self) -> MutexGuard<'_, ServerRegistry> {
+        lock(&self.servers)
     }
 
     /// The retry budget.
-    pub(crate) fn budget(&self) -> MutexGuard<'_, RetryBudget> {
-        lock(&self.budget)
+    pub(crate) fn retry_budget(&self) -> MutexGuard<'_, RetryBudget> {
+        lock(&self.retry_budget)
     }
 
     /// The teams' quotas.
--- a/crates/entry/src/state/status.rs
+++ b/crates/entry/src/state/status.rs
@@ -20,7 +20,7 @@
     let now = boot_now();
     let proof_age = state.proof().age(now);
     let admits_keys = state.admits_keys();
-    let live_peers = state.book().live_peers(Instant::now());
+    let live_peers = state.servers().live_peers(Instant::now());
     let servers = server_statuses(state);
     let fleet = state.fleet.load();
     let weights = state.weights.load();
@@ -53,7 +53,7 @@
 
 fn server_statuses(state: &SharedState) -> Vec<ServerStatus> {
     let now = Instant::now();
-    let tracked = state.book();
+    let tracked = state.servers();
     let status = |server: &ServerState| {
         let entry = server.entry();
         let models = entry.models.keys();
--- a/crates/entry/src/telemetry/prometheus.rs
+++ b/crates/entry/src/telemetry/prometheus.rs
@@ -46,13 +46,13 @@
 }
 
 /// Counts bytes of log records served to another router.
-pub(crate) fn count_given(topic: LogTopic, bytes: usize) {
+pub(crate) fn count_records_served(topic: LogTopic, bytes: usize) {
     let topic = topic_label(topic);
     metrics::counter!("fulmargate_handed_on_bytes_total", "topic" => topic).increment(bytes as u64);
 }
 
 /// Counts record requests from other routers that were rejected because this host's link is saturated.
-pub(crate) fn count_refused(topic: LogTopic) {
+pub(crate) fn count_records_rejected(topic: LogTopic) {
     metrics::counter!("fulmargate_hand_on_refusals_total", "topic" => topic_label(topic))
         .increment(1);
 }
@@ -104,8 +104,8 @@
     if let Some(age) = state.quotas().report_age(Instant::now()) {
         metrics::gauge!("fulmargate_quota_report_age_seconds").set(age.as_secs_f64());
     }
-    metrics::gauge!("fulmargate_waiting_prompts").set(state.waiting.len() as f64);
-    metrics::gauge!("fulmargate_servers").set(state.book().states().count() as f64);
+    metrics::gauge!("fulmargate_waiting_prompts").set(state.prompt_queue.len() as f64);
+    metrics::gauge!("fulmargate_servers").set(state.servers().states().count() as f64);
     match HANDLE.get() {
         Some(Some(handle)) => handle.render(),
         _ => String::new(),
--- a/crates/entry/src/traffic/crash_check.rs
+++ b/crates/entry/src/traffic/crash_check.rs
@@ -30,7 +30,7 @@
     pub(crate) state: Arc<SharedState>,
     pub(crate) id: RequestId,
     /// Fingerprint of the request.
-    pub(crate) print: u128,
+    pub(crate) fingerprint: u128,
     pub(crate) server: Arc<ServerEntry>,
 }
 
@@ -41,13 +41,13 @@
     /// saturated link: it counts only when repeated, and not while this host suspects its own network.
     pub(crate) async fn run(self) {
         let Some(reason) = self.detect_crash().await else { return };
-        let CrashCheck { state, id, print, server } = self;
-        state.crashes().note(print, server.key(), Instant::now());
+        let CrashCheck { state, id, fingerprint, server } = self;
+        state.crashes().record(fingerprint, server.key(), Instant::now());
         let kind = EventKind::ServerCrashed;
-        if state.lines.allows(kind, Instant::now()) {
+        if state.log_limiter.allows(kind, Instant::now()) {
             tracing::warn!(event = kind.number(), name = kind.name(), %id, server = %server.name, %reason);
         }
-        let sighting = CrashSighting { print, server };
+        let sighting = CrashSighting { fingerprint, server };
         if state.crash_sender.send(sighting).is_err() {
             tracing::debug!("crash not published to other routers: the process is shutting down");
         }
@@ -57,13 +57,13 @@
     async fn detect_crash(&self) -> Option<String> {
         let key = self.server.key();
         let deadline = Instant::now() + CHECK_TIMEOUT;
-        let mut step = ProbeStep::Ask;
+        let mut step = ProbeStep::Probe;
         let mut failed_connections = 0;
         while Instant::now() < deadline {
-            if step == ProbeStep::Ask {
+            if step == ProbeStep::Probe {
                 let error =
                     ServerConnection::connect_to_server(&self.state, &self.server).await.err()?;
-                self.state.book().unreachable(key, Instant::now());
+                self.state.servers().record_unreachable(key, Instant::now());
                 if error.outcome() == ConnectOutcome::Refused {
                     return Some(error.to_string());
                 }
@@ -71,8 +71,8 @@
             }
             sleep(EVALUATION_DELAY).await;
             let now = Instant::now();
-            step = self.state.book().silent(key, now);
-            if self.state.book().doubts_itself(now) {
+            step = self.state.servers().next_probe_step(key, now);
+            if self.state.servers().suspects_local_fault(now) {
                 failed_connections = 0;
             }
             if step == ProbeStep::Unreachable || MAX_FAILED_CONNECTIONS <= failed_connections {
--- a/crates/entry/src/traffic/in_flight_request.rs
+++ b/crates/entry/src/traffic/in_flight_request.rs
@@ -26,13 +26,13 @@
 
     /// Records that the response head has arrived, with the load that the server reported in it.
     pub(crate) fn record_response_head(&mut self, load: Option<LoadReport>) {
-        self.state.book().answered(&mut self.ticket, load, Instant::now());
-        self.state.waiting.wake();
+        self.state.servers().record_response(&mut self.ticket, load, Instant::now());
+        self.state.prompt_queue.wake();
     }
 
     /// Returns how to proceed while the server sends no response.
-    pub(crate) fn next_contact_step(&self) -> ProbeStep {
-        self.state.book().silent(self.ticket.server, Instant::now())
+    pub(crate) fn next_probe_step(&self) -> ProbeStep {
+        self.state.servers().next_probe_step(self.ticket.server, Instant::now())
     }
 
     pub(crate) async fn connect(
@@ -44,33 +44,33 @@
 
     /// Records that a probe connection to the server failed.
     pub(crate) fn record_unreachable(&self) {
-        self.state.book().unreachable(self.ticket.server, Instant::now());
+        self.state.servers().record_unreachable(self.ticket.server, Instant::now());
     }
 
     /// Returns whether connection failures are most likely caused by this host's own network.
     pub(crate) fn suspects_local_network(&self) -> bool {
-        self.state.book().doubts_itself(Instant::now())
+        self.state.servers().suspects_local_fault(Instant::now())
     }
 
     /// Returns whether the server has failed or restarted, so that its requests in flight are lost.
     pub(crate) fn is_lost(&self, server: &ServerEntry) -> bool {
-        self.state.book().is_lost(server, Instant::now())
+        self.state.servers().is_lost(server, Instant::now())
     }
 
     /// Records that the complete response arrived.
     pub(crate) fn record_success(&self) {
-        self.state.book().succeeded(&self.ticket, Instant::now());
+        self.state.servers().record_success(&self.ticket, Instant::now());
     }
 
     /// Records a stream's longest gap between events, as a share of the gap that its route allows.
-    pub(crate) fn record_longest_gap(&self, share: f64) {
-        self.state.book().paused(&self.ticket, share, Instant::now());
+    pub(crate) fn record_max_gap(&self, share: f64) {
+        self.state.servers().record_stall(&self.ticket, share, Instant::now());
     }
 }
 
 impl Drop for InFlightRequest {
     fn drop(&mut self) {
-        self.state.book().left(&self.ticket);
-        self.state.waiting.wake();
+        self.state.servers().record_end(&self.ticket);
+        self.state.prompt_queue.wake();
     }
 }
--- a/crates/entry/src/traffic/prompt_queue.rs
+++ b/crates/entry/src/traffic/prompt_queue.rs
@@ -67,13 +67,13 @@
     /// Assigns engines to queued prompts. Never returns.
     pub(crate) async fn run(state: Arc<SharedState>) {
         loop {
-            let changed = state.waiting.changed.notified();
-            if state.waiting.len() == 0 {
+            let changed = state.prompt_queue.changed.notified();
+            if state.prompt_queue.len() == 0 {
                 changed.await;
             } else if timeout(MAX_SERVE_INTERVAL, changed).await.is_err() {
                 tracing::trace!("queue served without notification");
             }
-            state.waiting.serve(&state);
+            state.prompt_queue.serve(&state);
             sleep(MIN_SERVE_INTERVAL).await;
         }
     }
@@ -84,11 +84,11 @@
         if requests.is_empty() {
             return;
         }
-        let ends = with_view(state, |servers, view| requests.serve(servers, view));
+        let ends = with_view(state, |servers, view| requests.run(servers, view));
         for (number, end) in ends.unwrap_or_default() {
             let Some(sender) = senders.swap_remove(&number) else { continue };
-            if let Err(QueueOutcome::Taken(taken)) = sender.send(end) {
-                state.book().left(&taken.ticket);
+            if let Err(QueueOutcome::Assigned(taken)) = sender.send(end) {
+                state.servers().record_end(&taken.ticket);
             }
         }
     }
@@ -101,39 +101,39 @@
 impl QueuedPrompt {
     /// Waits until an engine is assigned or the prompt is rejected.
     pub(crate) async fn wait(mut self) -> QueueOutcome {
-        (&mut self.receiver).await.unwrap_or(QueueOutcome::Nowhere)
+        (&mut self.receiver).await.unwrap_or(QueueOutcome::NoEngine)
     }
 }
 
 impl Drop for QueuedPrompt {
     fn drop(&mut self) {
-        let mut queue = self.state.waiting.lock();
-        queue.requests.leave(self.number);
+        let mut queue = self.state.prompt_queue.lock();
+        queue.requests.remove(self.number);
         queue.senders.swap_remove(&self.number);
         drop(queue);
         // Release an engine that was assigned in the meantime.
-        if let Ok(QueueOutcome::Taken(taken)) = self.receiver.try_recv() {
-            self.state.book().left(&taken.ticket);
+        if let Ok(QueueOutcome::Assigned(taken)) = self.receiver.try_recv() {
+            self.state.servers().record_end(&taken.ticket);
         }
     }
 }
 
 /// Places the prompt immediately unless queued prompts take precedence.
 pub(crate) fn try_place(state: &SharedState, placement: &PlacementRequest) -> Placement {
-    if !state.waiting.lock().requests.goes_first(&placement.call) {
-        return Placement::Wait(f64::from(placement.call.prompt_tokens()));
+    if !state.prompt_queue.lock().requests.may_bypass(&placement.call) {
+        return Placement::Queued(f64::from(placement.call.prompt_tokens()));
     }
-    with_view(state, |servers, view| servers.place(placement, view)).unwrap_or(Placement::Nowhere)
+    with_view(state, |servers, view| servers.place(placement, view)).unwrap_or(Placement::NoEngine)
 }
 
 /// Adds the prompt to the queue.
 pub(crate) fn enqueue(state: &Arc<SharedState>, placement: PlacementRequest) -> QueuedPrompt {
     let (sender, receiver) = oneshot::channel();
-    let mut queue = state.waiting.lock();
-    let number = queue.requests.enter(placement);
+    let mut queue = state.prompt_queue.lock();
+    let number = queue.requests.push(placement);
     queue.senders.insert(number, sender);
     drop(queue);
-    state.waiting.wake();
+    state.prompt_queue.wake();
     QueuedPrompt { state: state.clone(), number, receiver }
 }
 
@@ -152,5 +152,5 @@
         now: Instant::now(),
         boot_now: boot_now(),
     };
-    Some(decide(&mut state.book(), view))
+    Some(decide(&mut state.servers(), view))
 }
--- a/crates/entry/src/traffic/request_decoder.rs
+++ b/crates/entry/src/traffic/request_decoder.rs
@@ -73,7 +73,7 @@
         priority: team.and_then(|team| team.priority).unwrap_or(route.priority),
         arrived,
         deadline,
-        print: fingerprint(&admitted, &parts, &body),
+        fingerprint: fingerprint(&admitted, &parts, &body),
         prompt: admitted.head.prompt,
         route,
     };
--- a/crates/entry/src/traffic/request_handler.rs
+++ b/crates/entry/src/traffic/request_handler.rs
@@ -15,7 +15,7 @@
 use fulmargate_dispatch::CallProgress;
 use fulmargate_dispatch::NextStep;
 use fulmargate_dispatch::RouteKind;
-use fulmargate_dispatch::SendEnd;
+use fulmargate_dispatch::SendOutcome;
 use fulmargate_dispatch::ServerEntry;
 use fulmargate_dispatch::ServerKey;
 use fulmargate_names::ErrorKind;
@@ -166,7 +166,7 @@
 
     /// Rejects a request that is known to crash servers, including one that has just done so.
     fn reject_crashing_request(&self) -> Result<(), RequestFailure> {
-        let crashes_servers = self.state.crashes().is_convicted(self.facts().print);
+        let crashes_servers = self.state.crashes().must_reject(self.facts().fingerprint);
         match (crashes_servers, self.progress.may_have_run()) {
             (false, _) => Ok(()),
             (true, false) => Err(self.failure(ErrorKind::CrashingRequest)),
@@ -212,9 +212,9 @@
         };
         let now = Instant::now();
         if self.progress.sends() == 0 {
-            self.state.budget().first(&service, now);
+            self.state.retry_budget().record_first_send(&service, now);
         }
-        if self.progress.arrivals() == 0 || self.state.budget().has_repeat(&service, now) {
+        if self.progress.arrivals() == 0 || self.state.retry_budget().allows_retry(&service, now) {
             return Ok(());
         }
         Err(self.retry_budget_exhausted())
@@ -229,7 +229,7 @@
     }
 
     fn try_consume_retry(&self) -> bool {
-        let consume = |service| self.state.budget().try_repeat(&service, Instant::now());
+        let consume = |service| self.state.retry_budget().try_retry(&service, Instant::now());
         self.service().is_some_and(consume)
     }
 
@@ -240,8 +240,8 @@
 
     /// Returns whether the request may be sent to another server while its current server has not finished.
     pub(crate) fn may_fail_over(&self) -> bool {
-        let has_retry = |service| self.state.budget().has_repeat(&service, Instant::now());
-        self.progress.may_go_elsewhere(&self.facts().route) && self.service().is_some_and(has_retry)
+        let has_retry = |service| self.state.retry_budget().allows_retry(&service, Instant::now());
+        self.progress.may_fail_over(&self.facts().route) && self.service().is_some_and(has_retry)
     }
 
     fn service(&self) -> Option<ServiceName> {
@@ -260,13 +260,13 @@
             return Err(misdirected_error(&response));
         }
         if response.head.is_not_run {
-            return reject(SendEnd::Refused, status.as_str());
+            return reject(SendOutcome::Refused, status.as_str());
         }
         if let (Some(model), Some(seen)) = (&self.facts().model, response.head.weights) {
-            self.state.book().learn_weights(response.server.key(), model, seen);
+            self.state.servers().learn_weights(response.server.key(), model, seen);
         }
         if status.is_success() && !response.head.is_signed {
-            return reject(SendEnd::Broken, "a success without the server's signature");
+            return reject(SendOutcome::Broken, "a success without the server's signature");
         }
         if status.is_server_error() || status == StatusCode::TOO_MANY_REQUESTS {
             return self.keep_failed_response(response).await;
@@ -279,7 +279,7 @@
         &mut self,
         response: ServerResponse,
     ) -> Result<ServerResponse, SendError> {
-        self.state.book().failed(response.server.key(), Instant::now());
+        self.state.servers().record_failure(response.server.key(), Instant::now());
         let status = response.parts.status;
         let parts = clone_head(&response.parts);
         let body = response.read_body(self.facts().deadline).await?;
@@ -290,7 +290,7 @@
         if !implies_not_run {
             self.failed_response = Some(buffered_response(&parts, body));
         }
-        Err(SendError { end: SendEnd::Broken, reason: format!("the server answered {status}") })
+        Err(SendError { end: SendOutcome::Broken, reason: format!("the server answered {status}") })
     }
 
     /// Records a failed send, and waits before the next one if a delay applies. Fails if no further send is
@@ -316,7 +316,7 @@
         match step {
             NextStep::GiveUp(kind) => Err(self.failure(kind).with_detail(error.reason.clone())),
             NextStep::SendAgain => {
-                if error.end == SendEnd::Refused {
+                if error.end == SendOutcome::Refused {
                     sleep(REJECTED_RETRY_DELAY * self.progress.sends()).await;
                 }
                 Ok(())
@@ -334,7 +334,7 @@
         let mut handler = self;
         match response.read_body(deadline).await {
             Ok(body) => {
-                handler.state.crashes().acquit(handler.facts().print);
+                handler.state.crashes().clear(handler.facts().fingerprint);
                 handler.log_ended(EventKind::RequestEnded, parts.status, None);
                 Ok(buffered_response(&parts, body))
             }
@@ -369,7 +369,7 @@
         reason: &str,
         server: &Arc<ServerEntry>,
     ) -> Result<(), RequestFailure> {
-        let error = SendError { end: SendEnd::Broken, reason: reason.to_owned() };
+        let error = SendError { end: SendOutcome::Broken, reason: reason.to_owned() };
         self.handle_error(&error, server, None).await
     }
 }
@@ -380,8 +380,8 @@
     let is_expected =
         response.head.server.as_ref().is_none_or(|name| *name == response.server.name);
     let (end, reason) = match is_expected && response.weights.is_some() {
-        true => (SendEnd::OtherWeights, "other weights are in use"),
-        false => (SendEnd::OtherServer, "another server is at the address"),
+        true => (SendOutcome::OtherWeights, "other weights are in use"),
+        false => (SendOutcome::OtherServer, "another server is at the address"),
     };
     SendError { end, reason: reason.to_owned() }
 }
--- a/crates/entry/src/traffic/request_handler/failover.rs
+++ b/crates/entry/src/traffic/request_handler/failover.rs
@@ -86,7 +86,7 @@
 
     fn log_kept(&self, server: &ServerEntry, reason: &KeepReason) {
         let kind = EventKind::StreamKept;
-        if !self.state.lines.allows(kind, Instant::now()) {
+        if !self.state.log_limiter.allows(kind, Instant::now()) {
             return;
         }
         tracing::info!(
--- a/crates/entry/src/traffic/request_handler/log.rs
+++ b/crates/entry/src/traffic/request_handler/log.rs
@@ -17,7 +17,7 @@
 impl RequestHandler {
     pub(super) fn log_sent(&self, server: &ServerEntry, reason: &'static str) {
         let kind = EventKind::RequestSent;
-        if !self.state.lines.allows(kind, Instant::now()) {
+        if !self.state.log_limiter.allows(kind, Instant::now()) {
             return;
         }
         tracing::info!(
@@ -34,7 +34,7 @@
 
     pub(super) fn log_prompt_sent(&self, choice: &EngineChoice, reason: &'static str) {
         let kind = EventKind::RequestSent;
-        if !self.state.lines.allows(kind, Instant::now()) {
+        if !self.state.log_limiter.allows(kind, Instant::now()) {
             return;
         }
         tracing::info!(
@@ -45,12 +45,12 @@
             reason,
             send = self.progress.sends() + 1,
             weights = choice.weights.0,
-            prompt = self.facts().home_key().map(|key| format!("{:016x}", scope_of(&choice.salt) ^ key)),
+            prompt = self.facts().owner_key().map(|key| format!("{:016x}", scope_of(&choice.salt) ^ key)),
             urgency = choice.urgency.level(),
             prompt_tokens = self.facts().prompt_tokens(),
-            read_tokens = choice.read_tokens as u32,
+            read_tokens = choice.prefill_tokens as u32,
             shared_tokens = self.facts().shared_tokens(),
-            reread_tokens = choice.reread_tokens as u32,
+            reread_tokens = choice.recomputed_tokens as u32,
             is_fetched = choice.fetch.is_some(),
             is_saved = choice.save_to.is_some(),
             queue_ms = choice.queue_ms as u64,
@@ -64,7 +64,7 @@
     /// Logs that the prompt is queued. `request_sent` or `request_failed` follows.
     pub(super) fn log_queued(&self) {
         let kind = EventKind::RequestWaits;
-        if !self.state.lines.allows(kind, Instant::now()) {
+        if !self.state.log_limiter.allows(kind, Instant::now()) {
             return;
         }
         tracing::info!(
@@ -72,7 +72,7 @@
             name = kind.name(),
             id = %self.facts().id,
             prompt_tokens = self.facts().prompt_tokens(),
-            line = self.state.waiting.len(),
+            line = self.state.prompt_queue.len(),
             waited_ms = self.facts().arrived.elapsed().as_millis() as u64,
         );
     }
@@ -83,7 +83,7 @@
 
     pub(super) fn log_retry(&self, error: &SendError, server: &ServerEntry) {
         let kind = EventKind::AttemptRetried;
-        if self.state.lines.allows(kind, Instant::now()) {
+        if self.state.log_limiter.allows(kind, Instant::now()) {
             tracing::info!(
                 event = kind.number(),
                 name = kind.name(),
@@ -99,7 +99,7 @@
     /// Logs that the caller has disconnected, or that the process terminates.
     pub(super) fn log_caller_gone(&self) {
         let kind = EventKind::CallerGone;
-        if !self.state.lines.allows(kind, Instant::now()) {
+        if !self.state.log_limiter.allows(kind, Instant::now()) {
             return;
         }
         let facts = self.facts();
@@ -125,7 +125,7 @@
         self.end_is_logged.set(true);
         let facts = self.facts();
         record_response(facts, status.as_u16(), facts.arrived.elapsed());
-        if !self.state.lines.allows(kind, Instant::now()) {
+        if !self.state.log_limiter.allows(kind, Instant::now()) {
             return;
         }
         let first_event = self.timing.first_event.map(|at| at.duration_since(facts.arrived));
--- a/crates/entry/src/traffic/request_handler/plan.rs
+++ b/crates/entry/src/traffic/request_handler/plan.rs
@@ -57,10 +57,10 @@
 
     fn plan_plain(&self, service: &ServiceName) -> Option<SendPlan> {
         let now = Instant::now();
-        let mut servers = self.state.book();
+        let mut servers = self.state.servers();
         let zone = &self.state.settings.zone;
         let server = servers.choose_plain(service, zone, &self.excluded_servers, now)?;
-        let ticket = servers.begin(self.facts(), server.key(), now);
+        let ticket = servers.record_send(self.facts(), server.key(), now);
         drop(servers);
         let head = self.send_head(&server);
         let in_flight = InFlightRequest::new(self.state.clone(), ticket);
@@ -124,9 +124,9 @@
         placement: PlacementRequest,
     ) -> Result<Option<AssignedEngine>, RequestFailure> {
         match try_place(&self.state, &placement) {
-            Placement::Taken(taken) => return Ok(Some(*taken)),
-            Placement::Nowhere => return Ok(None),
-            Placement::Wait(_) => {}
+            Placement::Assigned(taken) => return Ok(Some(*taken)),
+            Placement::NoEngine => return Ok(None),
+            Placement::Queued(_) => {}
         }
         let deadline = placement.call.deadline;
         let began = Instant::now();
@@ -135,8 +135,8 @@
         let end = timeout_at(deadline, queued.wait()).await;
         record_engine_wait(wait_outcome_label(end.as_ref().ok()), began.elapsed());
         match end {
-            Ok(QueueOutcome::Taken(taken)) => Ok(Some(*taken)),
-            Ok(QueueOutcome::Nowhere) => Ok(None),
+            Ok(QueueOutcome::Assigned(taken)) => Ok(Some(*taken)),
+            Ok(QueueOutcome::NoEngine) => Ok(None),
             Ok(QueueOutcome::Refused(delay)) => {
                 Err(self.failure(self.progress.timeout()).with_retry_delay(delay))
             }
@@ -175,7 +175,7 @@
     fn start_deadline(&self, model: &ModelName, weights: WeightsVersion) -> Instant {
         let max_age = self.state.settings.bounds.weights();
         let targets = self.state.weights.load();
-        match targets.time_to_begin(model, weights, max_age, boot_now()) {
+        match targets.max_start_delay(model, weights, max_age, boot_now()) {
             Some(time) => Instant::now() + time,
             None => self.facts().deadline,
         }
@@ -185,7 +185,7 @@
     /// route's timeout, so that the server is not abandoned before the deadline.
     pub(crate) fn probe_interval(&self) -> Duration {
         let route = &self.facts().route;
-        match self.progress.may_go_elsewhere(route) {
+        match self.progress.may_fail_over(route) {
             true => route.target_latency.mul_f64(PROBE_INTERVAL_SHARE),
             false => route.timeout,
         }
@@ -194,15 +194,15 @@
 
 fn wait_outcome_label(end: Option<&QueueOutcome>) -> &'static str {
     match end {
-        Some(QueueOutcome::Taken(_)) => "taken",
+        Some(QueueOutcome::Assigned(_)) => "taken",
         Some(QueueOutcome::Refused(_)) => "refused",
-        Some(QueueOutcome::Nowhere) | None => "none",
+        Some(QueueOutcome::NoEngine) | None => "none",
     }
 }
 
 fn reason_label(reason: ChoiceReason) -> &'static str {
     match reason {
-        ChoiceReason::Home => "home",
+        ChoiceReason::Owner => "home",
         ChoiceReason::Cheaper => "cheaper",
         ChoiceReason::LastResort => "last_resort",
     }
--- a/crates/entry/src/traffic/request_handler/send_outcome.rs
+++ b/crates/entry/src/traffic/request_handler/send_outcome.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use fulmargate_dispatch::SendEnd;
+use fulmargate_dispatch::SendOutcome;
 use fulmargate_dispatch::ServerEntry;
 use fulmargate_names::WeightsVersion;
 use tokio::time::Instant;
@@ -32,20 +32,24 @@
                 self.state.weights.load().target(model).map(|target| target.version)
             });
         match error.end {
-            SendEnd::NotSent | SendEnd::Unreachable => self.state.book().unreachable(key, now),
-            SendEnd::Refused => match &self.facts().model {
-                Some(model) => self.state.book().turned_away_prompt(key, model, target, now),
-                None => self.state.book().turned_away(key, now),
+            SendOutcome::NotSent | SendOutcome::Unreachable => {
+                self.state.servers().record_unreachable(key, now);
+            }
+            SendOutcome::Refused => match &self.facts().model {
+                Some(model) => {
+                    self.state.servers().record_prompt_rejection(key, model, target, now);
+                }
+                None => self.state.servers().record_rejection(key, now),
             },
-            SendEnd::OtherServer => self.state.book().forget(key),
-            SendEnd::OtherWeights => {
+            SendOutcome::OtherServer => self.state.servers().forget(key),
+            SendOutcome::OtherWeights => {
                 if let (Some(model), Some(sent)) = (&self.facts().model, sent_weights) {
-                    self.state.book().misjudged_weights(key, model, sent, target);
+                    self.state.servers().record_weights_mismatch(key, model, sent, target);
                 }
             }
-            SendEnd::TimedOut => self.state.book().failed(key, now),
-            SendEnd::Broken => {
-                self.state.book().failed(key, now);
+            SendOutcome::TimedOut => self.state.servers().record_failure(key, now),
+            SendOutcome::Broken => {
+                self.state.servers().record_failure(key, now);
                 if self.failed_response.is_none() {
                     self.check_crash(server);
                 }
@@ -58,7 +62,7 @@
         let check = CrashCheck {
             state: self.state.clone(),
             id: self.facts().id.clone(),
-            print: self.facts().print,
+            fingerprint: self.facts().fingerprint,
             server: server.clone(),
         };
         tokio::task::spawn_local(check.run());
--- a/crates/entry/src/traffic/request_handler/stream_timing.rs
+++ b/crates/entry/src/traffic/request_handler/stream_timing.rs
@@ -23,8 +23,8 @@
     }
 
     /// The longest gap so far, as a share of the gap that the route allows.
-    pub(crate) fn longest_gap_share(&self, kind: RouteKind) -> f64 {
+    pub(crate) fn max_gap_share(&self, kind: RouteKind) -> f64 {
         let RouteKind::Stream(rule) = kind else { return 0.0 };
-        self.max_gap.as_secs_f64() / rule.longest_gap.as_secs_f64().max(f64::EPSILON)
+        self.max_gap.as_secs_f64() / rule.max_gap.as_secs_f64().max(f64::EPSILON)
     }
 }
--- a/crates/entry/src/traffic/request_service.rs
+++ b/crates/entry/src/traffic/request_service.rs
@@ -14,7 +14,7 @@
 use hyper::body::Incoming;
 use tokio::time::Instant;
 
-use crate::daemon::StopTokens;
+use crate::daemon::ShutdownTokens;
 use crate::state::SharedState;
 use crate::traffic::request_decoder::decode_request;
 use crate::traffic::request_failure::RequestFailure;
@@ -44,13 +44,13 @@
 /// the backend server.
 pub(crate) async fn serve_request(
     state: Arc<SharedState>,
-    stop: StopTokens,
+    stop: ShutdownTokens,
     request: Request<Incoming>,
 ) -> Result<Response<ResponseBody>, Infallible> {
     let _open = OpenRequestGuard::new(state.clone());
     // A request accepted now might be cut off by the shutdown timeout. Reject it, so that the caller retries
     // on a connection to another host.
-    if stop.closing.is_cancelled() {
+    if stop.draining.is_cancelled() {
         return Ok(RequestFailure::new(ErrorKind::Stopping, SHUTDOWN_TIME_LEFT)
             .with_connection_close()
             .to_response());
@@ -60,7 +60,7 @@
         Err(failure) => failure.to_response(),
     };
     // During shutdown, callers must not reuse connections that are about to be closed.
-    if stop.begun.is_cancelled() {
+    if stop.requested.is_cancelled() {
         response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
     Ok(response)
@@ -85,7 +85,7 @@
 
 fn log_rejected(state: &SharedState, id: &str, failure: &RequestFailure) {
     let kind = EventKind::RequestRefused;
-    if !state.lines.allows(kind, Instant::now()) {
+    if !state.log_limiter.allows(kind, Instant::now()) {
         return;
     }
     let proof_ms = state.proof().age(crate::state::boot_now()).map(|age| age.as_millis() as u64);
--- a/crates/entry/src/traffic/send_attempt.rs
+++ b/crates/entry/src/traffic/send_attempt.rs
@@ -8,7 +8,7 @@
 use fulmargate_consortium::SendHead;
 use fulmargate_dispatch::ConnectOutcome;
 use fulmargate_dispatch::ProbeStep;
-use fulmargate_dispatch::SendEnd;
+use fulmargate_dispatch::SendOutcome;
 use fulmargate_dispatch::ServerEntry;
 use fulmargate_names::WeightsVersion;
 use http::Request;
@@ -65,12 +65,12 @@
 /// Why a send produced no usable response.
 #[derive(Debug)]
 pub(crate) struct SendError {
-    pub(crate) end: SendEnd,
+    pub(crate) end: SendOutcome,
     pub(crate) reason: String,
 }
 
 impl SendError {
-    fn new(end: SendEnd, reason: &dyn ToString) -> SendError {
+    fn new(end: SendOutcome, reason: &dyn ToString) -> SendError {
         SendError { end, reason: reason.to_string() }
     }
 }
@@ -85,7 +85,7 @@
     /// Connects to the planned server.
     pub(crate) async fn connect(plan: SendPlan) -> Result<ConnectedSend, SendError> {
         let result = plan.in_flight.connect(&plan.server).await;
-        let connection = result.map_err(|err| SendError::new(SendEnd::NotSent, &err))?;
+        let connection = result.map_err(|err| SendError::new(SendOutcome::NotSent, &err))?;
         Ok(ConnectedSend { plan, connection })
     }
 
@@ -113,7 +113,7 @@
         plan.in_flight.record_response_head(head.load);
         let matches_request = head.request.as_deref() == Some(decoded.facts.id.as_str());
         if !matches_request && !head.is_misdirected {
-            return Err(SendError::new(SendEnd::Broken, &"the answer names another request"));
+            return Err(SendError::new(SendOutcome::Broken, &"the answer names another request"));
         }
         let SendPlan { server, weights, in_flight, .. } = plan;
         Ok(ServerResponse {
@@ -141,14 +141,14 @@
         let wake_at =
             plan.head_deadline.min(next_probe).min(Instant::now() + SERVER_CHECK_INTERVAL);
         match timeout_at(wake_at, &mut sending).await {
-            Ok(result) => return result.map_err(|err| SendError::new(SendEnd::Broken, &err)),
+            Ok(result) => return result.map_err(|err| SendError::new(SendOutcome::Broken, &err)),
             Err(_) if plan.head_deadline <= Instant::now() => {
-                return Err(SendError::new(SendEnd::TimedOut, &"no answer in time"));
+                return Err(SendError::new(SendOutcome::TimedOut, &"no answer in time"));
             }
             Err(_) => {}
         }
         if plan.in_flight.is_lost(&plan.server) {
-            return Err(SendError::new(SendEnd::Unreachable, &"the server is lost"));
+            return Err(SendError::new(SendOutcome::Unreachable, &"the server is lost"));
         }
         if next_probe <= Instant::now() {
             next_probe = Instant::now() + plan.probe_interval;
@@ -157,7 +157,7 @@
             tokio::select! {
                 biased;
                 result = &mut sending => {
-                    return result.map_err(|err| SendError::new(SendEnd::Broken, &err));
+                    return result.map_err(|err| SendError::new(SendOutcome::Broken, &err));
                 }
                 probed = probe_server(plan) => probed?,
             }
@@ -167,11 +167,11 @@
 
 /// Probes an unresponsive server, unless another request has just done so.
 async fn probe_server(plan: &SendPlan) -> Result<(), SendError> {
-    let unreachable = |reason: String| Err(SendError::new(SendEnd::Unreachable, &reason));
-    match plan.in_flight.next_contact_step() {
+    let unreachable = |reason: String| Err(SendError::new(SendOutcome::Unreachable, &reason));
+    match plan.in_flight.next_probe_step() {
         ProbeStep::Wait => Ok(()),
         ProbeStep::Unreachable => unreachable("silent, and no connection lately".to_owned()),
-        ProbeStep::Ask => match probe_connection(plan).await {
+        ProbeStep::Probe => match probe_connection(plan).await {
             Some(err) => unreachable(format!("silent, and {err}")),
             None => Ok(()),
         },
@@ -208,8 +208,8 @@
             timeout_at(deadline, Limited::new(self.body, MAX_BUFFERED_RESPONSE_BYTES).collect())
                 .await;
         let body = result
-            .map_err(|_| SendError::new(SendEnd::TimedOut, &"the answer did not end in time"))?
-            .map_err(|err| SendError::new(SendEnd::Broken, &err))?;
+            .map_err(|_| SendError::new(SendOutcome::TimedOut, &"the answer did not end in time"))?
+            .map_err(|err| SendError::new(SendOutcome::Broken, &err))?;
         if self.parts.status.is_success() {
             self.in_flight.record_success();
         }
@@ -223,7 +223,7 @@
     plan: &SendPlan,
 ) -> Result<Request<Full<Bytes>>, SendError> {
     let path = decoded.parts.uri.path_and_query().map_or("/", |path| path.as_str());
-    let uri: Uri = path.parse().map_err(|err| SendError::new(SendEnd::NotSent, &err))?;
+    let uri: Uri = path.parse().map_err(|err| SendError::new(SendOutcome::NotSent, &err))?;
     let mut request = Request::new(Full::new(decoded.body.clone()));
     *request.method_mut() = decoded.parts.method.clone();
     *request.uri_mut() = uri;
--- a/crates/entry/src/traffic/server_connection.rs
+++ b/crates/entry/src/traffic/server_connection.rs
@@ -19,9 +19,9 @@
 use tokio::time::timeout;
 use tokio_util::task::AbortOnDropHandle;
 
-use crate::sockets::watch_peer;
+use crate::sockets::set_peer_timeout;
 use crate::state::SharedState;
-use crate::state::note_connect;
+use crate::state::record_connect_outcome;
 
 /// Shorter than the one second after which TCP retransmits a lost SYN: trying another server is faster.
 pub(crate) const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
@@ -63,7 +63,7 @@
     pub(crate) fn outcome(&self) -> ConnectOutcome {
         match self {
             ConnectError::Refused { .. } => ConnectOutcome::Refused,
-            ConnectError::Failed { .. } | ConnectError::TimedOut => ConnectOutcome::Silent,
+            ConnectError::Failed { .. } | ConnectError::TimedOut => ConnectOutcome::TimedOut,
         }
     }
 }
@@ -77,7 +77,7 @@
         let result = ServerConnection::connect(server.address).await;
         let outcome =
             result.as_ref().map_or_else(ConnectError::outcome, |_| ConnectOutcome::Reached);
-        note_connect(state, server.key(), outcome);
+        record_connect_outcome(state, server.key(), outcome);
         result
     }
 
@@ -87,7 +87,7 @@
         let result = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
         let stream =
             result.map_err(|_| ConnectError::TimedOut)?.map_err(|err| ConnectError::new(&err))?;
-        watch_peer(&stream, SERVER_TCP_TIMEOUT).map_err(|err| ConnectError::new(&err))?;
+        set_peer_timeout(&stream, SERVER_TCP_TIMEOUT).map_err(|err| ConnectError::new(&err))?;
         let handshake = http1::handshake(TokioIo::new(stream)).await;
         let (sender, connection) = handshake.map_err(|err| failed(err.to_string()))?;
         let task = tokio::task::spawn_local(async move {
--- a/crates/entry/src/traffic/stream_relay.rs
+++ b/crates/entry/src/traffic/stream_relay.rs
@@ -105,7 +105,7 @@
             let weights = response.weights;
             let (reason, connected) = match self.relay_attempt(response).await {
                 AttemptEnd::Complete => {
-                    self.handler.state.crashes().acquit(self.handler.facts().print);
+                    self.handler.state.crashes().clear(self.handler.facts().fingerprint);
                     self.handler.log_ended(EventKind::RequestEnded, status, None);
                     return;
                 }
@@ -120,7 +120,7 @@
             if let Err(failure) = self.handler.handle_broken_stream(&reason, &server).await {
                 return self.abort(ErrorKind::StreamBroken, failure.detail).await;
             }
-            self.splitter.drop_rest();
+            self.splitter.discard_partial();
             let point = self.resume_point(weights);
             response = match self.resume(&point, connected).await {
                 Ok(response) if response.parts.status.is_success() => response,
@@ -180,9 +180,9 @@
     async fn finish_attempt(&mut self, response: &ServerResponse) -> AttemptEnd {
         let remaining = self.splitter.finish();
         response.in_flight.record_success();
-        response.in_flight.record_longest_gap(
-            self.handler.timing.longest_gap_share(self.handler.facts().route.kind),
-        );
+        response
+            .in_flight
+            .record_max_gap(self.handler.timing.max_gap_share(self.handler.facts().route.kind));
         if self.forward(remaining).await { AttemptEnd::Complete } else { AttemptEnd::CallerGone }
     }
 
@@ -219,7 +219,7 @@
 
     fn silence_timeout(&self) -> Duration {
         match self.handler.facts().route.kind {
-            RouteKind::Stream(rule) => rule.longest_gap * PROBE_GAP_FACTOR,
+            RouteKind::Stream(rule) => rule.max_gap * PROBE_GAP_FACTOR,
             _ => Duration::from_secs(1),
         }
     }
@@ -235,7 +235,7 @@
 
     fn log_resumed(&self, response: &ServerResponse, last_event: Option<&str>) {
         let kind = EventKind::StreamResumed;
-        if !self.handler.state.lines.allows(kind, Instant::now()) {
+        if !self.handler.state.log_limiter.allows(kind, Instant::now()) {
             return;
         }
         tracing::info!(
--- a/crates/entry/src/traffic/traffic_thread.rs
+++ b/crates/entry/src/traffic/traffic_thread.rs
@@ -15,9 +15,9 @@
 use tokio::task::LocalSet;
 use tokio::time::sleep;
 
+use crate::daemon::ShutdownTokens;
 use crate::daemon::StartError;
-use crate::daemon::StopTokens;
-use crate::sockets::watch_peer;
+use crate::sockets::set_peer_timeout;
 use crate::state::SharedState;
 use crate::traffic::prompt_queue::PromptQueue;
 use crate::traffic::request_service::serve_request;
@@ -36,14 +36,14 @@
 /// without its final chunk.
 pub(crate) struct TrafficThread {
     pub(crate) state: Arc<SharedState>,
-    pub(crate) stop: StopTokens,
+    pub(crate) stop: ShutdownTokens,
 }
 
 impl TrafficThread {
     /// Runs until the shutdown is complete.
     pub(crate) fn run(self, listener: StdListener) -> Result<(), StartError> {
         let failed = |err: std::io::Error| StartError::Thread {
-            what: "traffic thread",
+            task: "traffic thread",
             reason: err.to_string(),
         };
         let runtime = Builder::new_current_thread().enable_all().build().map_err(failed)?;
@@ -51,7 +51,7 @@
         runtime.block_on(tasks.run_until(async move {
             let listener = TcpListener::from_std(listener).map_err(failed)?;
             tokio::task::spawn_local(PromptQueue::run(self.state.clone()));
-            let ended = self.stop.ended.clone();
+            let ended = self.stop.complete.clone();
             tokio::select! {
                 () = ended.cancelled() => {}
                 () = self.accept(listener) => {}
@@ -77,9 +77,9 @@
     }
 }
 
-async fn serve_connection(state: Arc<SharedState>, stop: StopTokens, stream: TcpStream) {
+async fn serve_connection(state: Arc<SharedState>, stop: ShutdownTokens, stream: TcpStream) {
     state.open_connections.fetch_add(1, Ordering::Relaxed);
-    if let Err(err) = watch_peer(&stream, CALLER_TCP_TIMEOUT) {
+    if let Err(err) = set_peer_timeout(&stream, CALLER_TCP_TIMEOUT) {
         tracing::debug!("cannot set TCP options on caller connection: {err}");
     }
     let idle = state
@@ -100,7 +100,7 @@
     let mut connection = std::pin::pin!(connection);
     let result = tokio::select! {
         result = &mut connection => result,
-        () = stop.closing.cancelled() => {
+        () = stop.draining.cancelled() => {
             // Closes immediately if no request is open, otherwise after the response.
             connection.as_mut().graceful_shutdown();
             connection.await
--- a/crates/entry/tests/daemon/handing_on.rs
+++ b/crates/entry/tests/daemon/handing_on.rs
@@ -41,7 +41,7 @@
 /// What a reader has refused and given of operators' records.
 const REFUSALS: &str = "fulmargate_hand_on_refusals_total{topic=\"operator\"}";
 const GIVEN_BYTES: &str = "fulmargate_handed_on_bytes_total{topic=\"operator\"}";
-const IN_REACH: StoreAccess = StoreAccess::InReach;
+const IN_REACH: StoreAccess = StoreAccess::Reachable;
 
 /// What a reader says to a question.
 struct Reply {
@@ -69,7 +69,7 @@
         let question = bincode::serde::encode_to_vec(question, standard()).expect("a question");
         let mut client = self.client.clone().ready().await.expect("the link stands");
         let mut request = Request::post(format!("http://{}/log", self.address));
-        if store == StoreAccess::OutOfReach {
+        if store == StoreAccess::Unreachable {
             request = request.header("fulmargate-store", "out-of-reach");
         }
         let request = request.body(()).expect("a request");
@@ -197,12 +197,12 @@
     until_given(&askers[0], FIRST_READ, IN_REACH).await;
     deployment.store.put_config(&large_config());
     until("the reader has it", || knows(&reader, 2)).await;
-    let (askers, replies) = ask_all(askers, FIRST_READ, StoreAccess::OutOfReach).await;
+    let (askers, replies) = ask_all(askers, FIRST_READ, StoreAccess::Unreachable).await;
     let is_given = |reply: &&Reply| reply.status == StatusCode::OK;
     let given: Vec<&Reply> = replies.iter().filter(is_given).collect();
     assert_eq!(given.len(), 1, "one at a time");
     assert_eq!(given[0].records.len(), 1);
-    until_given(&askers[1], FIRST_READ, StoreAccess::OutOfReach).await;
+    until_given(&askers[1], FIRST_READ, StoreAccess::Unreachable).await;
 }
 
 /// Keys are refused at a host that lost the store while its zone's readers have it.
--- a/crates/load/src/calls/caller.rs
+++ b/crates/load/src/calls/caller.rs
@@ -51,7 +51,7 @@
 }
 
 /// How one send of a prompt ended.
-enum SendEnd {
+enum SendOutcome {
     Final(Verdict),
     /// The connection broke; the caller may go on elsewhere.
     Broken,
@@ -131,12 +131,12 @@
         let mut check = AnswerCheck::new(self.expected(call, &body));
         for _ in 0..=TRIES_AGAIN {
             match self.send_prompt(call, &body, &mut check, record).await {
-                SendEnd::Final(verdict) => {
+                SendOutcome::Final(verdict) => {
                     record.verdict = verdict;
                     (record.prompt_tokens, record.cached_tokens) = check.usage();
                     return;
                 }
-                SendEnd::Broken => {
+                SendOutcome::Broken => {
                     record.tries_again += 1;
                     sleep(PAUSE_BEFORE_TRY).await;
                 }
@@ -160,7 +160,7 @@
         body: &Bytes,
         check: &mut AnswerCheck,
         record: &mut CallRecord,
-    ) -> SendEnd {
+    ) -> SendOutcome {
         let mut request = self.request(call, "POST", "/v1/chat/completions");
         request.body = body.clone();
         if let Some(id) = check.last_id() {
@@ -172,17 +172,18 @@
             request.headers.push((names::CACHE_SCOPE, scope));
         }
         let Ok(response) = self.client.send(request).await else {
-            return SendEnd::Broken;
+            return SendOutcome::Broken;
         };
         let head = AnswerHead::read(response.status, &response.headers);
         head.note_in(record);
         if !response.status.is_success() {
             let body = response.read_body(ERROR_BODY_LIMIT).await;
-            return body
-                .map_or(SendEnd::Broken, |body| SendEnd::Final(head.refusal(&body, self.target)));
+            return body.map_or(SendOutcome::Broken, |body| {
+                SendOutcome::Final(head.refusal(&body, self.target))
+            });
         }
         if let Some(fault) = head.fault(check.expected(), self.target) {
-            return SendEnd::Final(Verdict::Faulty(fault));
+            return SendOutcome::Final(Verdict::Faulty(fault));
         }
         self.read_stream(call, response, check, record).await
     }
@@ -194,18 +195,18 @@
         mut response: CallAnswer,
         check: &mut AnswerCheck,
         record: &mut CallRecord,
-    ) -> SendEnd {
+    ) -> SendOutcome {
         let mut reader = SseReader::default();
         let mut clock = TokenClock::new(self.start + call.at);
         while let Some(bytes) = response.next_bytes().await {
-            let Ok(bytes) = bytes else { return SendEnd::Broken };
+            let Ok(bytes) = bytes else { return SendOutcome::Broken };
             for event in reader.read(&bytes) {
                 if event.name.as_deref() == Some("error") {
-                    return SendEnd::Final(AnswerHead::stream_error(&event.data, record));
+                    return SendOutcome::Final(AnswerHead::stream_error(&event.data, record));
                 }
                 let before = check.tokens();
                 if let Err(fault) = check.take(&event) {
-                    return SendEnd::Final(Verdict::Faulty(fault));
+                    return SendOutcome::Final(Verdict::Faulty(fault));
                 }
                 if before < check.tokens() {
                     clock.note(&event, record);
@@ -213,8 +214,8 @@
             }
         }
         match check.is_done() && !reader.is_within_event() {
-            true => SendEnd::Final(Verdict::Whole),
-            false => SendEnd::Final(Verdict::Faulty(AnswerFault::Truncated)),
+            true => SendOutcome::Final(Verdict::Whole),
+            false => SendOutcome::Final(Verdict::Faulty(AnswerFault::Truncated)),
         }
     }
 
@@ -263,11 +264,11 @@
             let ended = self.start.elapsed();
             sends.push(KeySend { began, ended, disposition: record.disposition });
             match sent {
-                Ok(SendEnd::Final(verdict)) => {
+                Ok(SendOutcome::Final(verdict)) => {
                     record.verdict = verdict;
                     return sends;
                 }
-                Ok(SendEnd::Broken) | Err(_) => {
+                Ok(SendOutcome::Broken) | Err(_) => {
                     record.tries_again += 1;
                     sleep(PAUSE_BEFORE_TRY).await;
                 }
@@ -281,8 +282,8 @@
         call: &PlannedCall,
         key: &str,
         record: &mut CallRecord,
-    ) -> SendEnd {
-        let CallKind::Service(service_use) = &call.kind else { return SendEnd::Broken };
+    ) -> SendOutcome {
+        let CallKind::Service(service_use) = &call.kind else { return SendOutcome::Broken };
         let service_call = self.deployment.calls[usize::from(service_use.call)];
         let path = format!("/services/{}{}", self.deployment.service, service_call.path);
         let mut request = self.request(call, service_call.method, &path);
@@ -291,19 +292,19 @@
         }
         request.body = Bytes::from(format!("{{\"order\":{}}}", call.number));
         let Ok(response) = self.client.send(request).await else {
-            return SendEnd::Broken;
+            return SendOutcome::Broken;
         };
         let head = AnswerHead::read(response.status, &response.headers);
         let is_success = response.status.is_success();
         let Ok(body) = response.read_body(ERROR_BODY_LIMIT).await else {
-            return SendEnd::Broken;
+            return SendOutcome::Broken;
         };
         head.note_in(record);
         if !is_success {
-            return SendEnd::Final(head.refusal(&body, self.target));
+            return SendOutcome::Final(head.refusal(&body, self.target));
         }
         let fault = head.service_fault(&self.request_id(call));
-        SendEnd::Final(fault.map_or(Verdict::Whole, Verdict::Faulty))
+        SendOutcome::Final(fault.map_or(Verdict::Whole, Verdict::Faulty))
     }
 
     fn request(&self, call: &PlannedCall, method: &'static str, path: &str) -> CallRequest {
