--- a/crates/entry/tests/daemon/main.rs
+++ b/crates/entry/tests/daemon/main.rs
@@ -2,15 +2,15 @@
 
 mod configuration;
 mod fleet_topic;
-mod handing_on;
+mod host_connectivity;
+mod process_lifecycle;
+mod queued_prompts;
 mod quotas;
-mod reach;
+mod record_forwarding;
 mod relays;
 mod requests;
-mod restores;
-mod stops;
-mod store_way;
+mod store_proxy;
+mod store_restore;
 mod streams;
 mod support;
-mod waiting;
-mod weights;
+mod weight_updates;
--- a/crates/entry/tests/daemon/handing_on.rs
+++ b/crates/entry/tests/daemon/record_forwarding.rs
@@ -20,7 +20,7 @@
 use tokio::time::sleep;
 
 use crate::configuration::settled_askers;
-use crate::store_way::StoreWay;
+use crate::store_proxy::StoreWay;
 use crate::support::DaemonProcess;
 use crate::support::LOOK_PACE;
 use crate::support::MOST_LOOKS;
