--- a/crates/entry/tests/daemon/configuration.rs
+++ b/crates/entry/tests/daemon/configuration.rs
@@ -10,8 +10,8 @@
 
 use crate::support::DaemonProcess;
 use crate::support::TestDeployment;
-use crate::support::first_config;
-use crate::support::until;
+use crate::support::initial_config;
+use crate::support::wait_until;
 
 /// Metrics are looked at so often; how long that takes is of no matter.
 const MOST_READS: usize = 150;
@@ -32,13 +32,13 @@
 #[tokio::test]
 async fn a_new_configuration_replaces_the_old_whole() {
     let deployment = TestDeployment::start(ServerMode::Answer).await;
-    let mut config = first_config();
+    let mut config = initial_config();
     config.version = 9;
     config.routes.remove(1);
     config.routes.push(ConfigText::route("/new/", "idempotent", "desk"));
     deployment.store.put_config(&config);
     until_status(&deployment, &CallerRequest::new("/new/x", "n"), 200).await;
-    let gone = deployment.send(&CallerRequest::new("/look/x", "g")).await;
+    let gone = deployment.send(&CallerRequest::new("/read/x", "g")).await;
     assert_eq!(gone.status, 404);
     config.version = 8;
     config.routes.clear();
@@ -66,9 +66,9 @@
 #[tokio::test]
 async fn a_taken_key_stops() {
     let deployment = TestDeployment::start(ServerMode::Answer).await;
-    let request = CallerRequest::new("/look/x", "t");
+    let request = CallerRequest::new("/read/x", "t");
     assert_eq!(deployment.send(&request).await.status, 200);
-    let mut config = first_config();
+    let mut config = initial_config();
     config.version = 2;
     config.teams = vec![("blue", "k-blue")];
     deployment.store.put_config(&config);
@@ -83,15 +83,15 @@
     for fault in [StoreFault::Silent, StoreFault::Busy] {
         let deployment = TestDeployment::start(ServerMode::Answer).await;
         deployment.store.set_fault(fault);
-        let keyed = CallerRequest::new("/look/x", "p");
+        let keyed = CallerRequest::new("/read/x", "p");
         until_status(&deployment, &keyed, 503).await;
-        deployment.until_ready(503).await;
-        let mut open = CallerRequest::new("/open/x", "o");
+        deployment.wait_for_readiness(503).await;
+        let mut open = CallerRequest::new("/anonymous/x", "o");
         open.key = None;
         assert_eq!(deployment.send(&open).await.status, 200, "{fault:?}");
         deployment.store.set_fault(StoreFault::None);
         until_status(&deployment, &keyed, 200).await;
-        deployment.until_ready(200).await;
+        deployment.wait_for_readiness(200).await;
     }
 }
 
@@ -101,10 +101,10 @@
 #[tokio::test]
 async fn an_unreadable_configuration_proves_nothing() {
     let deployment = TestDeployment::start(ServerMode::Answer).await;
-    let request = CallerRequest::new("/look/x", "u");
+    let request = CallerRequest::new("/read/x", "u");
     deployment.store.put_strange_config();
     until_status(&deployment, &request, 503).await;
-    let mut config = first_config();
+    let mut config = initial_config();
     config.version = 3;
     deployment.store.put_config(&config);
     until_status(&deployment, &request, 200).await;
@@ -114,7 +114,7 @@
 #[tokio::test]
 async fn a_lost_history_is_read_anew() {
     let deployment = TestDeployment::start(ServerMode::Answer).await;
-    let mut config = first_config();
+    let mut config = initial_config();
     config.version = 5;
     config.routes.push(ConfigText::route("/after/", "idempotent", "desk"));
     deployment.store.put_config(&config);
@@ -126,19 +126,19 @@
 #[tokio::test]
 async fn a_draining_server_gets_nothing_new() {
     let deployment = TestDeployment::start(ServerMode::Answer).await;
-    let leaving = &deployment.desks[0];
+    let leaving = &deployment.plain_servers[0];
     deployment.store.put_server(&leaving.name, "desk", leaving.address, "draining");
-    until("it is known", || !deployment.daemon.events("server_leaving").is_empty()).await;
+    wait_until("it is known", || !deployment.daemon.events("server_leaving").is_empty()).await;
     deployment.store.put_server(&leaving.name, "desk", leaving.address, "ready");
     let before = leaving.seen().len();
     for turn in 0..10 {
-        let answer = deployment.send(&CallerRequest::new("/look/x", &format!("d-{turn}"))).await;
+        let answer = deployment.send(&CallerRequest::new("/read/x", &format!("d-{turn}"))).await;
         assert_eq!(answer.status, 200);
         sleep(Duration::from_millis(100)).await;
     }
     assert_eq!(leaving.seen().len(), before);
     deployment.store.remove_server(&leaving.name);
-    until("it is gone", || !deployment.daemon.events("server_gone").is_empty()).await;
+    wait_until("it is gone", || !deployment.daemon.events("server_gone").is_empty()).await;
 }
 
 /// An operator asks a daemon what it believes.
@@ -146,7 +146,8 @@
 async fn status_tells_what_is_believed() {
     let deployment = TestDeployment::start(ServerMode::Answer).await;
     deployment.store.name_weights(2);
-    until("weights are in place", || deployment.daemon.events("weights_in_place").len() == 2).await;
+    wait_until("weights are in place", || deployment.daemon.events("weights_in_place").len() == 2)
+        .await;
     let metrics = deployment.daemon.address("metrics").await;
     let status = CallerRequest::new("/status", "s").send(metrics).await.expect("status");
     let status: serde_json::Value = serde_json::from_str(&status.body).expect("JSON");
@@ -209,22 +210,24 @@
 async fn few_hosts_read_the_store_for_many() {
     let deployment = TestDeployment::start(ServerMode::Answer).await;
     // In a zone without the deployment's own daemon, which could be drawn as a reader.
-    let start = |_| DaemonProcess::start_among(deployment.store.address, "south", 2);
+    let start = |_| DaemonProcess::start_in_zone(deployment.store.address, "south", 2);
     let mut daemons: Vec<DaemonProcess> = (0..5).map(start).collect();
     let asks = settled_askers(&daemons, 3).await;
-    let mut config = first_config();
+    let mut config = initial_config();
     config.version = 4;
     deployment.store.put_config(&config);
     let knows = |daemon: &DaemonProcess, version: &str| {
         daemon.events("config_accepted").iter().any(|line| line["version"] == version)
     };
-    until("all know the next configuration", || daemons.iter().all(|daemon| knows(daemon, "4")))
-        .await;
+    wait_until("all know the next configuration", || {
+        daemons.iter().all(|daemon| knows(daemon, "4"))
+    })
+    .await;
     let mut asking = asks.into_iter();
     daemons.retain(|_| asking.next().unwrap_or(true));
     config.version = 5;
     deployment.store.put_config(&config);
-    until("the others know the one after", || daemons.iter().all(|daemon| knows(daemon, "5")))
+    wait_until("the others know the one after", || daemons.iter().all(|daemon| knows(daemon, "5")))
         .await;
     assert!(daemons.iter().all(|daemon| daemon.events("config_unproven").is_empty()));
 }
--- a/crates/entry/tests/daemon/fleet_topic.rs
+++ b/crates/entry/tests/daemon/fleet_topic.rs
@@ -13,8 +13,8 @@
 use tokio::time::sleep;
 
 use crate::support::DaemonProcess;
-use crate::support::LOOK_PACE;
-use crate::support::MOST_LOOKS;
+use crate::support::MAX_POLLS;
+use crate::support::POLL_INTERVAL;
 use crate::support::TestDeployment;
 
 /// Hosts that start, one after the other at this pace.
@@ -67,19 +67,19 @@
 #[tokio::test]
 async fn a_new_host_asks_others_at_once() {
     let deployment = TestDeployment::start(ServerMode::Answer).await;
-    let start = |_| DaemonProcess::start_among(deployment.store.address, "south", 2);
+    let start = |_| DaemonProcess::start_in_zone(deployment.store.address, "south", 2);
     let _others: Vec<DaemonProcess> = (0..HOSTS).map(start).collect();
     sleep(SETTLED).await;
     let mut narrow = json!({"zone": "south", "few_hosts": 2});
     narrow["link_mbps"] = json!(1.0);
-    let started = DaemonProcess::start_with(deployment.store.address, &narrow);
-    for _ in 0..MOST_LOOKS {
+    let started = DaemonProcess::start_with_settings(deployment.store.address, &narrow);
+    for _ in 0..MAX_POLLS {
         if 4 <= started.counter(ASKED).await {
             let reads = started.counter(READS).await;
             assert!(reads <= MOST_READS, "{reads} reads of the store");
             return;
         }
-        sleep(LOOK_PACE).await;
+        sleep(POLL_INTERVAL).await;
     }
     panic!("in vain: it asks others");
 }
--- a/crates/entry/tests/daemon/host_connectivity.rs
+++ b/crates/entry/tests/daemon/host_connectivity.rs
@@ -8,10 +8,10 @@
 use tokio::spawn;
 use tokio::task::JoinHandle;
 
-use crate::support::PATIENCE_MS;
+use crate::support::REQUEST_TIMEOUT_MS;
 use crate::support::TestDeployment;
-use crate::support::first_config;
-use crate::support::until;
+use crate::support::initial_config;
+use crate::support::wait_until;
 
 /// A silent engine is asked after this time, in the midst of looks that take 1.8 s.
 const TARGET_MS: u64 = 1_000;
@@ -21,14 +21,15 @@
 /// A deployment whose requests have time.
 async fn start(mode: ServerMode) -> TestDeployment {
     let deployment = TestDeployment::start(mode).await;
-    let mut config = first_config();
+    let mut config = initial_config();
     config.version = 2;
     for route in &mut config.routes {
-        route["timeoutMs"] = json!(PATIENCE_MS);
+        route["timeoutMs"] = json!(REQUEST_TIMEOUT_MS);
         route["targetLatencyMs"] = json!(TARGET_MS);
     }
     deployment.store.put_config(&config);
-    until("requests have time", || deployment.daemon.events("config_accepted").len() == 2).await;
+    wait_until("requests have time", || deployment.daemon.events("config_accepted").len() == 2)
+        .await;
     deployment
 }
 
@@ -38,11 +39,11 @@
     servers: &[ServerStand],
     mut request: CallerRequest,
 ) -> JoinHandle<CallerAnswer> {
-    request.patience_ms = PATIENCE_MS;
+    request.patience_ms = REQUEST_TIMEOUT_MS;
     let id = request.id.clone();
     let callers = deployment.callers;
     let running = spawn(async move { request.send(callers).await.expect("an answer") });
-    until("a server runs it", || {
+    wait_until("a server runs it", || {
         servers.iter().flat_map(ServerStand::seen).any(|seen| seen.id() == id)
     })
     .await;
@@ -51,7 +52,7 @@
 
 /// No connection comes about any more, to whatever server, as on a full link of the host.
 async fn fill_link(deployment: &TestDeployment) {
-    for server in deployment.desks.iter().chain(&deployment.engines) {
+    for server in deployment.plain_servers.iter().chain(&deployment.engines) {
         server.hold_connections().await.expect("connections hang");
     }
 }
@@ -59,7 +60,7 @@
 /// Looks that find no server.
 async fn look_in_vain(deployment: &TestDeployment) {
     for turn in 0..VAIN_LOOKS {
-        let answer = deployment.send(&CallerRequest::new("/look/x", &format!("vain-{turn}"))).await;
+        let answer = deployment.send(&CallerRequest::new("/read/x", &format!("vain-{turn}"))).await;
         assert_eq!(answer.status, 503);
     }
 }
@@ -72,13 +73,13 @@
 async fn a_charge_is_waited_for_while_no_server_can_be_reached() {
     let deployment = start(ServerMode::Wait).await;
     let charge = CallerRequest::new("/charge/x", "charge-1");
-    let running = begin(&deployment, &deployment.desks, charge).await;
+    let running = begin(&deployment, &deployment.plain_servers, charge).await;
     fill_link(&deployment).await;
     look_in_vain(&deployment).await;
-    deployment.set_desks(ServerMode::Answer);
+    deployment.set_plain_mode(ServerMode::Answer);
     let answer = running.await.expect("the task ends");
     assert_eq!((answer.status, answer.body.as_str()), (200, "done"));
-    assert_eq!(deployment.desk_runs(), 1);
+    assert_eq!(deployment.plain_request_count(), 1);
 }
 
 /// A caller waits for what will never come.
@@ -88,16 +89,16 @@
 async fn a_lost_server_is_seen_while_others_are_reached() {
     let deployment = start(ServerMode::Wait).await;
     let charge = CallerRequest::new("/charge/x", "charge-2");
-    let running = begin(&deployment, &deployment.desks, charge).await;
+    let running = begin(&deployment, &deployment.plain_servers, charge).await;
     let is_busy = |desk: &&ServerStand| !desk.seen().is_empty();
-    let busy = deployment.desks.iter().find(is_busy).expect("a desk runs it");
+    let busy = deployment.plain_servers.iter().find(is_busy).expect("a desk runs it");
     busy.hold_connections().await.expect("connections hang");
-    for desk in deployment.desks.iter().filter(|desk| desk.name != busy.name) {
+    for desk in deployment.plain_servers.iter().filter(|desk| desk.name != busy.name) {
         desk.set_mode(ServerMode::Refuse);
     }
     let mut turn = 0;
     while !running.is_finished() {
-        deployment.send(&CallerRequest::new("/look/x", &format!("seen-{turn}"))).await;
+        deployment.send(&CallerRequest::new("/read/x", &format!("seen-{turn}"))).await;
         turn += 1;
     }
     let answer = running.await.expect("the task ends");
@@ -115,7 +116,7 @@
     fill_link(&deployment).await;
     look_in_vain(&deployment).await;
     let lines = |name| daemon.events(name).len();
-    until("each doubt ends by itself", || {
+    wait_until("each doubt ends by itself", || {
         0 < lines("own_reach_doubted") && lines("own_reach_doubted") == lines("own_reach_restored")
     })
     .await;
@@ -154,7 +155,7 @@
 
 impl CrashCase {
     async fn arrange(&self, deployment: &TestDeployment, desk: &ServerStand) {
-        for server in deployment.desks.iter().chain(&deployment.engines) {
+        for server in deployment.plain_servers.iter().chain(&deployment.engines) {
             match (self.connections, server.name == desk.name) {
                 (NewConnections::DeskRefuses, true) => server.stop_accepting(),
                 (NewConnections::DeskRefuses | NewConnections::DeskHangs, false) => {}
@@ -167,18 +168,18 @@
     async fn check(&self) {
         let deployment = start(ServerMode::Wait).await;
         let charge = CallerRequest::new("/charge/x", "charge-3");
-        let charge = begin(&deployment, &deployment.desks, charge).await;
-        let stream = CallerRequest::prompt("/once-streamed/x", "stream-3");
+        let charge = begin(&deployment, &deployment.plain_servers, charge).await;
+        let stream = CallerRequest::prompt("/non-resumable/x", "stream-3");
         let stream = begin(&deployment, &deployment.engines, stream).await;
         let is_busy = |desk: &&ServerStand| !desk.seen().is_empty();
-        let desk = deployment.desks.iter().find(is_busy).expect("a desk runs it");
+        let desk = deployment.plain_servers.iter().find(is_busy).expect("a desk runs it");
         self.arrange(&deployment, desk).await;
-        deployment.set_desks(ServerMode::LoseAnswer);
+        deployment.set_plain_mode(ServerMode::LoseAnswer);
         deployment.engines.iter().for_each(|engine| engine.set_mode(ServerMode::LoseAnswer));
         assert_eq!(charge.await.expect("the task ends").status, 502, "{}", self.name);
         assert_eq!(stream.await.expect("the task ends").status, 502, "{}", self.name);
         let lines = |name| deployment.daemon.events(name);
-        until(self.name, || {
+        wait_until(self.name, || {
             !lines("server_crashed").is_empty() || !lines("own_reach_restored").is_empty()
         })
         .await;
@@ -207,9 +208,9 @@
 #[tokio::test]
 async fn a_silent_engine_is_not_given_up_on_a_full_link() {
     let deployment = start(ServerMode::Stream(1)).await;
-    deployment.earn_budget().await;
+    deployment.earn_retry_budget().await;
     deployment.engines.iter().for_each(|engine| engine.set_mode(ServerMode::Wait));
-    deployment.set_desks(ServerMode::Wait);
+    deployment.set_plain_mode(ServerMode::Wait);
     let chat = CallerRequest::prompt("/chat/x", "chat-4");
     let running = begin(&deployment, &deployment.engines, chat).await;
     fill_link(&deployment).await;
@@ -234,7 +235,7 @@
     }
     deployment.store.name_weights(2);
     let lines = |name| deployment.daemon.events(name);
-    until("engines are silent", || {
+    wait_until("engines are silent", || {
         lines("order_refused").iter().filter(|line| line["end"] == "Silent").count() >= 4
     })
     .await;
--- a/crates/entry/tests/daemon/main.rs
+++ b/crates/entry/tests/daemon/main.rs
@@ -1,4 +1,4 @@
-//! The daemon as a process before stand-ins of the platform.
+//! Runs the daemon's binary against simulated platform services.
 
 mod configuration;
 mod fleet_topic;
--- a/crates/entry/tests/daemon/process_lifecycle.rs
+++ b/crates/entry/tests/daemon/process_lifecycle.rs
@@ -8,7 +8,7 @@
 
 use crate::support::DaemonProcess;
 use crate::support::TestDeployment;
-use crate::support::until;
+use crate::support::wait_until;
 
 /// A visitor's request is cut off by a planned stop.
 /// SIGTERM comes while it runs; the host is not ready any more, but still takes what arrives.
@@ -22,11 +22,12 @@
         request.patience_ms = 1_500;
         request.send(callers).await
     });
-    until("it runs", || deployment.desks.iter().any(|desk| !desk.seen().is_empty())).await;
+    wait_until("it runs", || deployment.plain_servers.iter().any(|desk| !desk.seen().is_empty()))
+        .await;
     deployment.daemon.signal("TERM");
-    deployment.until_ready(503).await;
-    deployment.set_desks(ServerMode::Answer);
-    let late = deployment.send(&CallerRequest::new("/look/x", "late")).await;
+    deployment.wait_for_readiness(503).await;
+    deployment.set_plain_mode(ServerMode::Answer);
+    let late = deployment.send(&CallerRequest::new("/read/x", "late")).await;
     assert_eq!(late.status, 200, "the balancer still sends");
     let answer = running.await.expect("the task ends").expect("an answer");
     assert_eq!(answer.status, 504, "its own timeout, not the stop");
@@ -40,11 +41,13 @@
 async fn a_hangup_ends_nothing() {
     let mut deployment = TestDeployment::start(ServerMode::Answer).await;
     deployment.daemon.signal("HUP");
-    until("settings are read again", || !deployment.daemon.events("settings_reread").is_empty())
-        .await;
-    let answer = deployment.send(&CallerRequest::new("/look/x", "hup")).await;
+    wait_until("settings are read again", || {
+        !deployment.daemon.events("settings_reread").is_empty()
+    })
+    .await;
+    let answer = deployment.send(&CallerRequest::new("/read/x", "hup")).await;
     assert_eq!(answer.status, 200);
-    assert!(deployment.daemon.runs());
+    assert!(deployment.daemon.is_running());
 }
 
 /// All processes are killed. A new one has nothing but the store, and serves.
@@ -54,8 +57,9 @@
     deployment.daemon.signal("KILL");
     deployment.daemon.exit_code().await;
     deployment.daemon = DaemonProcess::start(deployment.store.address);
-    until("it serves", || !deployment.daemon.events("config_proven").is_empty()).await;
-    until("it knows the servers", || deployment.daemon.events("server_listed").len() == 4).await;
+    wait_until("it serves", || !deployment.daemon.events("config_proven").is_empty()).await;
+    wait_until("it knows the servers", || deployment.daemon.events("server_listed").len() == 4)
+        .await;
 }
 
 /// A process without a configuration refuses, and says neither that a key nor a path is unknown.
@@ -63,10 +67,10 @@
 async fn without_a_configuration_nothing_is_said_of_keys() {
     let store = fulmargate_consortium_stand::StoreStand::start().await.expect("a store");
     let daemon = DaemonProcess::start(store.address);
-    until("it listens", || !daemon.events("process_started").is_empty()).await;
+    wait_until("it listens", || !daemon.events("process_started").is_empty()).await;
     let started = daemon.events("process_started").remove(0);
     let callers = started["callers"].as_str().and_then(|text| text.parse().ok());
-    let answer = CallerRequest::new("/look/x", "early").send(callers.expect("an address")).await;
+    let answer = CallerRequest::new("/read/x", "early").send(callers.expect("an address")).await;
     assert_eq!(answer.expect("an answer").status, 503);
     sleep(Duration::from_millis(1)).await;
 }
--- a/crates/entry/tests/daemon/queued_prompts.rs
+++ b/crates/entry/tests/daemon/queued_prompts.rs
@@ -8,8 +8,8 @@
 use tokio::task::JoinHandle;
 
 use crate::support::TestDeployment;
-use crate::support::first_config;
-use crate::support::until;
+use crate::support::initial_config;
+use crate::support::wait_until;
 
 /// A prompt that takes an engine 300 ms to read, with parts of its own.
 fn long_prompt(id: &str, part: &str) -> CallerRequest {
@@ -33,26 +33,28 @@
 #[tokio::test]
 async fn what_waits_is_judged_by_the_newest_configuration() {
     let deployment = TestDeployment::start(ServerMode::Hang).await;
-    let mut config = first_config();
+    let mut config = initial_config();
     config.version = 2;
     for route in &mut config.routes {
         route["targetLatencyMs"] = json!(5_000);
         route["timeoutMs"] = json!(8_000);
     }
     deployment.store.put_config(&config);
-    until("the targets are known", || deployment.daemon.events("config_accepted").len() == 2).await;
+    wait_until("the targets are known", || deployment.daemon.events("config_accepted").len() == 2)
+        .await;
     let sends = || deployment.engines.iter().map(|engine| engine.seen().len()).sum::<usize>();
     let first = send(&deployment, long_prompt("f-1", "a"));
-    until("one engine is busy", || sends() == 1).await;
+    wait_until("one engine is busy", || sends() == 1).await;
     let second = send(&deployment, long_prompt("f-2", "b"));
-    until("both engines are busy", || sends() == 2).await;
+    wait_until("both engines are busy", || sends() == 2).await;
     let waiting = send(&deployment, long_prompt("w-1", "c"));
-    until("it waits", || !deployment.daemon.events("request_waits").is_empty()).await;
+    wait_until("it waits", || !deployment.daemon.events("request_waits").is_empty()).await;
     config.version = 3;
     config.teams = vec![("green", "k-red"), ("blue", "k-blue")];
     config.isolated = vec!["green"];
     deployment.store.put_config(&config);
-    until("the key has passed on", || deployment.daemon.events("config_accepted").len() == 3).await;
+    wait_until("the key has passed on", || deployment.daemon.events("config_accepted").len() == 3)
+        .await;
     deployment.engines.iter().for_each(|engine| engine.set_mode(ServerMode::Stream(1)));
     first.abort();
     assert_eq!(waiting.await.expect("a status"), 200);
--- a/crates/entry/tests/daemon/quotas.rs
+++ b/crates/entry/tests/daemon/quotas.rs
@@ -11,8 +11,8 @@
 
 use crate::support::DaemonProcess;
 use crate::support::TestDeployment;
-use crate::support::first_config;
-use crate::support::until;
+use crate::support::initial_config;
+use crate::support::wait_until;
 
 /// Reports go from one router to another some ten times between two looks.
 const REPORT_PAUSE: Duration = Duration::from_millis(300);
@@ -26,18 +26,18 @@
 }
 
 fn config(version: u64, quota: Value) -> ConfigText {
-    ConfigText { version, quotas: vec![("red", quota)], ..first_config() }
+    ConfigText { version, quotas: vec![("red", quota)], ..initial_config() }
 }
 
 fn look(id: usize) -> CallerRequest {
-    CallerRequest::new("/look/x", &format!("look-{id}"))
+    CallerRequest::new("/read/x", &format!("look-{id}"))
 }
 
 /// Puts a quota in force at routers that have run without one.
 async fn put_quota(deployment: &TestDeployment, daemons: &[&DaemonProcess], quota: Value) {
     deployment.store.put_config(&config(2, quota));
     for daemon in daemons {
-        until("the quota is in force", || daemon.events("config_accepted").len() == 2).await;
+        wait_until("the quota is in force", || daemon.events("config_accepted").len() == 2).await;
     }
 }
 
@@ -49,7 +49,7 @@
     let refused = deployment.send(&look(2)).await;
     assert_eq!((refused.status, refused.says_when()), (429, true), "{}", refused.body);
     assert!(refused.body.contains("team red"), "{}", refused.body);
-    assert_eq!(deployment.desk_runs(), 1);
+    assert_eq!(deployment.plain_request_count(), 1);
     let mut other = look(3);
     other.key = Some("k-blue");
     assert_eq!(deployment.send(&other).await.status, 200, "the other team has no quota");
@@ -61,7 +61,7 @@
     let deployment = TestDeployment::start(ServerMode::Answer).await;
     let second = DaemonProcess::start(deployment.store.address);
     let address = second.address("callers").await;
-    until("the second router serves", || second.events("config_proven").len() == 1).await;
+    wait_until("the second router serves", || second.events("config_proven").len() == 1).await;
     put_quota(&deployment, &[&deployment.daemon, &second], quota(BURST_REQUESTS)).await;
     sleep(REPORT_PAUSE).await;
     for id in 0..BURST_REQUESTS - 2 {
@@ -83,11 +83,11 @@
 #[tokio::test]
 async fn what_did_not_run_is_given_back() {
     let deployment = TestDeployment::start(ServerMode::Answer).await;
-    deployment.earn_budget().await;
+    deployment.earn_retry_budget().await;
     put_quota(&deployment, &[&deployment.daemon], quota(1)).await;
-    deployment.set_desks(ServerMode::Refuse);
+    deployment.set_plain_mode(ServerMode::Refuse);
     assert_eq!(deployment.send(&look(1)).await.status, 503);
-    deployment.set_desks(ServerMode::Answer);
+    deployment.set_plain_mode(ServerMode::Answer);
     assert_eq!(deployment.send(&look(2)).await.status, 200);
     assert_eq!(deployment.send(&look(3)).await.status, 429);
 }
@@ -116,12 +116,12 @@
         config.routes.push(ConfigText::route(&format!("/new-{number}/"), "idempotent", "desk"));
         deployment.store.put_config(&config);
         let faults = || deployment.daemon.events("config_unreadable");
-        until("the fault is told", || faults().len() == number + 1).await;
+        wait_until("the fault is told", || faults().len() == number + 1).await;
         let fault = faults()[number].clone();
         assert_eq!(fault["team"], "red", "{fault}");
         assert!(fault["reason"].as_str().is_some_and(|text| text.starts_with(case.field)));
         let accepted = || deployment.daemon.events("config_accepted").len();
-        until("the rest is in force", || accepted() == 3 + number).await;
+        wait_until("the rest is in force", || accepted() == 3 + number).await;
         assert_eq!(deployment.send(&look(10 + number)).await.status, 429, "{}", case.field);
         let mut other = CallerRequest::new(&format!("/new-{number}/x"), &format!("new-{number}"));
         other.key = Some("k-blue");
--- a/crates/entry/tests/daemon/record_forwarding.rs
+++ b/crates/entry/tests/daemon/record_forwarding.rs
@@ -22,11 +22,11 @@
 use crate::configuration::settled_askers;
 use crate::store_proxy::StoreWay;
 use crate::support::DaemonProcess;
-use crate::support::LOOK_PACE;
-use crate::support::MOST_LOOKS;
+use crate::support::MAX_POLLS;
+use crate::support::POLL_INTERVAL;
 use crate::support::TestDeployment;
-use crate::support::first_config;
-use crate::support::until;
+use crate::support::initial_config;
+use crate::support::wait_until;
 
 /// The askers of one of two readers in a zone of 30 hosts.
 const ASKERS: usize = 14;
@@ -123,11 +123,11 @@
 }
 
 async fn until_given(asker: &Asker, from: LogOffset, store: SubscriberStore) {
-    for _ in 0..MOST_LOOKS {
+    for _ in 0..MAX_POLLS {
         if asker.ask(from, store).await.status == StatusCode::OK {
             return;
         }
-        sleep(LOOK_PACE).await;
+        sleep(POLL_INTERVAL).await;
     }
     panic!("in vain: the reader hands on from {from}");
 }
@@ -138,7 +138,7 @@
 }
 
 fn large_config() -> ConfigText {
-    let mut config = first_config();
+    let mut config = initial_config();
     config.version = 2;
     let more = (0..MANY_ROUTES).map(|number| format!("/more-{number}/"));
     config.routes.extend(more.map(|prefix| ConfigText::route(&prefix, "idempotent", "desk")));
@@ -155,12 +155,12 @@
     let deployment = TestDeployment::start(ServerMode::Answer).await;
     // Alone in its zone and with no few hosts: it reads the store, and keeps what it reads for others.
     let changes = json!({"zone": "south", "few_hosts": 0, "link_mbps": LINK_MBPS});
-    let reader = DaemonProcess::start_with(deployment.store.address, &changes);
+    let reader = DaemonProcess::start_with_settings(deployment.store.address, &changes);
     let askers = open_askers(&reader).await;
     until_given(&askers[0], FIRST_READ, IN_REACH).await;
     let mut config = large_config();
     deployment.store.put_config(&config);
-    until("the reader has it", || knows(&reader, 2)).await;
+    wait_until("the reader has it", || knows(&reader, 2)).await;
     let (askers, replies) = ask_all(askers, FIRST_READ, IN_REACH).await;
     let handed_on: usize = replies.iter().flat_map(|reply| &reply.records).map(Vec::len).sum();
     assert!(handed_on <= QUARTER_BYTES, "{handed_on} bytes at once");
@@ -169,13 +169,14 @@
         assert!(is_told, "{}", reply.status);
     }
     // Lines of another process come a moment after its answers.
-    until("each refusal has its line", || ASKERS <= reader.events("hand_on_refused").len()).await;
+    wait_until("each refusal has its line", || ASKERS <= reader.events("hand_on_refused").len())
+        .await;
     assert_eq!(reader.events("hand_on_refused").len(), ASKERS, "one line each");
     assert_eq!(reader.counter(REFUSALS).await, ASKERS as u64);
-    config = first_config();
+    config = initial_config();
     config.version = 3;
     deployment.store.put_config(&config);
-    until("the reader has the next", || knows(&reader, 3)).await;
+    wait_until("the reader has the next", || knows(&reader, 3)).await;
     let (_askers, replies) = ask_all(askers, LogOffset(FIRST_READ.0 + 1), IN_REACH).await;
     for reply in &replies {
         assert_eq!((reply.status, reply.records.len()), (StatusCode::OK, 1), "a small one");
@@ -192,11 +193,11 @@
 async fn a_host_without_the_store_gets_a_large_configuration() {
     let deployment = TestDeployment::start(ServerMode::Answer).await;
     let changes = json!({"zone": "south", "few_hosts": 0, "link_mbps": LINK_MBPS});
-    let reader = DaemonProcess::start_with(deployment.store.address, &changes);
+    let reader = DaemonProcess::start_with_settings(deployment.store.address, &changes);
     let askers = open_askers(&reader).await;
     until_given(&askers[0], FIRST_READ, IN_REACH).await;
     deployment.store.put_config(&large_config());
-    until("the reader has it", || knows(&reader, 2)).await;
+    wait_until("the reader has it", || knows(&reader, 2)).await;
     let (askers, replies) = ask_all(askers, FIRST_READ, SubscriberStore::OutOfReach).await;
     let is_given = |reply: &&Reply| reply.status == StatusCode::OK;
     let given: Vec<&Reply> = replies.iter().filter(is_given).collect();
@@ -216,7 +217,7 @@
     for _ in 0..3 {
         let way = StoreWay::open(deployment.store.address).await;
         let changes = json!({"zone": "south", "few_hosts": 2, "link_mbps": LINK_MBPS});
-        daemons.push(DaemonProcess::start_with(way.address, &changes));
+        daemons.push(DaemonProcess::start_with_settings(way.address, &changes));
         ways.push(way);
     }
     let asks = settled_askers(&daemons, 1).await;
@@ -224,11 +225,11 @@
     ways[asker].cut();
     let mut config = large_config();
     deployment.store.put_config(&config);
-    until("the asker has it", || knows(&daemons[asker], 2)).await;
-    config = first_config();
+    wait_until("the asker has it", || knows(&daemons[asker], 2)).await;
+    config = initial_config();
     config.version = 3;
     deployment.store.put_config(&config);
-    until("the asker has the next", || knows(&daemons[asker], 3)).await;
+    wait_until("the asker has the next", || knows(&daemons[asker], 3)).await;
 }
 
 /// All hosts of a zone read every topic from the store for seconds, for one record that was too large.
@@ -240,7 +241,7 @@
     // So narrow that no configuration may go.
     let changes = json!({"zone": "south", "few_hosts": 2, "link_mbps": 0.02});
     let deployment = TestDeployment::start(ServerMode::Answer).await;
-    let start = |_| DaemonProcess::start_with(deployment.store.address, &changes);
+    let start = |_| DaemonProcess::start_with_settings(deployment.store.address, &changes);
     let daemons: Vec<DaemonProcess> = (0..3).map(start).collect();
     let asks = settled_askers(&daemons, 1).await;
     let asker = asks.iter().position(|asks| *asks).expect("one asks");
@@ -249,10 +250,10 @@
         *count = daemon.counter(REFUSALS).await;
     }
     for version in 2..2 + WRITTEN {
-        let mut config = first_config();
+        let mut config = initial_config();
         config.version = version;
         deployment.store.put_config(&config);
-        until("the asker has it", || knows(&daemons[asker], version)).await;
+        wait_until("the asker has it", || knows(&daemons[asker], version)).await;
     }
     for (daemon, count) in daemons.iter().zip(&mut refused) {
         *count = daemon.counter(REFUSALS).await - *count;
@@ -274,7 +275,7 @@
     let links = [LINK_MBPS, 20.0 * LINK_MBPS, LINK_MBPS, 20.0 * LINK_MBPS, LINK_MBPS];
     let start = |link_mbps: &f64| {
         let changes = json!({"zone": "south", "few_hosts": 2, "link_mbps": link_mbps});
-        DaemonProcess::start_with(deployment.store.address, &changes)
+        DaemonProcess::start_with_settings(deployment.store.address, &changes)
     };
     let daemons: Vec<DaemonProcess> = links.iter().map(start).collect();
     let mut asks = Vec::new();
--- a/crates/entry/tests/daemon/relays.rs
+++ b/crates/entry/tests/daemon/relays.rs
@@ -11,8 +11,8 @@
 use tokio::time::sleep;
 
 use crate::support::DaemonProcess;
-use crate::support::LOOK_PACE;
-use crate::support::MOST_LOOKS;
+use crate::support::MAX_POLLS;
+use crate::support::POLL_INTERVAL;
 use crate::support::TestDeployment;
 
 /// What was said before is old after this time.
@@ -39,7 +39,7 @@
         let deployment = TestDeployment::start(ServerMode::Answer).await;
         let start = |(host, zone, link): &(&str, &str, f64)| {
             let changes = json!({"host": host, "zone": zone, "link_mbps": link, "direct_hosts": 1});
-            DaemonProcess::start_with(deployment.store.address, &changes)
+            DaemonProcess::start_with_settings(deployment.store.address, &changes)
         };
         let daemons = HOSTS.iter().map(start).collect();
         let fleet = RelayedFleet { _deployment: deployment, daemons };
@@ -62,22 +62,22 @@
     /// Waits until a host hears all but the one that is lost.
     async fn until_hears(&self, number: usize, case: &LossCase) {
         let lost = HOSTS[case.relay].0;
-        for _ in 0..MOST_LOOKS {
+        for _ in 0..MAX_POLLS {
             let heard = self.heard(number).await;
             if heard.len() == HOSTS.len() - 2 && !heard.contains(lost) {
                 return;
             }
-            sleep(LOOK_PACE).await;
+            sleep(POLL_INTERVAL).await;
         }
         panic!("in vain: {}: {} hears {:?}", case.name, HOSTS[number].0, self.heard(number).await);
     }
 
     async fn until_hears_all(&self, number: usize) {
-        for _ in 0..MOST_LOOKS {
+        for _ in 0..MAX_POLLS {
             if self.heard(number).await.len() == HOSTS.len() - 1 {
                 return;
             }
-            sleep(LOOK_PACE).await;
+            sleep(POLL_INTERVAL).await;
         }
         panic!("in vain: {} hears {:?}", HOSTS[number].0, self.heard(number).await);
     }
@@ -146,7 +146,7 @@
                 let misses = others.find(|(_, (other, ..))| !heard.contains(*other));
                 assert!(misses.is_none(), "{}: {host} misses {misses:?}", case.name);
             }
-            sleep(LOOK_PACE).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 }
--- a/crates/entry/tests/daemon/requests.rs
+++ b/crates/entry/tests/daemon/requests.rs
@@ -8,7 +8,7 @@
 use fulmargate_consortium_stand::send_raw;
 
 use crate::support::TestDeployment;
-use crate::support::until;
+use crate::support::wait_until;
 
 #[tokio::test]
 async fn a_request_goes_on_as_it_came() {
@@ -24,7 +24,7 @@
     let answer = deployment.send(&request.forging("blue")).await;
     assert_eq!((answer.status, answer.body.as_str()), (200, "done"));
     assert!(answer.is_signed());
-    let seen: Vec<_> = deployment.desks.iter().flat_map(ServerStand::seen).collect();
+    let seen: Vec<_> = deployment.plain_servers.iter().flat_map(ServerStand::seen).collect();
     assert_eq!(seen.len(), 1);
     assert_eq!(seen[0].line, "POST /charge/a%2Fb//c?x=%20&y");
     assert_eq!(&seen[0].body[..], b"17 EUR");
@@ -71,19 +71,24 @@
 async fn charges_run_at_most_once() {
     let deployment = TestDeployment::start(ServerMode::Answer).await;
     for case in ONCE {
-        deployment.set_desks(case.mode);
-        let before = deployment.desk_runs();
+        deployment.set_plain_mode(case.mode);
+        let before = deployment.plain_request_count();
         let charge = CallerRequest::new("/charge/x", &format!("charge-{}", case.name));
         let answer = deployment.send(&charge).await;
         assert_eq!(answer.status, case.charge, "{}", case.name);
-        assert_eq!(deployment.desk_runs() - before, case.runs.0, "{}: charges", case.name);
+        assert_eq!(
+            deployment.plain_request_count() - before,
+            case.runs.0,
+            "{}: charges",
+            case.name
+        );
         assert_eq!(answer.says_when(), case.charge == 503, "{}: when to come back", case.name);
         assert_ne!(answer.body, "not yours", "{}", case.name);
-        let before = deployment.desk_runs();
-        let look = CallerRequest::new("/look/x", &format!("look-{}", case.name));
+        let before = deployment.plain_request_count();
+        let look = CallerRequest::new("/read/x", &format!("look-{}", case.name));
         let answer = deployment.send(&look).await;
         assert_eq!(answer.status, case.look, "{}: an idempotent call", case.name);
-        assert_eq!(deployment.desk_runs() - before, case.runs.1, "{}: looks", case.name);
+        assert_eq!(deployment.plain_request_count() - before, case.runs.1, "{}: looks", case.name);
     }
 }
 
@@ -91,10 +96,10 @@
 #[tokio::test]
 async fn idempotent_calls_go_elsewhere() {
     let deployment = TestDeployment::start(ServerMode::Answer).await;
-    deployment.earn_budget().await;
-    deployment.desks[0].set_mode(ServerMode::LoseAnswer);
+    deployment.earn_retry_budget().await;
+    deployment.plain_servers[0].set_mode(ServerMode::LoseAnswer);
     for turn in 0..6 {
-        let answer = deployment.send(&CallerRequest::new("/look/x", &format!("e-{turn}"))).await;
+        let answer = deployment.send(&CallerRequest::new("/read/x", &format!("e-{turn}"))).await;
         assert_eq!(answer.status, 200);
     }
 }
@@ -105,7 +110,7 @@
 async fn a_reused_address_runs_nothing() {
     let deployment = TestDeployment::start(ServerMode::Answer).await;
     let other = &deployment.engines[0];
-    for desk in &deployment.desks {
+    for desk in &deployment.plain_servers {
         deployment.store.put_server(&desk.name, "desk", other.address, "ready");
     }
     // The first request that is turned away shows that the daemon has read the new entries.
@@ -129,10 +134,16 @@
     let deployment = TestDeployment::start(ServerMode::Hang).await;
     let request = CallerRequest::new("/charge/x", "gone");
     let sending = tokio::spawn(async move { request.send(deployment.callers).await });
-    until("the request runs", || deployment.desks.iter().any(|desk| !desk.seen().is_empty())).await;
+    wait_until("the request runs", || {
+        deployment.plain_servers.iter().any(|desk| !desk.seen().is_empty())
+    })
+    .await;
     sending.abort();
-    until("the server is told", || deployment.desks.iter().any(|desk| 0 < desk.left())).await;
-    until("the log has its end", || {
+    wait_until("the server is told", || {
+        deployment.plain_servers.iter().any(|desk| 0 < desk.left())
+    })
+    .await;
+    wait_until("the log has its end", || {
         deployment.daemon.events("caller_gone").iter().any(|line| line["id"] == "gone")
     })
     .await;
@@ -157,7 +168,7 @@
 }
 
 const CLOSE: &str = "Connection: close";
-const GET: RawHead = RawHead::of("GET /look/x", &[CLOSE]);
+const GET: RawHead = RawHead::of("GET /read/x", &[CLOSE]);
 
 const BAD: &[BadCase] = &[
     BadCase {
@@ -209,7 +220,7 @@
     large.method = "POST";
     large.body = Box::leak("x".repeat(70_000).into_boxed_str());
     assert_eq!(deployment.send(&large).await.status, 413);
-    assert_eq!(deployment.desk_runs(), 0);
+    assert_eq!(deployment.plain_request_count(), 0);
     assert!(deployment.engines.iter().all(|engine| engine.seen().is_empty()));
 }
 
@@ -223,7 +234,7 @@
     let outer = RawHead::of("POST /charge/x", framing).text() + "0\r\n\r\n" + &inner;
     send_raw(&outer, deployment.callers).await.expect("an answer");
     let lines: Vec<String> =
-        deployment.desks.iter().flat_map(ServerStand::seen).map(|seen| seen.line).collect();
+        deployment.plain_servers.iter().flat_map(ServerStand::seen).map(|seen| seen.line).collect();
     assert!(!lines.iter().any(|line| line.contains("hidden")), "{lines:?}");
 }
 
--- a/crates/entry/tests/daemon/store_restore.rs
+++ b/crates/entry/tests/daemon/store_restore.rs
@@ -11,11 +11,11 @@
 use tokio::time::sleep;
 
 use crate::support::DaemonProcess;
-use crate::support::LOOK_PACE;
-use crate::support::MOST_LOOKS;
+use crate::support::MAX_POLLS;
+use crate::support::POLL_INTERVAL;
 use crate::support::TestDeployment;
-use crate::support::first_config;
-use crate::support::until;
+use crate::support::initial_config;
+use crate::support::wait_until;
 
 /// The store is silent for so long; connections of readers are not broken meanwhile.
 const AWAY: Duration = Duration::from_millis(300);
@@ -31,11 +31,11 @@
 
 /// The second configuration: the key of team `red` is taken away.
 fn without_red() -> ConfigText {
-    ConfigText { version: 2, teams: vec![("blue", "k-blue")], ..first_config() }
+    ConfigText { version: 2, teams: vec![("blue", "k-blue")], ..initial_config() }
 }
 
 fn keyed(id: &str, key: &'static str) -> CallerRequest {
-    let mut request = CallerRequest::new("/look/x", id);
+    let mut request = CallerRequest::new("/read/x", id);
     request.key = Some(key);
     request
 }
@@ -48,13 +48,13 @@
 }
 
 async fn until_accepted(daemon: &DaemonProcess, count: usize) {
-    until("the configuration is accepted", || daemon.events("config_accepted").len() == count)
+    wait_until("the configuration is accepted", || daemon.events("config_accepted").len() == count)
         .await;
 }
 
 async fn until_ordered(engines: &[ServerStand], count: usize) {
     let all = || engines.iter().all(|engine| engine.orders().len() == count);
-    until("all engines have their orders", all).await;
+    wait_until("all engines have their orders", all).await;
 }
 
 /// The daemon's word on itself.
@@ -74,7 +74,7 @@
     deployment.store.put_config(&without_red());
     deployment.store.name_weights(2);
     until_accepted(&deployment.daemon, 2).await;
-    until("weights are named", || !deployment.daemon.events("weights_named").is_empty()).await;
+    wait_until("weights are named", || !deployment.daemon.events("weights_named").is_empty()).await;
     let mut third = without_red();
     third.version = 3;
     third.routes.push(ConfigText::route("/new/", "idempotent", "desk"));
@@ -105,7 +105,7 @@
     for turn in 0..QUIET_LOOKS * 2 {
         let answer = keyed(&format!("r-{turn}"), "k-red").send(callers).await;
         assert_ne!(answer.expect("an answer").status, 200, "look {turn}");
-        sleep(LOOK_PACE).await;
+        sleep(POLL_INTERVAL).await;
     }
     let known = deployment.send(&keyed("known", "k-red")).await;
     assert_ne!(known.status, 200, "the host that was there knows the newer one");
@@ -114,9 +114,9 @@
     while keyed(&format!("b-{turn}"), "k-blue").send(callers).await.expect("an answer").status
         != 200
     {
-        assert!(turn < MOST_LOOKS, "the configuration is written again and comes into force");
+        assert!(turn < MAX_POLLS, "the configuration is written again and comes into force");
         turn += 1;
-        sleep(LOOK_PACE).await;
+        sleep(POLL_INTERVAL).await;
     }
     assert_eq!(keyed("gone", "k-red").send(callers).await.expect("an answer").status, 401);
 }
@@ -176,15 +176,15 @@
     let deployment = TestDeployment::start(ServerMode::Answer).await;
     let copy = deployment.store.copy();
     let second = DaemonProcess::start(deployment.store.address);
-    until("the second serves", || second.events("server_listed").len() == 4).await;
+    wait_until("the second serves", || second.events("server_listed").len() == 4).await;
     restore(&deployment, &copy, || ()).await;
     let third = DaemonProcess::start(deployment.store.address);
-    for _ in 0..MOST_LOOKS {
+    for _ in 0..MAX_POLLS {
         let members = status(&third).await["members"].as_array().map_or(0, Vec::len);
         if members == 3 {
             return;
         }
-        sleep(LOOK_PACE).await;
+        sleep(POLL_INTERVAL).await;
     }
     panic!("in vain: the third host finds the others");
 }
@@ -196,9 +196,9 @@
 async fn a_server_that_left_gets_nothing() {
     let deployment = TestDeployment::start(ServerMode::Answer).await;
     let copy = deployment.store.copy();
-    let left = &deployment.desks[1];
+    let left = &deployment.plain_servers[1];
     deployment.store.remove_server(&left.name);
-    until("the server is gone", || !deployment.daemon.events("server_gone").is_empty()).await;
+    wait_until("the server is gone", || !deployment.daemon.events("server_gone").is_empty()).await;
     restore(&deployment, &copy, || ()).await;
     let listings = || {
         let listed = deployment.daemon.events("server_listed");
@@ -206,10 +206,10 @@
     };
     for _ in 0..QUIET_LOOKS * 2 {
         assert_eq!(listings(), 1, "the server that left gets requests again");
-        sleep(LOOK_PACE).await;
+        sleep(POLL_INTERVAL).await;
     }
     deployment.store.put_server(&left.name, "desk", left.address, "ready");
-    until("it has come back", || listings() == 2).await;
+    wait_until("it has come back", || listings() == 2).await;
 }
 
 /// Requests are refused although a server lives.
@@ -221,11 +221,11 @@
     let copy = deployment.store.copy();
     let came = ServerStand::start("desk-3", ServerMode::Answer).await.expect("a server starts");
     deployment.store.put_server("desk-3", "desk", came.address, "ready");
-    until("it is listed", || deployment.daemon.events("server_listed").len() == 5).await;
+    wait_until("it is listed", || deployment.daemon.events("server_listed").len() == 5).await;
     restore(&deployment, &copy, || ()).await;
     for _ in 0..QUIET_LOOKS {
         let gone = deployment.daemon.events("server_gone");
         assert!(gone.is_empty(), "dropped: {gone:?}");
-        sleep(LOOK_PACE).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
--- a/crates/entry/tests/daemon/streams.rs
+++ b/crates/entry/tests/daemon/streams.rs
@@ -7,10 +7,10 @@
 use tokio::task::JoinHandle;
 use tokio::time::sleep;
 
-use crate::support::LOOK_PACE;
-use crate::support::PATIENCE_MS;
+use crate::support::POLL_INTERVAL;
+use crate::support::REQUEST_TIMEOUT_MS;
 use crate::support::TestDeployment;
-use crate::support::until;
+use crate::support::wait_until;
 
 /// Requests to other servers while one is silent: several of the route's targets, 400 ms, go by.
 const LOOKS: usize = 80;
@@ -32,7 +32,7 @@
 #[tokio::test]
 async fn a_broken_stream_goes_on_elsewhere() {
     let deployment = TestDeployment::start(ServerMode::Stream(7)).await;
-    deployment.earn_budget().await;
+    deployment.earn_retry_budget().await;
     for turn in 0..4 {
         let breaking = &deployment.engines[turn % 2];
         breaking.set_mode(ServerMode::CutStream(3));
@@ -57,7 +57,7 @@
 #[tokio::test]
 async fn a_stream_that_may_not_go_on_is_visibly_broken() {
     let deployment = TestDeployment::start(ServerMode::CutStream(3)).await;
-    let answer = deployment.send(&CallerRequest::prompt("/once-streamed/x", "s-2")).await;
+    let answer = deployment.send(&CallerRequest::prompt("/non-resumable/x", "s-2")).await;
     assert_eq!((answer.body, answer.is_whole), (whole(3), false));
     let runs: usize = deployment.engines.iter().map(|engine| engine.seen().len()).sum();
     assert_eq!(runs, 1);
@@ -81,11 +81,11 @@
     let deployment = TestDeployment::start(ServerMode::SlowStream(2)).await;
     let callers = deployment.callers;
     let running = tokio::spawn(async move {
-        let mut request = CallerRequest::prompt("/once-streamed/x", "slow");
+        let mut request = CallerRequest::prompt("/non-resumable/x", "slow");
         request.patience_ms = 2_900;
         request.send(callers).await
     });
-    until("an engine runs it", || {
+    wait_until("an engine runs it", || {
         deployment.engines.iter().any(|engine| !engine.seen().is_empty())
     })
     .await;
@@ -100,8 +100,8 @@
 /// The stream may be had elsewhere by its rule, but is not: it is waited for, and comes whole.
 #[tokio::test]
 async fn a_silent_engine_is_kept_while_no_other_can_be_reached() {
-    let deployment = TestDeployment::start_patient(ServerMode::Stream(1)).await;
-    deployment.earn_budget().await;
+    let deployment = TestDeployment::start_with_long_timeout(ServerMode::Stream(1)).await;
+    deployment.earn_retry_budget().await;
     deployment.engines.iter().for_each(|engine| engine.set_mode(ServerMode::SlowStream(2)));
     let running = begin_slow_chat(&deployment, "kept-1").await;
     deployment.engines.iter().for_each(ServerStand::stop_accepting);
@@ -116,14 +116,14 @@
 /// none may go on with the stream. It is waited for, and comes whole.
 #[tokio::test]
 async fn a_silent_engine_is_kept_while_no_other_has_its_weights() {
-    let deployment = TestDeployment::start_patient(ServerMode::Stream(1)).await;
-    deployment.earn_budget().await;
+    let deployment = TestDeployment::start_with_long_timeout(ServerMode::Stream(1)).await;
+    deployment.earn_retry_budget().await;
     deployment.engines.iter().for_each(|engine| engine.set_mode(ServerMode::SlowStream(2)));
     let running = begin_slow_chat(&deployment, "kept-2").await;
     let is_busy = |engine: &&ServerStand| engine.seen().iter().any(|seen| seen.id() == "kept-2");
     let busy = deployment.engines.iter().find(is_busy).expect("an engine runs it");
     deployment.store.name_weights(2);
-    until("the others have the new weights", || {
+    wait_until("the others have the new weights", || {
         let mut others = deployment.engines.iter().filter(|engine| engine.name != busy.name);
         others.all(|engine| engine.orders().len() == 1)
     })
@@ -138,8 +138,8 @@
 /// the same weights, and the budget allows a repeat. The stream goes on there, complete and in order.
 #[tokio::test]
 async fn a_silent_engine_is_left_for_one_that_can_be_reached() {
-    let deployment = TestDeployment::start_patient(ServerMode::Stream(1)).await;
-    deployment.earn_budget().await;
+    let deployment = TestDeployment::start_with_long_timeout(ServerMode::Stream(1)).await;
+    deployment.earn_retry_budget().await;
     deployment.engines.iter().for_each(|engine| engine.set_mode(ServerMode::SlowStream(7)));
     let running = begin_slow_chat(&deployment, "left").await;
     let runs_it = |engine: &&ServerStand| engine.seen().iter().any(|seen| seen.id() == "left");
@@ -161,13 +161,13 @@
 /// the engine that can be reached, and is whole.
 #[tokio::test]
 async fn engines_without_a_connection_do_not_end_a_stream() {
-    let deployment = TestDeployment::start_patient(ServerMode::Stream(1)).await;
-    deployment.earn_budget().await;
+    let deployment = TestDeployment::start_with_long_timeout(ServerMode::Stream(1)).await;
+    deployment.earn_retry_budget().await;
     deployment.engines.iter().for_each(|engine| engine.set_mode(ServerMode::Wait));
     let running = begin_slow_chat(&deployment, "lost").await;
     deployment.engines.iter().for_each(ServerStand::stop_accepting);
     deployment.engines.iter().for_each(|engine| engine.set_mode(ServerMode::CutStream(3)));
-    until("five connections did not come about", || {
+    wait_until("five connections did not come about", || {
         let retried = deployment.daemon.events("attempt_retried");
         4 < retried.iter().filter(|line| line["end"] == "NotSent").count()
     })
@@ -185,8 +185,8 @@
 /// goes on as soon as an engine takes it, and is whole.
 #[tokio::test]
 async fn engines_that_turn_a_stream_away_do_not_end_it() {
-    let deployment = TestDeployment::start_patient(ServerMode::Stream(1)).await;
-    deployment.earn_budget().await;
+    let deployment = TestDeployment::start_with_long_timeout(ServerMode::Stream(1)).await;
+    deployment.earn_retry_budget().await;
     deployment.engines.iter().for_each(|engine| engine.set_mode(ServerMode::Wait));
     let running = begin_slow_chat(&deployment, "turned").await;
     let runs_it = |engine: &&ServerStand| engine.seen().iter().any(|seen| seen.id() == "turned");
@@ -196,7 +196,7 @@
     busy.set_mode(ServerMode::Refuse);
     broken.stop_accepting();
     broken.set_mode(ServerMode::CutStream(3));
-    until("it was turned away five times", || {
+    wait_until("it was turned away five times", || {
         let retried = deployment.daemon.events("attempt_retried");
         4 < retried.iter().filter(|line| line["end"] == "Refused").count()
     })
@@ -212,8 +212,8 @@
 /// Nobody else may have the stream, so that it is waited for, and comes whole.
 #[tokio::test]
 async fn the_last_attempt_of_a_stream_is_waited_for() {
-    let deployment = TestDeployment::start_patient(ServerMode::Stream(1)).await;
-    deployment.earn_budget().await;
+    let deployment = TestDeployment::start_with_long_timeout(ServerMode::Stream(1)).await;
+    deployment.earn_retry_budget().await;
     deployment.engines.iter().for_each(|engine| engine.set_mode(ServerMode::SlowStream(7)));
     let running = begin_slow_chat(&deployment, "last").await;
     let runs_it = |engine: &&ServerStand| engine.seen().iter().any(|seen| seen.id() == "last");
@@ -222,11 +222,11 @@
     let next = others.next().expect("another engine");
     next.set_mode(ServerMode::Wait);
     gone.stop_accepting();
-    until("the other runs it", || runs_it(&next)).await;
+    wait_until("the other runs it", || runs_it(&next)).await;
     next.hold_connections().await.expect("connections hang");
     for turn in 0..LOOKS {
-        deployment.send(&CallerRequest::new("/look/x", &format!("look-{turn}"))).await;
-        sleep(LOOK_PACE).await;
+        deployment.send(&CallerRequest::new("/read/x", &format!("look-{turn}"))).await;
+        sleep(POLL_INTERVAL).await;
     }
     next.set_mode(ServerMode::Stream(7));
     let answer = running.await.expect("the task ends");
@@ -237,9 +237,9 @@
 async fn begin_slow_chat(deployment: &TestDeployment, id: &str) -> JoinHandle<CallerAnswer> {
     let callers = deployment.callers;
     let mut request = CallerRequest::prompt("/chat/x", id);
-    request.patience_ms = PATIENCE_MS;
+    request.patience_ms = REQUEST_TIMEOUT_MS;
     let running = tokio::spawn(async move { request.send(callers).await.expect("an answer") });
-    until("an engine runs it", || {
+    wait_until("an engine runs it", || {
         let seen: Vec<_> = deployment.engines.iter().flat_map(ServerStand::seen).collect();
         seen.iter().any(|seen| seen.id() == id)
     })
--- a/crates/entry/tests/daemon/weight_updates.rs
+++ b/crates/entry/tests/daemon/weight_updates.rs
@@ -7,7 +7,7 @@
 
 use crate::support::DaemonProcess;
 use crate::support::TestDeployment;
-use crate::support::until;
+use crate::support::wait_until;
 
 /// New weights are named: each engine gets one order, with a number that never falls and the count
 /// of the orders before, so that a late one is not carried out after a newer one.
@@ -15,12 +15,12 @@
 async fn engines_are_brought_to_the_weights_named() {
     let deployment = TestDeployment::start(ServerMode::Stream(2)).await;
     deployment.store.name_weights(2);
-    until("all engines have them", || {
+    wait_until("all engines have them", || {
         deployment.engines.iter().all(|engine| engine.orders().len() == 1)
     })
     .await;
     deployment.store.name_weights(5);
-    until("all engines have the next", || {
+    wait_until("all engines have the next", || {
         deployment.engines.iter().all(|engine| engine.orders().len() == 2)
     })
     .await;
@@ -29,7 +29,7 @@
         assert!(orders[0].fence <= orders[1].fence, "{orders:?}");
         assert_eq!((orders[0].version, orders[1].version), (2, 5));
     }
-    until("the router knows", || {
+    wait_until("the router knows", || {
         let lines = deployment.daemon.events("weights_in_place");
         lines.iter().filter(|line| line["end"] == "InPlace(WeightsVersion(5))").count() == 2
     })
@@ -45,9 +45,9 @@
 async fn one_router_orders_and_another_takes_over() {
     let mut deployment = TestDeployment::start(ServerMode::Stream(1)).await;
     let second = DaemonProcess::start(deployment.store.address);
-    until("the second serves", || second.events("server_listed").len() == 4).await;
+    wait_until("the second serves", || second.events("server_listed").len() == 4).await;
     deployment.store.name_weights(2);
-    until("all engines have them", || {
+    wait_until("all engines have them", || {
         deployment.engines.iter().all(|engine| engine.orders().len() == 1)
     })
     .await;
@@ -67,7 +67,7 @@
     stopped.signal("KILL");
     stopped.exit_code().await;
     deployment.store.name_weights(3);
-    until("the other has taken over", || !left.events("weights_in_place").is_empty()).await;
+    wait_until("the other has taken over", || !left.events("weights_in_place").is_empty()).await;
     assert_eq!(holders(3).len(), 1);
     assert_ne!(holders(3), holders(2));
 }
@@ -79,9 +79,9 @@
     let deployment = TestDeployment::start(ServerMode::Stream(1)).await;
     deployment.store.set_fault(StoreFault::LosesAnswers);
     deployment.store.name_weights(2);
-    until("the append was tried", || !deployment.daemon.events("lease_lost").is_empty()).await;
+    wait_until("the append was tried", || !deployment.daemon.events("lease_lost").is_empty()).await;
     deployment.store.set_fault(StoreFault::None);
-    until("all engines have them", || {
+    wait_until("all engines have them", || {
         deployment.engines.iter().all(|engine| engine.orders().len() == 1)
     })
     .await;
