--- a/crates/entry/tests/daemon/store_proxy.rs
+++ b/crates/entry/tests/daemon/store_proxy.rs
@@ -1,4 +1,4 @@
-//! A host's way to the store.
+//! A TCP proxy between a daemon and the store.
 
 use std::net::SocketAddr;
 
@@ -8,42 +8,41 @@
 use tokio::task::JoinSet;
 use tokio_util::sync::CancellationToken;
 
-/// Passes connections on to the store until it is cut.
-pub(crate) struct StoreWay {
-    /// Where the store is reached.
+/// Forwards connections to the store until it is disconnected.
+pub(crate) struct StoreProxy {
+    /// Address to use in place of the store's.
     pub(crate) address: SocketAddr,
-    ended: CancellationToken,
+    cancellation: CancellationToken,
 }
 
-impl StoreWay {
-    /// An open way.
-    pub(crate) async fn open(store: SocketAddr) -> StoreWay {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-        let address = listener.local_addr().expect("its address");
-        let ended = CancellationToken::new();
-        let token = ended.clone();
+impl StoreProxy {
+    pub(crate) async fn open(store: SocketAddr) -> StoreProxy {
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind a free port");
+        let address = listener.local_addr().expect("read the local address");
+        let cancellation = CancellationToken::new();
+        let token = cancellation.clone();
         tokio::spawn(async move {
             tokio::select! {
                 () = token.cancelled() => {}
-                () = pass_on(listener, store) => {}
+                () = forward_connections(listener, store) => {}
             }
         });
-        StoreWay { address, ended }
+        StoreProxy { address, cancellation }
     }
 
-    /// Breaks what is open; nothing is taken any more.
-    pub(crate) fn cut(&self) {
-        self.ended.cancel();
+    /// Closes all connections and the listener.
+    pub(crate) fn disconnect(&self) {
+        self.cancellation.cancel();
     }
 }
 
-async fn pass_on(listener: TcpListener, store: SocketAddr) {
-    let mut passing = JoinSet::new();
-    while let Ok((mut near, _)) = listener.accept().await {
-        passing.spawn(async move {
-            let Ok(mut far) = TcpStream::connect(store).await else { return };
-            // A connection that breaks is what the tests are about.
-            let _passed = copy_bidirectional(&mut near, &mut far).await;
+async fn forward_connections(listener: TcpListener, store: SocketAddr) {
+    let mut connections = JoinSet::new();
+    while let Ok((mut client, _)) = listener.accept().await {
+        connections.spawn(async move {
+            let Ok(mut upstream) = TcpStream::connect(store).await else { return };
+            // Errors are expected: tests break these connections on purpose.
+            let _copied = copy_bidirectional(&mut client, &mut upstream).await;
         });
     }
 }
