--- a/crates/entry/tests/daemon/store_restore.rs
+++ b/crates/entry/tests/daemon/store_restore.rs
@@ -1,4 +1,4 @@
-//! The store goes away for a moment and comes back from a copy that is some seconds old.
+//! The store is briefly unavailable and then restored from a copy that is some seconds old.
 
 use std::time::Duration;
 
@@ -17,135 +17,150 @@
 use crate::support::initial_config;
 use crate::support::wait_until;
 
-/// The store is silent for so long; connections of readers are not broken meanwhile.
-const AWAY: Duration = Duration::from_millis(300);
-/// Looks at something that must not change.
-const QUIET_LOOKS: usize = 40;
-/// After this time a lease has to be taken again.
-const LEASE: Duration = Duration::from_millis(3_100);
-/// Longer than a read that had fallen silent is waited for.
-const LONG_AFTER: Duration = Duration::from_secs(6);
-/// Calls of the store that one host may make in that time: it lists three topics, writes what is missing and
-/// goes on reading, some six a second.
-const MOST_CALLS: usize = 120;
-
-/// The second configuration: the key of team `red` is taken away.
-fn without_red() -> ConfigText {
+/// How long the store is silent; open connections of readers outlive it.
+const OUTAGE: Duration = Duration::from_millis(300);
+/// Number of polls during which a state must not change.
+const STABLE_POLLS: usize = 40;
+/// Longer than a lease lasts.
+const LEASE_EXPIRY_WAIT: Duration = Duration::from_millis(3_100);
+/// Longer than the timeout of a read that is not answered.
+const OBSERVATION_TIME: Duration = Duration::from_secs(6);
+/// Store calls allowed to one host in that time: listing three topics, writing missing records and about
+/// six reads a second.
+const MAX_STORE_CALLS: usize = 120;
+
+/// Version 2 of the configuration, which revokes the key of team `red`.
+fn config_without_red() -> ConfigText {
     ConfigText { version: 2, teams: vec![("blue", "k-blue")], ..initial_config() }
 }
 
-fn keyed(id: &str, key: &'static str) -> CallerRequest {
+fn request_with_key(id: &str, key: &'static str) -> CallerRequest {
     let mut request = CallerRequest::new("/read/x", id);
     request.key = Some(key);
     request
 }
 
-async fn restore(deployment: &TestDeployment, copy: &StoreCopy, write_again: impl FnOnce()) {
+/// Restores the store from a copy, and writes records before it answers again.
+async fn restore(
+    deployment: &TestDeployment,
+    copy: &StoreCopy,
+    write_before_return: impl FnOnce(),
+) {
     deployment.store.go_back_to(copy);
-    sleep(AWAY).await;
-    write_again();
+    sleep(OUTAGE).await;
+    write_before_return();
     deployment.store.come_back();
 }
 
-async fn until_accepted(daemon: &DaemonProcess, count: usize) {
+async fn wait_for_configs(daemon: &DaemonProcess, count: usize) {
     wait_until("the configuration is accepted", || daemon.events("config_accepted").len() == count)
         .await;
 }
 
-async fn until_ordered(engines: &[ServerStand], count: usize) {
+async fn wait_for_orders(engines: &[ServerStand], count: usize) {
     let all = || engines.iter().all(|engine| engine.orders().len() == count);
-    wait_until("all engines have their orders", all).await;
+    wait_until("all engines have received their orders", all).await;
 }
 
-/// The daemon's word on itself.
+/// The daemon's status page.
 async fn status(daemon: &DaemonProcess) -> Value {
     let metrics = daemon.address("metrics").await;
-    let page = CallerRequest::new("/status", "s").send(metrics).await.expect("a status");
-    serde_json::from_str(&page.body).expect("JSON")
+    let page =
+        CallerRequest::new("/status", "s").send(metrics).await.expect("read the status page");
+    serde_json::from_str(&page.body).expect("parse the status page")
 }
 
-/// A route that operators added never comes into force on a host, though the store is well.
-/// The host had read two records that the store has lost; the new configuration and another record were
-/// written in their places. It read on behind them and saw neither.
+/// The host has read records that the store lost in a restore, and others are then written at the same
+/// offsets. Guards against reading on from the old offset and skipping these.
 #[tokio::test]
-async fn a_record_in_the_place_of_a_lost_one_is_read() {
+async fn a_record_at_a_reused_offset_is_read() {
     let deployment = TestDeployment::start(ServerMode::Answer).await;
     let copy = deployment.store.copy();
-    deployment.store.put_config(&without_red());
+    deployment.store.put_config(&config_without_red());
     deployment.store.name_weights(2);
-    until_accepted(&deployment.daemon, 2).await;
-    wait_until("weights are named", || !deployment.daemon.events("weights_named").is_empty()).await;
-    let mut third = without_red();
-    third.version = 3;
-    third.routes.push(ConfigText::route("/new/", "idempotent", "desk"));
+    wait_for_configs(&deployment.daemon, 2).await;
+    wait_until("the daemon has read the weights request", || {
+        !deployment.daemon.events("weights_named").is_empty()
+    })
+    .await;
+    let mut third_config = config_without_red();
+    third_config.version = 3;
+    third_config.routes.push(ConfigText::route("/new/", "idempotent", "desk"));
     restore(&deployment, &copy, || {
-        deployment.store.put_config(&third);
+        deployment.store.put_config(&third_config);
         deployment.store.name_weights(2);
     })
     .await;
-    until_accepted(&deployment.daemon, 3).await;
-    let mut request = keyed("n", "k-blue");
+    wait_for_configs(&deployment.daemon, 3).await;
+    let mut request = request_with_key("n", "k-blue");
     request.path = "/new/x".to_owned();
     assert_eq!(deployment.send(&request).await.status, 200);
 }
 
-/// A caller whose key was taken away is served again.
-/// The store has lost the configuration that took it; a host that starts now reads the one before and, as
-/// nothing newer is there, takes it for the newest. Hosts that know better have written down which one that
-/// is, and a host that finds only records of an earlier epoch waits for their word.
+/// The store has lost the configuration that revoked a key. A host that starts now must accept no keys until a
+/// running host or an operator confirms which version is the newest.
 #[tokio::test]
-async fn a_host_that_starts_after_a_restore_revives_no_key() {
+async fn a_revoked_key_stays_revoked_after_a_restore() {
     let deployment = TestDeployment::start(ServerMode::Answer).await;
     let copy = deployment.store.copy();
-    deployment.store.put_config(&without_red());
-    until_accepted(&deployment.daemon, 2).await;
+    deployment.store.put_config(&config_without_red());
+    wait_for_configs(&deployment.daemon, 2).await;
     restore(&deployment, &copy, || ()).await;
-    let started = DaemonProcess::start(deployment.store.address);
-    let callers = started.address("callers").await;
-    for turn in 0..QUIET_LOOKS * 2 {
-        let answer = keyed(&format!("r-{turn}"), "k-red").send(callers).await;
-        assert_ne!(answer.expect("an answer").status, 200, "look {turn}");
+    let new_daemon = DaemonProcess::start(deployment.store.address);
+    let callers = new_daemon.address("callers").await;
+    for number in 0..STABLE_POLLS * 2 {
+        let answer = request_with_key(&format!("r-{number}"), "k-red").send(callers).await;
+        assert_ne!(answer.expect("a response from the new daemon").status, 200, "poll {number}");
         sleep(POLL_INTERVAL).await;
     }
-    let known = deployment.send(&keyed("known", "k-red")).await;
-    assert_ne!(known.status, 200, "the host that was there knows the newer one");
-    deployment.store.put_config(&without_red());
-    let mut turn = 0;
-    while keyed(&format!("b-{turn}"), "k-blue").send(callers).await.expect("an answer").status
+    let from_running_host = deployment.send(&request_with_key("known", "k-red")).await;
+    assert_ne!(from_running_host.status, 200, "the running host still has version 2");
+    deployment.store.put_config(&config_without_red());
+    let mut number = 0;
+    while request_with_key(&format!("b-{number}"), "k-blue")
+        .send(callers)
+        .await
+        .expect("a response from the new daemon")
+        .status
         != 200
     {
-        assert!(turn < MAX_POLLS, "the configuration is written again and comes into force");
-        turn += 1;
+        assert!(number < MAX_POLLS, "timed out waiting until version 2 is in force again");
+        number += 1;
         sleep(POLL_INTERVAL).await;
     }
-    assert_eq!(keyed("gone", "k-red").send(callers).await.expect("an answer").status, 401);
+    assert_eq!(
+        request_with_key("gone", "k-red")
+            .send(callers)
+            .await
+            .expect("a response from the new daemon")
+            .status,
+        401
+    );
 }
 
-struct FenceCase {
+struct RestoreCase {
     name: &'static str,
     restores: usize,
 }
 
-const FENCES: &[FenceCase] =
-    &[FenceCase { name: "once", restores: 1 }, FenceCase { name: "twice", restores: 2 }];
+const RESTORES: &[RestoreCase] =
+    &[RestoreCase { name: "once", restores: 1 }, RestoreCase { name: "twice", restores: 2 }];
 
-/// Engines keep their old weights for good, or obey two hosts at once.
-/// Fencing numbers were offsets of the routers' topic; the store gives offsets out again, so that the next
-/// holder's number was not above the last one's, and a host that had read further than the topic now goes
-/// could write no lease at all.
+/// Offsets are reused after a restore. Fencing tokens must increase all the same, or engines would refuse new
+/// holders of the lease or accept orders of two.
 #[tokio::test]
-async fn orders_stay_fenced() {
-    for case in FENCES {
+async fn fencing_tokens_increase_across_restores() {
+    for case in RESTORES {
         let deployment = TestDeployment::start(ServerMode::Stream(1)).await;
         let copy = deployment.store.copy();
         deployment.store.name_weights(2);
-        until_ordered(&deployment.engines, 1).await;
+        wait_for_orders(&deployment.engines, 1).await;
         for _ in 0..case.restores {
             restore(&deployment, &copy, || deployment.store.name_weights(2)).await;
         }
-        sleep(LEASE).await;
+        sleep(LEASE_EXPIRY_WAIT).await;
         deployment.store.name_weights(3);
-        until_ordered(&deployment.engines, 2).await;
+        wait_for_orders(&deployment.engines, 2).await;
         for engine in &deployment.engines {
             let orders = engine.orders();
             assert!(orders[0].fence < orders[1].fence, "{}: {orders:?}", case.name);
@@ -153,79 +168,80 @@
     }
 }
 
-/// All hosts together call the store as fast as it answers, and others are turned away for it.
-/// A host asked on from an offset that the store no longer has, took the refusal for records that have
-/// expired, and asked for the same again without a pause.
+/// A read from an offset that the store has lost must not be repeated without a delay.
 #[tokio::test]
-async fn reads_are_not_repeated_without_a_pause() {
+async fn store_reads_back_off_after_a_restore() {
     let deployment = TestDeployment::start(ServerMode::Stream(1)).await;
     let copy = deployment.store.copy();
     deployment.store.name_weights(2);
-    until_ordered(&deployment.engines, 1).await;
+    wait_for_orders(&deployment.engines, 1).await;
     restore(&deployment, &copy, || deployment.store.name_weights(2)).await;
     let before = deployment.store.calls();
-    sleep(LONG_AFTER).await;
+    sleep(OBSERVATION_TIME).await;
     let calls = deployment.store.calls() - before;
-    assert!(calls <= MOST_CALLS, "{calls} calls");
+    assert!(calls <= MAX_STORE_CALLS, "{calls} store calls, {MAX_STORE_CALLS} allowed");
 }
 
-/// A host that starts hears from nobody and shares no budget with the others.
-/// Hosts write down once where they listen; the store has lost what one of them wrote. It writes that again.
+/// New hosts discover a host by its record, so it must write the record again if a restore has lost it.
 #[tokio::test]
-async fn hosts_are_found_again() {
+async fn hosts_rewrite_lost_records_after_a_restore() {
     let deployment = TestDeployment::start(ServerMode::Answer).await;
     let copy = deployment.store.copy();
-    let second = DaemonProcess::start(deployment.store.address);
-    wait_until("the second serves", || second.events("server_listed").len() == 4).await;
+    let second_daemon = DaemonProcess::start(deployment.store.address);
+    wait_until("the second daemon lists all servers", || {
+        second_daemon.events("server_listed").len() == 4
+    })
+    .await;
     restore(&deployment, &copy, || ()).await;
-    let third = DaemonProcess::start(deployment.store.address);
+    let third_daemon = DaemonProcess::start(deployment.store.address);
     for _ in 0..MAX_POLLS {
-        let members = status(&third).await["members"].as_array().map_or(0, Vec::len);
+        let members = status(&third_daemon).await["members"].as_array().map_or(0, Vec::len);
         if members == 3 {
             return;
         }
         sleep(POLL_INTERVAL).await;
     }
-    panic!("in vain: the third host finds the others");
+    panic!("timed out waiting until the third host has discovered the others");
 }
 
-/// Requests go to a server that has left, and are cut when it ends.
-/// Its entry was removed after the copy was made and is back, as if it were ready. What the store lists after
-/// a restore is older than what a host saw removed; a server that lives writes its entry again.
+/// A restore brings back the entry of a server that was removed after the copy. It must not receive
+/// requests until it registers again.
 #[tokio::test]
-async fn a_server_that_left_gets_nothing() {
+async fn a_removed_server_stays_removed_after_a_restore() {
     let deployment = TestDeployment::start(ServerMode::Answer).await;
     let copy = deployment.store.copy();
-    let left = &deployment.plain_servers[1];
-    deployment.store.remove_server(&left.name);
-    wait_until("the server is gone", || !deployment.daemon.events("server_gone").is_empty()).await;
+    let removed = &deployment.plain_servers[1];
+    deployment.store.remove_server(&removed.name);
+    wait_until("the server is removed", || !deployment.daemon.events("server_gone").is_empty())
+        .await;
     restore(&deployment, &copy, || ()).await;
-    let listings = || {
-        let listed = deployment.daemon.events("server_listed");
-        listed.iter().filter(|line| line["server"] == left.name.as_str()).count()
+    let listing_count = || {
+        let listings = deployment.daemon.events("server_listed");
+        listings.iter().filter(|line| line["server"] == removed.name.as_str()).count()
     };
-    for _ in 0..QUIET_LOOKS * 2 {
-        assert_eq!(listings(), 1, "the server that left gets requests again");
+    for _ in 0..STABLE_POLLS * 2 {
+        assert_eq!(listing_count(), 1, "the removed server is listed again");
         sleep(POLL_INTERVAL).await;
     }
-    deployment.store.put_server(&left.name, "desk", left.address, "ready");
-    wait_until("it has come back", || listings() == 2).await;
+    deployment.store.put_server(&removed.name, "desk", removed.address, "ready");
+    wait_until("the server is listed again", || listing_count() == 2).await;
 }
 
-/// Requests are refused although a server lives.
-/// It registered after the copy was made, so that its entry is missing until it writes again. Missing entries
-/// are kept for a while after a restore, as after an outage in which they may lapse.
+/// The entry of a server that registered after the copy is missing after a restore. The server must be kept
+/// until it has had time to register again.
 #[tokio::test]
-async fn a_server_that_came_is_kept() {
+async fn a_server_registered_after_the_copy_is_kept() {
     let deployment = TestDeployment::start(ServerMode::Answer).await;
     let copy = deployment.store.copy();
-    let came = ServerStand::start("desk-3", ServerMode::Answer).await.expect("a server starts");
-    deployment.store.put_server("desk-3", "desk", came.address, "ready");
-    wait_until("it is listed", || deployment.daemon.events("server_listed").len() == 5).await;
+    let new_server =
+        ServerStand::start("desk-3", ServerMode::Answer).await.expect("start a server");
+    deployment.store.put_server("desk-3", "desk", new_server.address, "ready");
+    wait_until("the new server is listed", || deployment.daemon.events("server_listed").len() == 5)
+        .await;
     restore(&deployment, &copy, || ()).await;
-    for _ in 0..QUIET_LOOKS {
-        let gone = deployment.daemon.events("server_gone");
-        assert!(gone.is_empty(), "dropped: {gone:?}");
+    for _ in 0..STABLE_POLLS {
+        let removals = deployment.daemon.events("server_gone");
+        assert!(removals.is_empty(), "removed after the restore: {removals:?}");
         sleep(POLL_INTERVAL).await;
     }
 }
--- a/crates/entry/tests/daemon/weight_updates.rs
+++ b/crates/entry/tests/daemon/weight_updates.rs
@@ -1,4 +1,4 @@
-//! New weights of engines.
+//! Orders that bring engines to new weights.
 
 use fulmargate_consortium_stand::CallerRequest;
 use fulmargate_consortium_stand::ServerMode;
@@ -9,18 +9,17 @@
 use crate::support::TestDeployment;
 use crate::support::wait_until;
 
-/// New weights are named: each engine gets one order, with a number that never falls and the count
-/// of the orders before, so that a late one is not carried out after a newer one.
+/// Each engine receives one order for a version, and fencing tokens never decrease.
 #[tokio::test]
-async fn engines_are_brought_to_the_weights_named() {
+async fn engines_receive_one_order_for_each_weights_version() {
     let deployment = TestDeployment::start(ServerMode::Stream(2)).await;
     deployment.store.name_weights(2);
-    wait_until("all engines have them", || {
+    wait_until("all engines have their first order", || {
         deployment.engines.iter().all(|engine| engine.orders().len() == 1)
     })
     .await;
     deployment.store.name_weights(5);
-    wait_until("all engines have the next", || {
+    wait_until("all engines have their second order", || {
         deployment.engines.iter().all(|engine| engine.orders().len() == 2)
     })
     .await;
@@ -29,9 +28,9 @@
         assert!(orders[0].fence <= orders[1].fence, "{orders:?}");
         assert_eq!((orders[0].version, orders[1].version), (2, 5));
     }
-    wait_until("the router knows", || {
-        let lines = deployment.daemon.events("weights_in_place");
-        lines.iter().filter(|line| line["end"] == "InPlace(WeightsVersion(5))").count() == 2
+    wait_until("the daemon reports version 5 on both engines", || {
+        let records = deployment.daemon.events("weights_in_place");
+        records.iter().filter(|line| line["end"] == "InPlace(WeightsVersion(5))").count() == 2
     })
     .await;
     deployment.send(&CallerRequest::prompt("/chat/x", "w")).await;
@@ -39,15 +38,18 @@
     assert!(seen[0].salt().starts_with("m/5/"), "{}", seen[0].salt());
 }
 
-/// Two routers want to give orders. The store lets one of their records in; only its writer orders.
-/// When that one is killed, the other waits for the end of the lease and takes over.
+/// Only the router that holds the lease sends orders. After it is killed the other one takes over when the
+/// lease expires.
 #[tokio::test]
-async fn one_router_orders_and_another_takes_over() {
+async fn another_router_takes_over_the_lease() {
     let mut deployment = TestDeployment::start(ServerMode::Stream(1)).await;
-    let second = DaemonProcess::start(deployment.store.address);
-    wait_until("the second serves", || second.events("server_listed").len() == 4).await;
+    let second_daemon = DaemonProcess::start(deployment.store.address);
+    wait_until("the second daemon lists all servers", || {
+        second_daemon.events("server_listed").len() == 4
+    })
+    .await;
     deployment.store.name_weights(2);
-    wait_until("all engines have them", || {
+    wait_until("all engines have their first order", || {
         deployment.engines.iter().all(|engine| engine.orders().len() == 1)
     })
     .await;
@@ -58,30 +60,33 @@
         holders.dedup();
         holders
     };
-    assert_eq!(holders(2).len(), 1, "one holder");
-    let first_orders = !deployment.daemon.events("order_given").is_empty();
-    let (stopped, left) = match first_orders {
-        true => (&mut deployment.daemon, &second),
-        false => (&mut *Box::leak(Box::new(second)), &deployment.daemon),
+    assert_eq!(holders(2).len(), 1, "one lease holder");
+    let first_is_holder = !deployment.daemon.events("order_given").is_empty();
+    let (stopped, remaining) = match first_is_holder {
+        true => (&mut deployment.daemon, &second_daemon),
+        false => (&mut *Box::leak(Box::new(second_daemon)), &deployment.daemon),
     };
     stopped.signal("KILL");
     stopped.exit_code().await;
     deployment.store.name_weights(3);
-    wait_until("the other has taken over", || !left.events("weights_in_place").is_empty()).await;
+    wait_until("the remaining daemon has taken over", || {
+        !remaining.events("weights_in_place").is_empty()
+    })
+    .await;
     assert_eq!(holders(3).len(), 1);
     assert_ne!(holders(3), holders(2));
 }
 
-/// The answer to the lease's append is lost though the record is written. The router reads it back
-/// and goes on with a number that it knows.
+/// The response to the append of a lease is lost although the record is written. The router must recover by
+/// reading the record back.
 #[tokio::test]
-async fn a_lost_answer_does_not_stop_orders() {
+async fn a_lost_append_response_does_not_stop_orders() {
     let deployment = TestDeployment::start(ServerMode::Stream(1)).await;
     deployment.store.set_fault(StoreFault::LosesAnswers);
     deployment.store.name_weights(2);
-    wait_until("the append was tried", || !deployment.daemon.events("lease_lost").is_empty()).await;
+    wait_until("an append has failed", || !deployment.daemon.events("lease_lost").is_empty()).await;
     deployment.store.set_fault(StoreFault::None);
-    wait_until("all engines have them", || {
+    wait_until("all engines have their first order", || {
         deployment.engines.iter().all(|engine| engine.orders().len() == 1)
     })
     .await;
