--- a/crates/admission/src/adaptive_limit.rs
+++ b/crates/admission/src/adaptive_limit.rs
@@ -1,4 +1,4 @@
-//! How much one server may have under way, learnt from its answers.
+//! Adaptive concurrency limit of one server.
 
 use std::time::Duration;
 
@@ -8,150 +8,160 @@
 use crate::GateConf;
 use crate::gate_load::GateRoom;
 
-/// Shrinking, once per round of answers.
-const SHRINK: f64 = 0.8;
-/// Shrinking when the server itself refuses.
-const SHRINK_ON_REFUSAL: f64 = 0.6;
-/// Shrinks follow each other no faster than this, for answers come in bunches.
-const LEAST_PAUSE: Duration = Duration::from_millis(50);
-/// How fast the best rate seen fades, per answer.
-const RATE_FADE: f64 = 0.998;
-/// Prompts below this say nothing of the prefill rate.
-const LEAST_SAMPLE: u32 = 64;
-/// Tokens gained per round of answers.
-const TOKEN_STEP: f64 = 512.0;
-
-/// Limits on requests and on prompt tokens that wait for prefill.
+/// Multiplicative decrease when the estimated queueing time exceeds the target.
+const DECREASE_FACTOR: f64 = 0.8;
+/// Multiplicative decrease when the server rejects a request as overloaded.
+const OVERLOAD_DECREASE_FACTOR: f64 = 0.6;
+/// Minimum time between two decreases, so that one burst of responses counts once.
+const MIN_DECREASE_INTERVAL: Duration = Duration::from_millis(50);
+/// Decay of the best observed prefill rate and base latency, per response.
+const RATE_DECAY: f64 = 0.998;
+/// Shorter prompts are ignored when the prefill rate is estimated.
+const MIN_SAMPLE_TOKENS: u32 = 64;
+/// Additive increase of the token limit per round of responses.
+const TOKENS_PER_ROUND: f64 = 512.0;
+
+/// Additive-increase, multiplicative-decrease limits on in-flight requests and on prompt tokens
+/// that wait for prefill.
 ///
-/// They grow while they hold requests back and the server reports little waiting, as fast as
-/// answers come after a start and by about one request a round later; they shrink by a fifth when
-/// the waiting passes the target. Several routers that share a server each see its whole queue, so
-/// all of them shrink together and none can crowd out the rest.
+/// A limit grows only when it has held a request back and the server's queue is short: with
+/// each response until the first decrease, later by about one request per round of responses. Both limits shrink
+/// when the queueing time exceeds the target. All routers that share a server observe its whole
+/// queue, so they back off together.
 #[derive(Debug)]
 pub(crate) struct AdaptiveLimit {
     conf: GateConf,
-    requests: f64,
-    tokens: f64,
-    /// Prompt tokens a second with nobody else waiting; 0 while unknown.
-    prefill_rate: f64,
-    /// Seconds to the first token that prefill doesn't explain, at best; infinite while unknown.
-    base: f64,
-    phase: GrowthPhase,
-    shrunk: Option<Instant>,
-    held_back: Option<GateRoom>,
+    max_requests: f64,
+    max_tokens: f64,
+    /// Best observed prefill rate, in tokens per second; 0 while unknown.
+    prefill_tokens_per_s: f64,
+    /// Lowest observed time to first token without prefill, in seconds; infinite while unknown.
+    base_latency_s: f64,
+    phase: IncreasePhase,
+    last_decrease: Option<Instant>,
+    limiting: Option<GateRoom>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum GrowthPhase {
-    /// Since a start, until the first shrink.
-    Fast,
-    Slow,
+enum IncreasePhase {
+    SlowStart,
+    Additive,
 }
 
 impl AdaptiveLimit {
-    /// The limits of a server of which nothing is known.
     pub(crate) fn new(conf: GateConf) -> AdaptiveLimit {
         AdaptiveLimit {
             conf,
-            requests: f64::from(conf.first_requests),
-            tokens: f64::from(conf.first_tokens),
-            prefill_rate: 0.0,
-            base: f64::INFINITY,
-            phase: GrowthPhase::Fast,
-            shrunk: None,
-            held_back: None,
+            max_requests: f64::from(conf.first_requests),
+            max_tokens: f64::from(conf.first_tokens),
+            prefill_tokens_per_s: 0.0,
+            base_latency_s: f64::INFINITY,
+            phase: IncreasePhase::SlowStart,
+            last_decrease: None,
+            limiting: None,
         }
     }
 
-    /// Requests that may be under way.
+    /// Maximum number of in-flight requests.
     pub(crate) fn requests(&self) -> u32 {
-        (self.requests as u32).max(1)
+        (self.max_requests as u32).max(1)
     }
 
-    /// Prompt tokens that may wait for prefill.
+    /// Maximum number of prompt tokens that wait for prefill.
     pub(crate) fn tokens(&self) -> f64 {
-        self.tokens
+        self.max_tokens
     }
 
-    /// A limit held a request back.
-    pub(crate) fn hold_back(&mut self, full: GateRoom) {
-        self.held_back = Some(full);
+    /// Records that a limit held a request back, which lets it grow with the next response.
+    pub(crate) fn record_limiting(&mut self, room: GateRoom) {
+        self.limiting = Some(room);
     }
 
-    /// Time from sending to the first token with nobody else waiting; zero while unknown.
-    pub(crate) fn service_time(&self, prefill_tokens: u32) -> Duration {
-        let base = if self.base.is_finite() { self.base } else { 0.0 };
-        Duration::from_secs_f64(base + self.prefill_seconds(prefill_tokens))
+    /// Estimated time to first token on an idle server; zero while unknown.
+    pub(crate) fn idle_ttft(&self, prefill_tokens: u32) -> Duration {
+        let base_latency_s =
+            if self.base_latency_s.is_finite() { self.base_latency_s } else { 0.0 };
+        Duration::from_secs_f64(base_latency_s + self.prefill_seconds(prefill_tokens))
     }
 
-    /// Learns from an answer's first token, which came `ttft` after sending.
+    /// Updates the estimates and the limits from the time to first token of one response.
     pub(crate) fn first_token(&mut self, ttft: Duration, report: &EngineReport, now: Instant) {
         let computed = report.prompt_tokens.saturating_sub(report.cached_tokens);
-        self.learn(ttft.as_secs_f64(), computed);
-        if self.waiting(ttft.as_secs_f64(), computed, report) > self.conf.target_wait.as_secs_f64()
+        self.update_estimates(ttft.as_secs_f64(), computed);
+        if self.queue_seconds(ttft.as_secs_f64(), computed, report)
+            > self.conf.target_wait.as_secs_f64()
         {
-            self.shrink(SHRINK, ttft, now);
+            self.decrease(DECREASE_FACTOR, ttft, now);
             return;
         }
-        match self.held_back.take() {
-            Some(GateRoom::TokensFull) => self.grow_tokens(computed),
-            Some(_) => self.grow_requests(),
+        match self.limiting.take() {
+            Some(GateRoom::TokensFull) => self.increase_tokens(computed),
+            Some(_) => self.increase_requests(),
             None => {}
         }
     }
 
-    /// The server itself refused for its load.
+    /// Shrinks the limits after the server rejected a request as overloaded.
     pub(crate) fn overloaded(&mut self, now: Instant) {
-        self.shrink(SHRINK_ON_REFUSAL, LEAST_PAUSE, now);
+        self.decrease(OVERLOAD_DECREASE_FACTOR, MIN_DECREASE_INTERVAL, now);
     }
 
-    /// The best rate seen stands for the server alone: waiting only ever lowers what one sees.
-    fn learn(&mut self, seconds: f64, computed: u32) {
-        self.prefill_rate *= RATE_FADE;
-        if computed >= LEAST_SAMPLE && seconds > 0.0 {
-            self.prefill_rate = self.prefill_rate.max(f64::from(computed) / seconds);
+    /// Queueing only lowers the observed rate, so the best one approximates the idle server.
+    fn update_estimates(&mut self, seconds: f64, computed: u32) {
+        self.prefill_tokens_per_s *= RATE_DECAY;
+        if computed >= MIN_SAMPLE_TOKENS && seconds > 0.0 {
+            self.prefill_tokens_per_s =
+                self.prefill_tokens_per_s.max(f64::from(computed) / seconds);
         }
-        let rest = (seconds - self.prefill_seconds(computed)).max(0.0);
-        self.base = rest.min(self.base / RATE_FADE);
+        let latency = (seconds - self.prefill_seconds(computed)).max(0.0);
+        self.base_latency_s = latency.min(self.base_latency_s / RATE_DECAY);
     }
 
-    /// Seconds of waiting at the server: by its own report, and by what the answer took beyond
-    /// its own work. A report may be stale, and a slow answer may have other causes than a
-    /// queue; the larger one counts, for a limit that is too low costs less than one too high.
-    fn waiting(&self, seconds: f64, computed: u32, report: &EngineReport) -> f64 {
+    /// Estimated queueing time at the server in seconds: the larger of the reported queue and the
+    /// excess over the idle latency. The report may be stale and the excess may have other causes,
+    /// but a limit that is too low costs less than one that is too high.
+    fn queue_seconds(&self, seconds: f64, computed: u32, report: &EngineReport) -> f64 {
         let reported = self.prefill_seconds(report.queue_tokens);
-        let seen = seconds - self.base - self.prefill_seconds(computed);
-        reported.max(seen)
+        let excess = seconds - self.base_latency_s - self.prefill_seconds(computed);
+        reported.max(excess)
     }
 
     fn prefill_seconds(&self, tokens: u32) -> f64 {
-        if self.prefill_rate > 0.0 { f64::from(tokens) / self.prefill_rate } else { 0.0 }
+        if self.prefill_tokens_per_s > 0.0 {
+            f64::from(tokens) / self.prefill_tokens_per_s
+        } else {
+            0.0
+        }
     }
 
-    fn shrink(&mut self, factor: f64, pause: Duration, now: Instant) {
-        let pause = pause.max(LEAST_PAUSE);
-        if self.shrunk.is_some_and(|shrunk| now.saturating_duration_since(shrunk) < pause) {
+    fn decrease(&mut self, factor: f64, interval: Duration, now: Instant) {
+        let interval = interval.max(MIN_DECREASE_INTERVAL);
+        if self
+            .last_decrease
+            .is_some_and(|last_decrease| now.saturating_duration_since(last_decrease) < interval)
+        {
             return;
         }
-        self.shrunk = Some(now);
-        self.phase = GrowthPhase::Slow;
-        self.requests = (self.requests * factor).max(f64::from(self.conf.least_requests.max(1)));
-        self.tokens = (self.tokens * factor).max(f64::from(self.conf.least_tokens));
+        self.last_decrease = Some(now);
+        self.phase = IncreasePhase::Additive;
+        self.max_requests =
+            (self.max_requests * factor).max(f64::from(self.conf.least_requests.max(1)));
+        self.max_tokens = (self.max_tokens * factor).max(f64::from(self.conf.least_tokens));
     }
 
-    fn grow_requests(&mut self) {
+    fn increase_requests(&mut self) {
         let step = match self.phase {
-            GrowthPhase::Fast => 1.0,
-            GrowthPhase::Slow => 1.0 / self.requests,
+            IncreasePhase::SlowStart => 1.0,
+            IncreasePhase::Additive => 1.0 / self.max_requests,
         };
-        self.requests = (self.requests + step).min(f64::from(self.conf.most_requests));
+        self.max_requests = (self.max_requests + step).min(f64::from(self.conf.most_requests));
     }
 
-    fn grow_tokens(&mut self, computed: u32) {
+    fn increase_tokens(&mut self, computed: u32) {
         let step = match self.phase {
-            GrowthPhase::Fast => f64::from(computed),
-            GrowthPhase::Slow => TOKEN_STEP * f64::from(computed) / self.tokens,
+            IncreasePhase::SlowStart => f64::from(computed),
+            IncreasePhase::Additive => TOKENS_PER_ROUND * f64::from(computed) / self.max_tokens,
         };
-        self.tokens = (self.tokens + step).min(f64::from(self.conf.most_tokens));
+        self.max_tokens = (self.max_tokens + step).min(f64::from(self.conf.most_tokens));
     }
 }
--- a/crates/admission/src/drain_rate.rs
+++ b/crates/admission/src/drain_rate.rs
@@ -1,65 +1,67 @@
-//! How fast a queue moves.
+//! Throughput estimate of a queue.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// Past grants weigh less with each new one.
-const KEEP: f64 = 0.95;
-/// Grants before the rate is believed.
-const LEAST_GRANTS: u32 = 4;
-/// A rate that was measured longer ago says nothing about the server of now.
-const FORGET_AFTER: Duration = Duration::from_secs(30);
+/// Decay of earlier samples with each new one.
+const SAMPLE_DECAY: f64 = 0.95;
+/// Samples required before an estimate is given.
+const MIN_SAMPLES: u32 = 4;
+/// An estimate older than this is discarded.
+const SAMPLE_TTL: Duration = Duration::from_secs(30);
 
-/// The cost that leaves a queue per second while someone waits in it.
+/// Exponentially weighted estimate of the cost that leaves a queue per second while it is not
+/// empty.
 #[derive(Debug, Default)]
 pub(crate) struct DrainRate {
     cost: f64,
     seconds: f64,
-    grants: u32,
-    /// Since when the queue has been moving towards its next grant.
+    samples: u32,
+    /// When the queue became non-empty or last dequeued, whichever is later.
     busy_since: Option<Instant>,
-    last: Option<Instant>,
+    last_sample: Option<Instant>,
 }
 
 impl DrainRate {
-    /// Someone waits from now on.
+    /// Called when a request is queued.
     pub(crate) fn begin(&mut self, now: Instant) {
         if self.busy_since.is_some() {
             return;
         }
-        let old = self.last.is_some_and(|last| now.saturating_duration_since(last) > FORGET_AFTER);
-        if old {
+        let is_stale =
+            self.last_sample.is_some_and(|last| now.saturating_duration_since(last) > SAMPLE_TTL);
+        if is_stale {
             *self = DrainRate::default();
         }
         self.busy_since = Some(now);
     }
 
-    /// A waiting request was sent.
+    /// Called when a queued request of this cost is sent.
     pub(crate) fn granted(&mut self, cost: u64, now: Instant) {
-        self.cost = self.cost * KEEP + cost as f64;
-        self.seconds = self.seconds * KEEP + self.gap(now);
-        self.grants = self.grants.saturating_add(1);
+        self.cost = self.cost * SAMPLE_DECAY + cost as f64;
+        self.seconds = self.seconds * SAMPLE_DECAY + self.since_last_sample(now);
+        self.samples = self.samples.saturating_add(1);
         self.busy_since = Some(now);
-        self.last = Some(now);
+        self.last_sample = Some(now);
     }
 
-    /// Nobody waits any more.
+    /// Called when the queue becomes empty.
     pub(crate) fn end(&mut self) {
         self.busy_since = None;
     }
 
-    /// How long `cost` takes to leave; `None` while nothing is known. The time since the last grant
-    /// counts, so that a server that has stopped is noticed before its next answer.
+    /// Estimated time until `cost` has left the queue; `None` while there are too few samples. The
+    /// time since the last sample counts, so that the estimate grows while the server is stalled.
     pub(crate) fn time_for(&self, cost: u64, now: Instant) -> Option<Duration> {
-        let seconds = self.seconds + self.gap(now);
-        if self.grants < LEAST_GRANTS || seconds <= 0.0 {
+        let seconds = self.seconds + self.since_last_sample(now);
+        if self.samples < MIN_SAMPLES || seconds <= 0.0 {
             return None;
         }
         Duration::try_from_secs_f64(cost as f64 * seconds / self.cost).ok()
     }
 
-    fn gap(&self, now: Instant) -> f64 {
+    fn since_last_sample(&self, now: Instant) -> f64 {
         self.busy_since.map_or(0.0, |since| now.saturating_duration_since(since).as_secs_f64())
     }
 }
--- a/crates/admission/src/engine_report.rs
+++ b/crates/admission/src/engine_report.rs
@@ -1,12 +1,12 @@
-//! What an answer says of its server.
+//! Load figures from a response.
 
-/// What an answer's headers say of its server's load; zero where they say nothing.
+/// Load figures from a response's headers; zero where a header is missing.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct EngineReport {
-    /// The prompt's tokens.
+    /// Tokens of the prompt.
     pub prompt_tokens: u32,
-    /// Those of them that were cached.
+    /// Prompt tokens found in the prefix cache.
     pub cached_tokens: u32,
-    /// Prompt tokens of other requests that wait for prefill.
+    /// Prompt tokens of other requests that wait for prefill at the server.
     pub queue_tokens: u32,
 }
--- a/crates/admission/src/gate_conf.rs
+++ b/crates/admission/src/gate_conf.rs
@@ -1,37 +1,37 @@
-//! Numbers that shape a gate.
+//! Settings of a gate.
 
 use std::time::Duration;
 
-/// How a gate limits what is under way at its backend server.
+/// Limits that a gate applies to the in-flight requests of its backend server.
 #[derive(Clone, Copy, Debug)]
 pub struct GateConf {
-    /// Requests under way that a fresh server may have.
+    /// Request limit of a server that has just started.
     pub first_requests: u32,
-    /// The request limit never falls below this; at least 1.
+    /// Lower bound of the request limit; at least 1.
     pub least_requests: u32,
-    /// The request limit never rises above this.
+    /// Upper bound of the request limit.
     pub most_requests: u32,
-    /// Prompt tokens waiting for prefill that a fresh server may have.
+    /// Limit on prompt tokens that wait for prefill, of a server that has just started.
     pub first_tokens: u32,
-    /// The token limit never falls below this.
+    /// Lower bound of the token limit.
     pub least_tokens: u32,
-    /// The token limit never rises above this.
+    /// Upper bound of the token limit.
     pub most_tokens: u32,
-    /// Waiting inside the server that the limits aim at: enough to keep it busy, and no more,
-    /// for what waits there can no longer be overtaken, refused or moved.
+    /// Target queueing time inside the server. Requests queued there can no longer be reordered,
+    /// refused or moved, so it should only be long enough to keep the server busy.
     pub target_wait: Duration,
-    /// Priorities above this number leave some of the limits to more urgent requests.
+    /// Highest priority number that counts as urgent and may use the whole limits.
     pub urgent_priority: u8,
-    /// Share of the limits that all less urgent requests together may use.
+    /// Share of the limits that all non-urgent requests together may use.
     pub lesser_share: f64,
     /// Share of the limits that one team may use.
     pub team_share: f64,
-    /// Added to each request's prompt tokens when teams are weighed against each other.
+    /// Added to each request's prompt tokens in the fair queueing cost.
     pub overhead_tokens: u32,
 }
 
 impl GateConf {
-    /// For model engines.
+    /// Defaults for inference engines.
     pub fn engine() -> GateConf {
         GateConf {
             first_requests: 4,
@@ -48,7 +48,7 @@
         }
     }
 
-    /// For plain services, which have no prompts.
+    /// Defaults for services without prompts.
     pub fn service() -> GateConf {
         GateConf {
             first_requests: 16,
--- a/crates/admission/src/gate_figures.rs
+++ b/crates/admission/src/gate_figures.rs
@@ -1,20 +1,20 @@
-//! Numbers of one gate.
+//! Snapshot of a gate's state.
 
 use crate::MoveReason;
 
-/// A gate's numbers at one moment, for metrics and for the choice of a server.
+/// Snapshot of a gate's state, for metrics and server selection.
 #[derive(Clone, Copy, Debug)]
 pub struct GateFigures {
-    /// Requests under way.
+    /// Requests in flight.
     pub under_way: u32,
-    /// Their prompt tokens that wait for prefill.
+    /// Prompt tokens of in-flight requests that wait for prefill.
     pub prefill_tokens: u64,
-    /// Requests that wait in the queue.
+    /// Queued requests.
     pub waiting: usize,
-    /// Most requests under way at present.
+    /// Current limit on requests in flight.
     pub requests_limit: u32,
-    /// Most prompt tokens waiting for prefill at present.
+    /// Current limit on prompt tokens that wait for prefill.
     pub tokens_limit: u64,
-    /// Why it takes nothing new.
+    /// Why the gate is closed, if it is.
     pub closed: Option<MoveReason>,
 }
--- a/crates/admission/src/gate_outcome.rs
+++ b/crates/admission/src/gate_outcome.rs
@@ -1,4 +1,4 @@
-//! What a gate answers.
+//! Decisions of a gate.
 
 use std::time::Duration;
 
@@ -7,42 +7,42 @@
 use crate::GateTicket;
 use crate::GateWaiter;
 
-/// The gate's first answer.
+/// Result of entering a gate.
 #[derive(Debug)]
 pub enum GateEntry {
-    /// Decided at once.
+    /// Decided immediately.
     Decided(GateOutcome),
-    /// It waits in the queue.
+    /// The request is queued.
     Queued(GateWaiter),
 }
 
-/// The gate's decision; each request gets exactly one.
+/// A gate's decision on a request. Each request gets exactly one.
 #[derive(Debug)]
 pub enum GateOutcome {
-    /// It may be sent, and counts as under way while the ticket lives.
+    /// The request may be sent, and is in flight until the ticket is dropped.
     Admitted(GateTicket),
-    /// It was given up on, and was never sent.
+    /// The request was rejected without being sent.
     Refused(GateRefusal),
-    /// The server takes nothing new: choose another one. It was never sent.
+    /// The gate is closed: select another server. The request was not sent.
     Moved(MoveReason),
 }
 
-/// Why a request was given up on, and when it is worth asking again.
+/// Why a request was rejected, and when to retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GateRefusal {
     /// `QueueFull` or `DeadlineUnmet`.
     pub kind: ErrorKind,
-    /// When the queue will probably be short enough.
+    /// Estimated time until the queue is short enough.
     pub retry_after: Duration,
 }
 
-/// Why a server takes nothing new.
+/// Why a server accepts no new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MoveReason {
-    /// It fails too often.
+    /// Ejected for its failures.
     Ejected,
-    /// It is leaving or drained.
+    /// Shutting down or drained.
     Leaving,
-    /// It is no longer in the configuration.
+    /// Removed from the configuration.
     Gone,
 }
--- a/crates/admission/src/gate_queue.rs
+++ b/crates/admission/src/gate_queue.rs
@@ -1,4 +1,4 @@
-//! All that waits at one gate.
+//! Priority queue of one gate.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,29 +11,27 @@
 use crate::gate_load::GateRoom;
 use crate::queue_entry::QueueEntry;
 
-/// All that waits at one gate, urgent strictly first.
+/// Queued requests of one gate, in strict order of priority.
 #[derive(Debug, Default)]
 pub(crate) struct GateQueue {
     classes: BTreeMap<u8, ClassQueue>,
 }
 
 impl GateQueue {
-    /// How many wait.
     pub(crate) fn len(&self) -> usize {
         self.classes.values().map(ClassQueue::len).sum()
     }
 
-    /// Whether anyone waits whom a request of this priority may not overtake.
-    pub(crate) fn any_up_to(&self, priority: u8) -> bool {
+    /// Whether a request of this or a more urgent priority is queued.
+    pub(crate) fn has_waiting_up_to(&self, priority: u8) -> bool {
         self.classes.range(..=priority).any(|(_, class)| class.len() > 0)
     }
 
-    /// The queue of a priority.
     pub(crate) fn class(&mut self, priority: u8) -> &mut ClassQueue {
         self.classes.entry(priority).or_default()
     }
 
-    /// How long a new request will probably wait; `None` while nothing is known.
+    /// Estimated wait of a new request; `None` while unknown.
     pub(crate) fn wait_for(
         &self,
         priority: u8,
@@ -44,12 +42,13 @@
         self.classes.get(&priority)?.wait_for(team, cost, now)
     }
 
-    /// What was learnt of the pace holds no more.
+    /// Discards the throughput estimates.
     pub(crate) fn forget_pace(&mut self) {
         self.classes.values_mut().for_each(ClassQueue::forget_pace);
     }
 
-    /// Takes the next request if it fits. While a more urgent one waits for room, no other goes.
+    /// Removes the next request if it fits. A request that waits for room blocks all less urgent
+    /// ones.
     pub(crate) fn next(
         &mut self,
         now: Instant,
@@ -64,7 +63,7 @@
         QueueStep::Empty
     }
 
-    /// Takes all.
+    /// Removes all requests.
     pub(crate) fn drain(&mut self) -> Vec<QueueEntry> {
         self.classes.values_mut().flat_map(ClassQueue::drain).collect()
     }
--- a/crates/admission/src/gate_request.rs
+++ b/crates/admission/src/gate_request.rs
@@ -1,16 +1,16 @@
-//! What a gate is asked.
+//! Request to a gate.
 
 use fulmargate_names::TeamName;
 
 use crate::RequestClass;
 
-/// A request before the gate of the backend server that was chosen for it.
+/// A request to the gate of the backend server selected for it.
 #[derive(Clone, Debug)]
 pub struct GateRequest {
-    /// Who calls.
+    /// The calling team.
     pub team: TeamName,
-    /// Its class and deadline.
+    /// Class and deadline.
     pub class: RequestClass,
-    /// Prompt tokens that the server will probably have to compute; 0 for a plain service.
+    /// Estimated prompt tokens to compute, without cached ones; 0 for a service without prompts.
     pub prefill_tokens: u32,
 }
--- a/crates/admission/src/gate_slot.rs
+++ b/crates/admission/src/gate_slot.rs
@@ -1,16 +1,16 @@
-//! What one request under way occupies.
+//! Share of a server's limits used by one request.
 
 use fulmargate_names::TeamName;
 
-/// What one request under way occupies at a server.
+/// Share of a server's limits used by one in-flight request.
 #[derive(Clone, Debug)]
 pub(crate) struct GateSlot {
-    /// The server's start under which it was admitted.
+    /// Epoch of the gate in which the request was admitted; see `GateState::restart`.
     pub(crate) epoch: u64,
-    /// Who calls.
+    /// The calling team.
     pub(crate) team: TeamName,
-    /// Its priority.
+    /// Priority of the request.
     pub(crate) priority: u8,
-    /// Prompt tokens that wait for prefill on its behalf; 0 from the first token on.
+    /// Prompt tokens that wait for prefill; 0 from the first token on.
     pub(crate) prefill_tokens: u32,
 }
--- a/crates/admission/src/gate_state.rs
+++ b/crates/admission/src/gate_state.rs
@@ -1,4 +1,4 @@
-//! The part of a gate behind its lock.
+//! State of a gate, guarded by its lock.
 
 use std::time::Duration;
 
@@ -20,11 +20,11 @@
 use crate::gate_slot::GateSlot;
 use crate::queue_entry::QueueEntry;
 
-/// Named when nothing is known of how fast the queue moves.
-const UNKNOWN_WAIT: Duration = Duration::from_secs(1);
+/// Retry-after when the queue's throughput is unknown.
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Queue, limits and load of one server. Each change is one step under the gate's lock, so an
-/// entry that leaves the queue has exactly one taker.
+/// Queue, limits and load of one server. Every change happens under the gate's lock, so exactly one
+/// caller removes an entry from the queue.
 #[derive(Debug)]
 pub(crate) struct GateState {
     conf: GateConf,
@@ -36,41 +36,41 @@
     next_id: u64,
 }
 
-/// The first decision on a request.
+/// What to do with a new request.
 #[derive(Debug)]
-pub(crate) enum FirstStep {
+pub(crate) enum EntryAction {
     /// Send it.
     Admit(GateSlot),
-    /// It waits under this id until this time.
+    /// It is queued under this id until this time.
     Wait(u64, Instant),
-    /// Give it up.
+    /// Reject it.
     Refuse(GateRefusal),
-    /// Send it elsewhere.
+    /// Have the caller select another server.
     Move(MoveReason),
 }
 
-/// A decision on a request that waited. It is sent once the lock is free.
+/// A decision on a queued request, to be sent after the lock is released.
 #[derive(Debug)]
 pub(crate) struct QueueDecision {
-    /// The request.
+    /// The request, already removed from the queue.
     pub(crate) entry: QueueEntry,
-    /// What becomes of it.
-    pub(crate) fate: QueueFate,
+    /// What to do with it.
+    pub(crate) action: QueueAction,
 }
 
-/// What becomes of a request that waited.
+/// What to do with a queued request.
 #[derive(Debug)]
-pub(crate) enum QueueFate {
+pub(crate) enum QueueAction {
     /// Send it.
     Admit(GateSlot),
-    /// Give it up.
+    /// Reject it.
     Refuse(GateRefusal),
-    /// Send it elsewhere.
+    /// Have the caller select another server.
     Move(MoveReason),
 }
 
 impl GateState {
-    /// An open gate of a fresh server.
+    /// State of an open gate with an empty queue.
     pub(crate) fn new(conf: GateConf) -> GateState {
         GateState {
             conf,
@@ -83,31 +83,32 @@
         }
     }
 
-    /// Decides on a new request; a request of a crowded team may be given up in its favour.
+    /// Admits, queues or rejects a new request. If the queue is full, a queued request of the team
+    /// with the most requests may be rejected in its favour.
     pub(crate) fn enter(
         &mut self,
         request: &GateRequest,
         sender: oneshot::Sender<crate::GateOutcome>,
         now: Instant,
-    ) -> (FirstStep, Option<QueueDecision>) {
+    ) -> (EntryAction, Option<QueueDecision>) {
         if let Some(reason) = self.closed {
-            return (FirstStep::Move(reason), None);
+            return (EntryAction::Move(reason), None);
         }
         let priority = request.class.conf.priority;
-        if !self.queue.any_up_to(priority) {
+        if !self.queue.has_waiting_up_to(priority) {
             let room = self.room(request);
             if room == GateRoom::Free {
-                let slot = self.slot(request);
-                self.load.take(&self.conf, &slot);
-                return (FirstStep::Admit(slot), None);
+                let slot = self.new_slot(request);
+                self.load.add(&self.conf, &slot);
+                return (EntryAction::Admit(slot), None);
             }
-            self.limit.hold_back(room);
+            self.limit.record_limiting(room);
         }
         self.enqueue(request, sender, now)
     }
 
-    /// Sends what fits now, in order.
-    pub(crate) fn pump(&mut self, now: Instant) -> Vec<QueueDecision> {
+    /// Removes from the queue all requests that fit now or have expired, in order.
+    pub(crate) fn dispatch(&mut self, now: Instant) -> Vec<QueueDecision> {
         let mut decisions = Vec::new();
         if self.closed.is_some() {
             return decisions;
@@ -120,17 +121,17 @@
             match step {
                 QueueStep::Empty => return decisions,
                 QueueStep::Blocked(room) => {
-                    self.limit.hold_back(room);
+                    self.limit.record_limiting(room);
                     return decisions;
                 }
                 QueueStep::Expired(entry) => decisions.push(self.expire(entry, now)),
-                QueueStep::Next(entry) => decisions.push(self.grant(entry)),
+                QueueStep::Next(entry) => decisions.push(self.admit_queued(entry)),
             }
         }
     }
 
-    /// Takes a request out of the queue, if it is still there.
-    pub(crate) fn leave(
+    /// Removes a request from the queue, if it is still there.
+    pub(crate) fn remove(
         &mut self,
         priority: u8,
         team: &fulmargate_names::TeamName,
@@ -139,13 +140,13 @@
         self.queue.class(priority).remove(team, id)
     }
 
-    /// When a request that has been given up may come again.
+    /// The refusal of a queued request, with the estimated wait as its retry-after.
     pub(crate) fn refusal(&self, kind: ErrorKind, entry: &QueueEntry, now: Instant) -> GateRefusal {
         let wait = self.queue.wait_for(entry.priority, &entry.team, entry.cost, now);
-        GateRefusal { kind, retry_after: wait.unwrap_or(UNKNOWN_WAIT) }
+        GateRefusal { kind, retry_after: wait.unwrap_or(DEFAULT_RETRY_AFTER) }
     }
 
-    /// The request's first token has come.
+    /// Updates load and limits at the first token of a response.
     pub(crate) fn first_token(
         &mut self,
         slot: &GateSlot,
@@ -154,37 +155,36 @@
         now: Instant,
     ) {
         if slot.epoch == self.epoch {
-            self.load.prefilled(&self.conf, slot);
+            self.load.finish_prefill(&self.conf, slot);
             self.limit.first_token(ttft, report, now);
         }
     }
 
-    /// The request has ended.
-    pub(crate) fn give_back(&mut self, slot: &GateSlot) {
+    /// Releases the slot of a finished request.
+    pub(crate) fn release(&mut self, slot: &GateSlot) {
         if slot.epoch == self.epoch {
-            self.load.give_back(&self.conf, slot);
+            self.load.remove(&self.conf, slot);
         }
     }
 
-    /// The server refused a request for its load.
+    /// Shrinks the limits after the server rejected a request as overloaded.
     pub(crate) fn overloaded(&mut self, now: Instant) {
         self.limit.overloaded(now);
     }
 
-    /// Nothing new; all that wait are asked to move.
+    /// Closes the gate and moves all queued requests to other servers.
     pub(crate) fn close(&mut self, reason: MoveReason) -> Vec<QueueDecision> {
         self.closed = Some(reason);
-        let moved = |entry| QueueDecision { entry, fate: QueueFate::Move(reason) };
-        self.queue.drain().into_iter().map(moved).collect()
+        let move_entry = |entry| QueueDecision { entry, action: QueueAction::Move(reason) };
+        self.queue.drain().into_iter().map(move_entry).collect()
     }
 
-    /// Takes requests again.
     pub(crate) fn open(&mut self) {
         self.closed = None;
     }
 
-    /// The server's process has started anew: nothing of ours is under way there, and nothing of
-    /// what was learnt holds. Tickets of the old epoch count no more.
+    /// Resets load, limits and estimates after the server's process has restarted. Slots of earlier
+    /// epochs are ignored when they are released.
     pub(crate) fn restart(&mut self) {
         self.epoch += 1;
         self.load = GateLoad::default();
@@ -192,18 +192,17 @@
         self.queue.forget_pace();
     }
 
-    /// How long a new request would probably wait here.
+    /// Estimated queueing time of a new request; zero while unknown.
     pub(crate) fn expected_wait(&self, request: &GateRequest, now: Instant) -> Duration {
         let priority = request.class.conf.priority;
-        if !self.queue.any_up_to(priority) && self.room(request) == GateRoom::Free {
+        if !self.queue.has_waiting_up_to(priority) && self.room(request) == GateRoom::Free {
             return Duration::ZERO;
         }
-        self.wait_of(request, now).unwrap_or(Duration::ZERO)
+        self.estimate_wait(request, now).unwrap_or(Duration::ZERO)
     }
 
-    /// Numbers for metrics and choices.
     pub(crate) fn figures(&self) -> GateFigures {
-        let load = self.load.all();
+        let load = self.load.total();
         GateFigures {
             under_way: load.requests,
             prefill_tokens: load.tokens,
@@ -220,7 +219,7 @@
         self.load.room(&self.conf, &self.limit, &request.team, priority, tokens)
     }
 
-    fn slot(&self, request: &GateRequest) -> GateSlot {
+    fn new_slot(&self, request: &GateRequest) -> GateSlot {
         GateSlot {
             epoch: self.epoch,
             team: request.team.clone(),
@@ -229,29 +228,30 @@
         }
     }
 
-    /// Cost when teams are weighed against each other.
+    /// Cost of a request in fair queueing between teams.
     fn cost(&self, request: &GateRequest) -> u64 {
         u64::from(request.prefill_tokens) + u64::from(self.conf.overhead_tokens.max(1))
     }
 
-    fn wait_of(&self, request: &GateRequest, now: Instant) -> Option<Duration> {
+    fn estimate_wait(&self, request: &GateRequest, now: Instant) -> Option<Duration> {
         let priority = request.class.conf.priority;
         self.queue.wait_for(priority, &request.team, self.cost(request), now)
     }
 
-    /// Queues a request, unless its deadline can't be met or its team fills the queue.
+    /// Queues a request, unless its deadline can't be met or the queue is full and none of its
+    /// entries may be displaced.
     fn enqueue(
         &mut self,
         request: &GateRequest,
         sender: oneshot::Sender<crate::GateOutcome>,
         now: Instant,
-    ) -> (FirstStep, Option<QueueDecision>) {
-        let service = self.limit.service_time(request.prefill_tokens);
-        let give_up = request.class.deadline.checked_sub(service).unwrap_or(now);
+    ) -> (EntryAction, Option<QueueDecision>) {
+        let idle_ttft = self.limit.idle_ttft(request.prefill_tokens);
+        let give_up = request.class.deadline.checked_sub(idle_ttft).unwrap_or(now);
         let slack = give_up.saturating_duration_since(now);
-        let wait = self.wait_of(request, now);
+        let wait = self.estimate_wait(request, now);
         if slack.is_zero() || wait.is_some_and(|wait| wait > slack) {
-            let retry_after = wait.unwrap_or(UNKNOWN_WAIT).saturating_sub(slack);
+            let retry_after = wait.unwrap_or(DEFAULT_RETRY_AFTER).saturating_sub(slack);
             return (refuse(ErrorKind::DeadlineUnmet, retry_after), None);
         }
         let conf = &request.class.conf;
@@ -260,12 +260,12 @@
         if class.len() >= conf.queue_limit {
             displaced = class.displace_for(&request.team);
             if displaced.is_none() {
-                return (refuse(ErrorKind::QueueFull, wait.unwrap_or(UNKNOWN_WAIT)), None);
+                return (refuse(ErrorKind::QueueFull, wait.unwrap_or(DEFAULT_RETRY_AFTER)), None);
             }
         }
         let id = self.push(request, sender, give_up, now);
-        let displaced = displaced.map(|entry| self.give_up(ErrorKind::QueueFull, entry, now));
-        (FirstStep::Wait(id, give_up), displaced)
+        let displaced = displaced.map(|entry| self.reject(ErrorKind::QueueFull, entry, now));
+        (EntryAction::Wait(id, give_up), displaced)
     }
 
     fn push(
@@ -291,27 +291,27 @@
         id
     }
 
-    fn grant(&mut self, entry: QueueEntry) -> QueueDecision {
+    fn admit_queued(&mut self, entry: QueueEntry) -> QueueDecision {
         let slot = GateSlot {
             epoch: self.epoch,
             team: entry.team.clone(),
             priority: entry.priority,
             prefill_tokens: entry.prefill_tokens,
         };
-        self.load.take(&self.conf, &slot);
-        QueueDecision { entry, fate: QueueFate::Admit(slot) }
+        self.load.add(&self.conf, &slot);
+        QueueDecision { entry, action: QueueAction::Admit(slot) }
     }
 
     fn expire(&self, entry: QueueEntry, now: Instant) -> QueueDecision {
-        self.give_up(ErrorKind::DeadlineUnmet, entry, now)
+        self.reject(ErrorKind::DeadlineUnmet, entry, now)
     }
 
-    fn give_up(&self, kind: ErrorKind, entry: QueueEntry, now: Instant) -> QueueDecision {
+    fn reject(&self, kind: ErrorKind, entry: QueueEntry, now: Instant) -> QueueDecision {
         let refusal = self.refusal(kind, &entry, now);
-        QueueDecision { entry, fate: QueueFate::Refuse(refusal) }
+        QueueDecision { entry, action: QueueAction::Refuse(refusal) }
     }
 }
 
-fn refuse(kind: ErrorKind, retry_after: Duration) -> FirstStep {
-    FirstStep::Refuse(GateRefusal { kind, retry_after })
+fn refuse(kind: ErrorKind, retry_after: Duration) -> EntryAction {
+    EntryAction::Refuse(GateRefusal { kind, retry_after })
 }
--- a/crates/admission/src/gate_ticket.rs
+++ b/crates/admission/src/gate_ticket.rs
@@ -1,4 +1,4 @@
-//! The right to have one request under way.
+//! Permit for one in-flight request.
 
 use std::sync::Arc;
 
@@ -9,43 +9,44 @@
 use crate::ServerGate;
 use crate::gate_slot::GateSlot;
 
-/// The right to have one request under way at a server; dropping it makes room for the next.
+/// Permit for one in-flight request at a server. Dropping it releases the request's slot.
 #[derive(Debug)]
 pub struct GateTicket {
     gate: Arc<ServerGate>,
     slot: GateSlot,
-    sent: Instant,
+    sent_at: Instant,
     phase: TicketPhase,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum TicketPhase {
     Sent,
-    Answering,
+    Responding,
 }
 
 impl GateTicket {
-    pub(crate) fn new(gate: Arc<ServerGate>, slot: GateSlot, sent: Instant) -> GateTicket {
-        GateTicket { gate, slot, sent, phase: TicketPhase::Sent }
+    pub(crate) fn new(gate: Arc<ServerGate>, slot: GateSlot, sent_at: Instant) -> GateTicket {
+        GateTicket { gate, slot, sent_at, phase: TicketPhase::Sent }
     }
 
-    /// The server that the request goes to.
+    /// The server to send the request to.
     pub fn server(&self) -> &ServerName {
         self.gate.server()
     }
 
-    /// The first token, or a plain service's answer, has come. Later calls count for nothing.
+    /// Reports the first token, or the response of a service without tokens. Only the first call
+    /// counts.
     pub fn first_token(&mut self, report: &EngineReport, now: Instant) {
-        if self.phase == TicketPhase::Answering {
+        if self.phase == TicketPhase::Responding {
             return;
         }
-        self.phase = TicketPhase::Answering;
-        let ttft = now.saturating_duration_since(self.sent);
+        self.phase = TicketPhase::Responding;
+        let ttft = now.saturating_duration_since(self.sent_at);
         self.gate.first_token(&self.slot, ttft, report, now);
         self.slot.prefill_tokens = 0;
     }
 
-    /// The server refused the request for its load, and ran nothing.
+    /// Reports that the server rejected the request as overloaded without running it.
     pub fn overloaded(self, now: Instant) {
         self.gate.overloaded(now);
     }
@@ -53,6 +54,6 @@
 
 impl Drop for GateTicket {
     fn drop(&mut self) {
-        self.gate.give_back(&self.slot, Instant::now());
+        self.gate.release(&self.slot, Instant::now());
     }
 }
--- a/crates/admission/src/gate_waiter.rs
+++ b/crates/admission/src/gate_waiter.rs
@@ -1,4 +1,4 @@
-//! A request's place in a gate's queue.
+//! A queued request.
 
 use std::sync::Arc;
 
@@ -10,7 +10,7 @@
 use crate::MoveReason;
 use crate::ServerGate;
 
-/// A request's place in a gate's queue; dropping it leaves the queue.
+/// A request in a gate's queue. Dropping it removes the request from the queue.
 #[derive(Debug)]
 pub struct GateWaiter {
     gate: Arc<ServerGate>,
@@ -33,31 +33,31 @@
         GateWaiter { gate, id, priority, team, give_up, receiver }
     }
 
-    /// When the request is given up: sent later, its first token would be late.
+    /// When the request expires: if sent later, its first token would miss the deadline.
     pub fn give_up(&self) -> Instant {
         self.give_up
     }
 
-    /// Waits for the decision, at most until the request is given up.
+    /// Waits for the decision, at most until the request expires.
     ///
-    /// Dropping the future leaves the queue; a decision to send that was made just before is
-    /// dropped with it, and its room goes to the next request.
+    /// Dropping the future removes the request from the queue. If the request has already been
+    /// admitted, its ticket is dropped and the slot goes to the next request.
     pub async fn wait(mut self) -> GateOutcome {
-        let decided = tokio::time::timeout_at(self.give_up, &mut self.receiver).await;
-        if let Ok(decided) = decided {
-            return decided.unwrap_or(GateOutcome::Moved(MoveReason::Gone));
+        let decision = tokio::time::timeout_at(self.give_up, &mut self.receiver).await;
+        if let Ok(decision) = decision {
+            return decision.unwrap_or(GateOutcome::Moved(MoveReason::Gone));
         }
-        let expired = self.gate.expire(self.priority, &self.team, self.id, Instant::now());
-        if let Some(refusal) = expired {
+        let refusal = self.gate.expire(self.priority, &self.team, self.id, Instant::now());
+        if let Some(refusal) = refusal {
             return GateOutcome::Refused(refusal);
         }
-        // Another has taken it out of the queue and is about to send the decision.
+        // Another thread has removed the entry and is about to send its decision.
         (&mut self.receiver).await.unwrap_or(GateOutcome::Moved(MoveReason::Gone))
     }
 }
 
 impl Drop for GateWaiter {
     fn drop(&mut self) {
-        self.gate.abandon(self.priority, &self.team, self.id);
+        self.gate.cancel(self.priority, &self.team, self.id);
     }
 }
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -1,7 +1,8 @@
-//! Which request runs when: classes, team limits, queues, server health, retry budget, suspects.
+//! Admission control: request classes, team limits and quotas, server queues, server health, retry
+//! budget and detection of requests that crash servers.
 //!
-//! Nothing here does I/O. All types are shared by the traffic threads of one router; each holds
-//! its locks for one short step.
+//! Nothing here does I/O. All types are shared by the traffic threads of one router and hold their
+//! locks only briefly.
 
 mod adaptive_limit;
 mod case_file;
--- a/crates/admission/src/server_gate.rs
+++ b/crates/admission/src/server_gate.rs
@@ -1,4 +1,4 @@
-//! The way to one backend server.
+//! Admission gate of one backend server.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -21,17 +21,17 @@
 use crate::GateWaiter;
 use crate::MoveReason;
 use crate::gate_slot::GateSlot;
-use crate::gate_state::FirstStep;
+use crate::gate_state::EntryAction;
 use crate::gate_state::GateState;
+use crate::gate_state::QueueAction;
 use crate::gate_state::QueueDecision;
-use crate::gate_state::QueueFate;
 use crate::lock::lock;
 
-/// Limits and queue before one backend server, shared by all traffic threads of a router.
+/// Concurrency limits and queue of one backend server, shared by all traffic threads of a router.
 ///
-/// A request leaves the queue in one step under the lock, and whoever took it out holds the only
-/// means to answer it: it is sent or refused, never both, and a caller that has hung up took its
-/// request out before anybody could send it.
+/// A request is removed from the queue under the lock, and only the thread that removed it can send
+/// its decision. Each request therefore gets exactly one decision, and a request whose caller has
+/// disconnected is never sent.
 #[derive(Debug)]
 pub struct ServerGate {
     server: ServerName,
@@ -39,7 +39,7 @@
 }
 
 impl ServerGate {
-    /// An open gate before a server of which nothing is known.
+    /// An open gate with the initial limits.
     pub fn new(server: ServerName, conf: GateConf) -> Arc<ServerGate> {
         Arc::new(ServerGate { server, state: Mutex::new(GateState::new(conf)) })
     }
@@ -49,16 +49,16 @@
         &self.server
     }
 
-    /// Asks for the way to the server.
+    /// Admits, queues or rejects a request.
     pub fn enter(self: &Arc<ServerGate>, request: &GateRequest, now: Instant) -> GateEntry {
         let (sender, receiver) = oneshot::channel();
-        let (step, displaced) = lock(&self.state).enter(request, sender, now);
-        self.deliver(displaced, now);
-        match step {
-            FirstStep::Admit(slot) => GateEntry::Decided(self.admit(slot, now)),
-            FirstStep::Refuse(refusal) => GateEntry::Decided(GateOutcome::Refused(refusal)),
-            FirstStep::Move(reason) => GateEntry::Decided(GateOutcome::Moved(reason)),
-            FirstStep::Wait(id, give_up) => {
+        let (action, displaced) = lock(&self.state).enter(request, sender, now);
+        self.send_decisions(displaced, now);
+        match action {
+            EntryAction::Admit(slot) => GateEntry::Decided(self.admit(slot, now)),
+            EntryAction::Refuse(refusal) => GateEntry::Decided(GateOutcome::Refused(refusal)),
+            EntryAction::Move(reason) => GateEntry::Decided(GateOutcome::Moved(reason)),
+            EntryAction::Wait(id, give_up) => {
                 let priority = request.class.conf.priority;
                 let team = request.team.clone();
                 let gate = Arc::clone(self);
@@ -67,29 +67,29 @@
         }
     }
 
-    /// Takes nothing new from now on; all that wait are told to move at once.
+    /// Rejects new requests from now on, and moves all queued ones to other servers.
     pub fn close(self: &Arc<ServerGate>, reason: MoveReason, now: Instant) {
-        let moved = lock(&self.state).close(reason);
-        self.deliver(moved, now);
+        let decisions = lock(&self.state).close(reason);
+        self.send_decisions(decisions, now);
     }
 
-    /// Takes requests again.
+    /// Accepts requests again.
     pub fn open(&self) {
         lock(&self.state).open();
     }
 
-    /// The server has started anew: begins with the limits of an unknown server.
+    /// Resets load and limits after the server has restarted.
     pub fn restart(self: &Arc<ServerGate>, now: Instant) {
         lock(&self.state).restart();
-        self.pump(now);
+        self.dispatch(now);
     }
 
-    /// How long such a request would probably wait here; zero while nothing is known.
+    /// Estimated queueing time of such a request; zero while unknown.
     pub fn expected_wait(&self, request: &GateRequest, now: Instant) -> Duration {
         lock(&self.state).expected_wait(request, now)
     }
 
-    /// The gate's numbers now.
+    /// A snapshot of the gate's state.
     pub fn figures(&self) -> GateFigures {
         lock(&self.state).figures()
     }
@@ -102,20 +102,20 @@
         now: Instant,
     ) {
         lock(&self.state).first_token(slot, ttft, report, now);
-        self.pump(now);
+        self.dispatch(now);
     }
 
     pub(crate) fn overloaded(&self, now: Instant) {
         lock(&self.state).overloaded(now);
     }
 
-    pub(crate) fn give_back(self: &Arc<ServerGate>, slot: &GateSlot, now: Instant) {
-        lock(&self.state).give_back(slot);
-        self.pump(now);
+    pub(crate) fn release(self: &Arc<ServerGate>, slot: &GateSlot, now: Instant) {
+        lock(&self.state).release(slot);
+        self.dispatch(now);
     }
 
-    /// Takes a waiting request out and gives it up; `None` when another has decided on it. The gate
-    /// is pumped, for the one that left may have been too large for the room that others fit in.
+    /// Removes an expired request from the queue; `None` if it has already been decided on. Smaller
+    /// requests that it blocked may fit now, so they are dispatched.
     pub(crate) fn expire(
         self: &Arc<ServerGate>,
         priority: u8,
@@ -125,38 +125,38 @@
     ) -> Option<GateRefusal> {
         let refusal = {
             let mut state = lock(&self.state);
-            let entry = state.leave(priority, team, id)?;
+            let entry = state.remove(priority, team, id)?;
             state.refusal(ErrorKind::DeadlineUnmet, &entry, now)
         };
-        self.pump(now);
+        self.dispatch(now);
         Some(refusal)
     }
 
-    /// Takes a waiting request out without an answer: its caller has gone.
-    pub(crate) fn abandon(self: &Arc<ServerGate>, priority: u8, team: &TeamName, id: u64) {
-        let left = lock(&self.state).leave(priority, team, id);
-        if left.is_some() {
-            self.pump(Instant::now());
+    /// Removes a request whose caller has disconnected.
+    pub(crate) fn cancel(self: &Arc<ServerGate>, priority: u8, team: &TeamName, id: u64) {
+        let removed = lock(&self.state).remove(priority, team, id);
+        if removed.is_some() {
+            self.dispatch(Instant::now());
         }
     }
 
-    fn pump(self: &Arc<ServerGate>, now: Instant) {
-        let decisions = lock(&self.state).pump(now);
-        self.deliver(decisions, now);
+    fn dispatch(self: &Arc<ServerGate>, now: Instant) {
+        let decisions = lock(&self.state).dispatch(now);
+        self.send_decisions(decisions, now);
     }
 
-    /// Sends decisions, with the lock free: an answer whose receiver has gone drops its ticket
-    /// here, which takes the lock again.
-    fn deliver(
+    /// Sends decisions. The lock must not be held: if a receiver is gone, its ticket is dropped here,
+    /// which locks the state again.
+    fn send_decisions(
         self: &Arc<ServerGate>,
         decisions: impl IntoIterator<Item = QueueDecision>,
         now: Instant,
     ) {
         for decision in decisions {
-            let outcome = match decision.fate {
-                QueueFate::Admit(slot) => self.admit(slot, now),
-                QueueFate::Refuse(refusal) => GateOutcome::Refused(refusal),
-                QueueFate::Move(reason) => GateOutcome::Moved(reason),
+            let outcome = match decision.action {
+                QueueAction::Admit(slot) => self.admit(slot, now),
+                QueueAction::Refuse(refusal) => GateOutcome::Refused(refusal),
+                QueueAction::Move(reason) => GateOutcome::Moved(reason),
             };
             drop(decision.entry.sender.send(outcome));
         }
--- a/crates/admission/tests/gate.rs
+++ b/crates/admission/tests/gate.rs
@@ -1,4 +1,4 @@
-//! The gate before one backend server.
+//! Queueing, deadlines and fairness at the gate of one backend server.
 
 mod support;
 
@@ -33,141 +33,138 @@
     }
 }
 
-/// Who leaves the queue first, by the order in which they came.
+/// Queued requests and the order in which they are admitted.
 struct OrderCase {
     name: &'static str,
-    /// Team, priority and tokens of each that waits.
+    /// Team, priority and tokens of each request, in order of arrival.
     waiting: &'static [(&'static str, u8, u32)],
-    /// Indices in the order in which they are sent, one at a time.
+    /// Indices in the order of admission.
     order: &'static [usize],
 }
 
-const ORDERS: &[OrderCase] = &[
+const ORDER_CASES: &[OrderCase] = &[
     OrderCase {
         name: "in order of arrival within a team",
         waiting: &[("a", BATCH, 10), ("a", BATCH, 10), ("a", BATCH, 10)],
         order: &[0, 1, 2],
     },
     OrderCase {
-        name: "urgent strictly before batch",
+        name: "urgent requests strictly before batch requests",
         waiting: &[("a", BATCH, 10), ("b", BATCH, 10), ("c", URGENT, 900), ("d", URGENT, 10)],
         order: &[2, 3, 0, 1],
     },
     OrderCase {
-        name: "a team of one goes between those of a crowd",
+        name: "a single request is interleaved with those of another team",
         waiting: &[("a", BATCH, 10), ("a", BATCH, 10), ("a", BATCH, 10), ("b", BATCH, 10)],
         order: &[0, 3, 1, 2],
     },
     OrderCase {
-        name: "small prompts go together against one large prompt",
+        name: "teams are balanced by tokens, not by requests",
         waiting: &[("a", BATCH, 300), ("a", BATCH, 300), ("b", BATCH, 60), ("b", BATCH, 60)],
         order: &[0, 2, 3, 1],
     },
 ];
 
 #[tokio::test(start_paused = true)]
-async fn requests_leave_the_queue_in_order() {
-    for case in ORDERS {
-        check_order(case).await;
+async fn requests_are_admitted_in_order() {
+    for case in ORDER_CASES {
+        assert_admission_order(case).await;
     }
 }
 
-async fn check_order(case: &OrderCase) {
+async fn assert_admission_order(case: &OrderCase) {
     let gate = fixed_gate(1, 100_000);
-    let mut under_way = admitted(enter(&gate, "z", &class(URGENT, 60_000, 9), 1));
+    let mut in_flight = admitted(enter(&gate, "z", &class(URGENT, 60_000, 9), 1));
     let mut waiters = Vec::new();
     for (team, priority, tokens) in case.waiting {
         waiters.push(Some(queued(enter(&gate, team, &class(*priority, 60_000, 9), *tokens))));
     }
     for index in case.order {
-        drop(under_way);
-        assert_eq!(gate.figures().under_way, 1, "{}: one at a time", case.name);
-        let waiter = waiters[*index].take().expect("each leaves once");
-        under_way = match waiter.wait().await {
+        drop(in_flight);
+        assert_eq!(gate.figures().under_way, 1, "{}: one request in flight at a time", case.name);
+        let waiter = waiters[*index].take().expect("each request is admitted once");
+        in_flight = match waiter.wait().await {
             GateOutcome::Admitted(ticket) => ticket,
-            other => panic!("{}: {index} was not next: {other:?}", case.name),
+            other => panic!("{}: request {index} was not admitted next: {other:?}", case.name),
         };
     }
     assert_eq!(gate.figures().waiting, 0, "{}", case.name);
 }
 
-/// The caller sees a refusal at the very moment when its first token can no longer be in time.
-/// The request waits behind one that never ends; its deadline passes. It must not be held longer,
-/// and must not be sent when room comes later.
+/// A request must be refused as soon as its first token can't meet the deadline, and must not be
+/// sent when a slot becomes free later.
 #[tokio::test(start_paused = true)]
-async fn a_request_is_refused_when_its_deadline_passes_in_the_queue() {
+async fn queued_request_is_refused_at_its_deadline() {
     let gate = fixed_gate(1, 100_000);
-    let under_way = admitted(enter(&gate, "a", &class(URGENT, 1_000, 9), 1));
-    let begun = Instant::now();
+    let in_flight = admitted(enter(&gate, "a", &class(URGENT, 1_000, 9), 1));
+    let start = Instant::now();
     let waiter = queued(enter(&gate, "b", &class(URGENT, 1_000, 9), 1));
     assert_eq!(refused(waiter).await, ErrorKind::DeadlineUnmet);
-    assert_eq!(begun.elapsed(), ms(1_000));
-    drop(under_way);
+    assert_eq!(start.elapsed(), ms(1_000));
+    drop(in_flight);
     assert_eq!(gate.figures().under_way, 0);
 }
 
-/// A busy thread looks at its timers late. Room comes after a request's time and before its thread
-/// notices. The room must not go to it: its first token would be late, and others wait in time.
+/// A slot that becomes free after a request has expired, but before its timer has fired, must go to
+/// the next request.
 #[tokio::test(start_paused = true)]
-async fn room_that_comes_too_late_goes_to_the_next() {
+async fn slot_freed_after_expiry_goes_to_next_request() {
     let gate = fixed_gate(1, 100_000);
-    let under_way = admitted(enter(&gate, "a", &class(URGENT, 1_000, 9), 1));
-    let late = queued(enter(&gate, "b", &class(URGENT, 1_000, 9), 1));
+    let in_flight = admitted(enter(&gate, "a", &class(URGENT, 1_000, 9), 1));
+    let expired = queued(enter(&gate, "b", &class(URGENT, 1_000, 9), 1));
     let next = queued(enter(&gate, "c", &class(URGENT, 5_000, 9), 1));
     advance(ms(1_500)).await;
-    drop(under_way);
+    drop(in_flight);
     assert!(matches!(next.wait().await, GateOutcome::Admitted(_)));
-    assert_eq!(refused(late).await, ErrorKind::DeadlineUnmet);
+    assert_eq!(refused(expired).await, ErrorKind::DeadlineUnmet);
 }
 
-/// The caller hangs up while its request waits. Room comes afterwards. The request must not take
-/// it: it would run for nobody, and a call that may not be repeated would have its effect.
+/// A queued request whose caller has disconnected must not be sent.
 #[tokio::test(start_paused = true)]
-async fn a_caller_that_hung_up_is_never_sent() {
+async fn request_of_disconnected_caller_is_not_sent() {
     let gate = fixed_gate(1, 100_000);
-    let under_way = admitted(enter(&gate, "a", &class(URGENT, 1_000, 9), 1));
-    let gone = queued(enter(&gate, "b", &class(URGENT, 1_000, 9), 1));
+    let in_flight = admitted(enter(&gate, "a", &class(URGENT, 1_000, 9), 1));
+    let disconnected = queued(enter(&gate, "b", &class(URGENT, 1_000, 9), 1));
     let next = queued(enter(&gate, "b", &class(URGENT, 1_000, 9), 1));
-    drop(gone);
+    drop(disconnected);
     assert_eq!(gate.figures().waiting, 1);
-    drop(under_way);
+    drop(in_flight);
     assert!(matches!(next.wait().await, GateOutcome::Admitted(_)));
 }
 
-/// The caller hangs up just after its request was let through, before it knew. The room must go
-/// to the next request, or the server would keep a slot for nobody until the router restarts.
+/// If the caller disconnects after its request was admitted but before it received the decision, the
+/// slot must go to the next request and not leak.
 #[tokio::test(start_paused = true)]
-async fn room_given_to_a_caller_that_hung_up_goes_on() {
+async fn slot_of_disconnected_caller_is_released() {
     let gate = fixed_gate(1, 100_000);
-    let under_way = admitted(enter(&gate, "a", &class(URGENT, 1_000, 9), 1));
-    let gone = queued(enter(&gate, "b", &class(URGENT, 1_000, 9), 1));
+    let in_flight = admitted(enter(&gate, "a", &class(URGENT, 1_000, 9), 1));
+    let disconnected = queued(enter(&gate, "b", &class(URGENT, 1_000, 9), 1));
     let next = queued(enter(&gate, "c", &class(URGENT, 1_000, 9), 1));
-    drop(under_way);
+    drop(in_flight);
     assert_eq!(gate.figures().waiting, 1);
-    drop(gone);
+    drop(disconnected);
     assert!(matches!(next.wait().await, GateOutcome::Admitted(_)));
     assert_eq!(gate.figures().under_way, 0);
 }
 
-/// The server is ejected or leaves while requests wait for it. They must hear of it at once and
-/// go elsewhere with what is left of their deadlines; none may be sent there.
+/// Closing a gate must move all queued requests to other servers at once and admit none.
 #[tokio::test(start_paused = true)]
-async fn a_closed_gate_moves_all_that_wait() {
+async fn closing_gate_moves_queued_requests() {
     for reason in [MoveReason::Ejected, MoveReason::Leaving, MoveReason::Gone] {
         let gate = fixed_gate(1, 100_000);
-        let under_way = admitted(enter(&gate, "a", &class(URGENT, 1_000, 9), 1));
+        let in_flight = admitted(enter(&gate, "a", &class(URGENT, 1_000, 9), 1));
         let first = queued(enter(&gate, "b", &class(URGENT, 1_000, 9), 1));
         let second = queued(enter(&gate, "b", &class(BATCH, 1_000, 9), 1));
-        let begun = Instant::now();
-        gate.close(reason, begun);
-        drop(under_way);
+        let start = Instant::now();
+        gate.close(reason, start);
+        drop(in_flight);
         for waiter in [first, second] {
-            assert!(matches!(waiter.wait().await, GateOutcome::Moved(told) if told == reason));
+            assert!(matches!(waiter.wait().await, GateOutcome::Moved(actual) if actual == reason));
         }
-        assert_eq!(begun.elapsed(), ms(0));
+        assert_eq!(start.elapsed(), ms(0));
         let late = enter(&gate, "c", &class(URGENT, 1_000, 9), 1);
         assert!(
-            matches!(late, GateEntry::Decided(GateOutcome::Moved(told)) if told == reason),
+            matches!(late, GateEntry::Decided(GateOutcome::Moved(actual)) if actual == reason),
             "{late:?}"
         );
         gate.open();
@@ -175,89 +172,91 @@
     }
 }
 
-/// A crowd of one team fills the queue. A request of another team still gets a place, at the cost
-/// of the crowd's newest request, whose caller is told at once.
+/// When one team fills the queue, a request of another team displaces that team's newest request.
 #[tokio::test(start_paused = true)]
-async fn a_crowd_gives_way_when_the_queue_is_full() {
+async fn full_queue_displaces_request_of_largest_team() {
     let gate = fixed_gate(1, 100_000);
     let class = class(BATCH, 60_000, 3);
-    let under_way = admitted(enter(&gate, "crowd", &class, 1));
-    let mut crowd: Vec<_> = (0..3).map(|_| queued(enter(&gate, "crowd", &class, 1))).collect();
-    let over = enter(&gate, "crowd", &class, 1);
+    let in_flight = admitted(enter(&gate, "crowd", &class, 1));
+    let mut large_team: Vec<_> = (0..3).map(|_| queued(enter(&gate, "crowd", &class, 1))).collect();
+    let rejected = enter(&gate, "crowd", &class, 1);
     assert!(matches!(
-        over,
+        rejected,
         GateEntry::Decided(GateOutcome::Refused(refusal)) if refusal.kind == ErrorKind::QueueFull
     ));
     let other = queued(enter(&gate, "other", &class, 1));
-    let newest = crowd.pop().expect("three wait");
+    let newest = large_team.pop().expect("three requests are queued");
     assert_eq!(refused(newest).await, ErrorKind::QueueFull);
     assert_eq!(gate.figures().waiting, 3);
-    drop(under_way);
-    drop(crowd);
+    drop(in_flight);
+    drop(large_team);
     assert!(matches!(other.wait().await, GateOutcome::Admitted(_)));
 }
 
-/// The queue moves at one request in 100 ms and ten wait. A request that has 500 ms left is
-/// refused on arrival, and is told to come back when those ten will have gone.
+/// With ten requests queued at 100 ms each, a request with 500 ms left must be refused on arrival,
+/// with a retry-after that covers the rest of the queue.
 #[tokio::test(start_paused = true)]
-async fn a_deadline_that_cannot_be_met_is_refused_on_arrival() {
+async fn request_with_unmeetable_deadline_is_refused_on_arrival() {
     let gate = fixed_gate(1, 100_000);
-    let patient = class(URGENT, 60_000, 99);
-    let mut under_way = admitted(enter(&gate, "a", &patient, 0));
-    let mut waiters: Vec<_> = (0..15).map(|_| queued(enter(&gate, "a", &patient, 0))).collect();
+    let long_deadline = class(URGENT, 60_000, 99);
+    let mut in_flight = admitted(enter(&gate, "a", &long_deadline, 0));
+    let mut waiters: Vec<_> =
+        (0..15).map(|_| queued(enter(&gate, "a", &long_deadline, 0))).collect();
     for waiter in waiters.drain(..5) {
         advance(ms(100)).await;
-        drop(under_way);
-        under_way = match waiter.wait().await {
+        drop(in_flight);
+        in_flight = match waiter.wait().await {
             GateOutcome::Admitted(ticket) => ticket,
-            other => panic!("not next: {other:?}"),
+            other => panic!("not admitted next: {other:?}"),
         };
     }
-    let hasty = enter(&gate, "a", &class(URGENT, 500, 99), 0);
-    let GateEntry::Decided(GateOutcome::Refused(refusal)) = hasty else {
-        panic!("not refused: {hasty:?}");
+    let short_deadline = enter(&gate, "a", &class(URGENT, 500, 99), 0);
+    let GateEntry::Decided(GateOutcome::Refused(refusal)) = short_deadline else {
+        panic!("not refused: {short_deadline:?}");
     };
     assert_eq!(refusal.kind, ErrorKind::DeadlineUnmet);
     assert!(refusal.retry_after >= ms(550) && refusal.retry_after <= ms(650), "{refusal:?}");
     let other = enter(&gate, "b", &class(URGENT, 500, 99), 0);
-    assert!(matches!(other, GateEntry::Queued(_)), "another team does not wait behind the crowd");
+    assert!(matches!(other, GateEntry::Queued(_)), "another team must not wait behind the first");
 }
 
-/// Another team keeps coming and takes every second turn, though little of it waits at any moment.
-/// A request of the team that waits longer is refused on arrival by its own team's pace; by the
-/// queue alone its deadline would seem in reach, and it would wait in vain.
+/// The expected wait must follow the throughput of the request's own team: when another team takes
+/// every second slot, the length of the queue alone underestimates it.
 #[tokio::test(start_paused = true)]
-async fn a_team_is_judged_by_its_own_pace() {
+async fn expected_wait_follows_team_throughput() {
     let gate = fixed_gate(1, 100_000);
-    let patient = class(BATCH, 60_000, 99);
-    let mut under_way = Some(admitted(enter(&gate, "z", &patient, 0)));
-    let (sender, mut granted) = tokio::sync::mpsc::unbounded_channel();
-    let wait = |team: &'static str| {
-        let (waiter, sender) = (queued(enter(&gate, team, &patient, 0)), sender.clone());
+    let long_deadline = class(BATCH, 60_000, 99);
+    let mut in_flight = Some(admitted(enter(&gate, "z", &long_deadline, 0)));
+    let (sender, mut decisions) = tokio::sync::mpsc::unbounded_channel();
+    let enqueue = |team: &'static str| {
+        let (waiter, sender) = (queued(enter(&gate, team, &long_deadline, 0)), sender.clone());
         tokio::spawn(async move { sender.send((team, waiter.wait().await)) });
     };
-    (0..12).for_each(|_| wait("long"));
-    wait("other");
+    (0..12).for_each(|_| enqueue("long"));
+    enqueue("other");
     for _ in 0..12 {
         advance(ms(100)).await;
-        drop(under_way.take());
-        let (team, outcome) = granted.recv().await.expect("one is next");
-        let GateOutcome::Admitted(ticket) = outcome else { panic!("not sent") };
-        under_way = Some(ticket);
+        drop(in_flight.take());
+        let (team, outcome) = decisions.recv().await.expect("a request is decided");
+        let GateOutcome::Admitted(ticket) = outcome else { panic!("not admitted") };
+        in_flight = Some(ticket);
         if team == "other" {
-            wait("other");
+            enqueue("other");
         }
     }
-    // Six of its own are left, and six turns of the other team will come between them.
-    let hasty = enter(&gate, "long", &class(BATCH, 1_000, 99), 0);
-    assert!(matches!(hasty, GateEntry::Decided(GateOutcome::Refused(_))), "{hasty:?}");
+    // Six requests of this team are left, interleaved with six of the other team.
+    let short_deadline = enter(&gate, "long", &class(BATCH, 1_000, 99), 0);
+    assert!(
+        matches!(short_deadline, GateEntry::Decided(GateOutcome::Refused(_))),
+        "{short_deadline:?}"
+    );
     queued(enter(&gate, "other", &class(BATCH, 1_000, 99), 0));
 }
 
-/// A server restarts with two requests under way. Their tickets end later; they must not free
-/// room that they no longer take, or the fresh server would get more than its limit.
+/// Tickets issued before a server restart must not release slots of the restarted server, which
+/// would exceed its limit.
 #[tokio::test(start_paused = true)]
-async fn tickets_of_the_last_incarnation_free_nothing() {
+async fn tickets_from_before_restart_release_nothing() {
     let gate = fixed_gate(2, 100_000);
     let class = class(URGENT, 1_000, 9);
     let old: Vec<_> = (0..2).map(|_| admitted(enter(&gate, "a", &class, 5))).collect();
@@ -268,38 +267,37 @@
     queued(enter(&gate, "a", &class, 5));
 }
 
-/// A team sends small requests one by one, beside another's large ones, and then many at once. It
-/// must not have saved up turns while it had little to send.
+/// A team must not accumulate credit in fair queueing while it has few requests queued.
 #[tokio::test(start_paused = true)]
-async fn a_team_saves_nothing_up() {
+async fn team_accumulates_no_credit() {
     let gate = fixed_gate(1, 100_000);
     let class = class(BATCH, 3_600_000, 99);
-    let mut under_way = admitted(enter(&gate, "z", &class, 1));
-    let (sender, mut granted) = tokio::sync::mpsc::unbounded_channel();
-    let wait = |team: &'static str, tokens: u32| {
+    let mut in_flight = admitted(enter(&gate, "z", &class, 1));
+    let (sender, mut decisions) = tokio::sync::mpsc::unbounded_channel();
+    let enqueue = |team: &'static str, tokens: u32| {
         let (waiter, sender) = (queued(enter(&gate, team, &class, tokens)), sender.clone());
         tokio::spawn(async move { sender.send((team, waiter.wait().await)) });
     };
-    (0..20).for_each(|_| wait("large", 900));
-    wait("small", 36);
-    let mut run = 0;
-    let mut longest = 0;
+    (0..20).for_each(|_| enqueue("large", 900));
+    enqueue("small", 36);
+    let mut consecutive = 0;
+    let mut max_consecutive = 0;
     for round in 0..40 {
-        drop(under_way);
-        let (team, outcome) = granted.recv().await.expect("one is next");
-        let GateOutcome::Admitted(ticket) = outcome else { panic!("not sent") };
-        under_way = ticket;
-        run = if team == "small" { run + 1 } else { 0 };
-        longest = longest.max(run);
+        drop(in_flight);
+        let (team, outcome) = decisions.recv().await.expect("a request is decided");
+        let GateOutcome::Admitted(ticket) = outcome else { panic!("not admitted") };
+        in_flight = ticket;
+        consecutive = if team == "small" { consecutive + 1 } else { 0 };
+        max_consecutive = max_consecutive.max(consecutive);
         if team == "small" && round < 10 {
-            wait("small", 36);
+            enqueue("small", 36);
         }
         if round == 10 {
-            (0..60).for_each(|_| wait("small", 36));
+            (0..60).for_each(|_| enqueue("small", 36));
         }
     }
     assert!(
-        longest <= 10,
-        "a quantum of 964 is worth nine of 100, and one for the rest: {longest}"
+        max_consecutive <= 10,
+        "one quantum of 964 covers at most ten requests of 100: {max_consecutive}"
     );
 }
--- a/crates/admission/tests/gate_limits.rs
+++ b/crates/admission/tests/gate_limits.rs
@@ -1,4 +1,4 @@
-//! How much a gate lets through at a time.
+//! Concurrency limits of a gate.
 
 mod support;
 
@@ -29,25 +29,25 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn prompts_wait_for_prefill_room_and_a_large_one_runs_alone() {
+async fn prompt_above_token_limit_runs_alone() {
     let gate = fixed_gate(9, 1_000);
     let class = class(URGENT, 1_000, 9);
     let mut large = admitted(enter(&gate, "a", &class, 5_000));
     let small = queued(enter(&gate, "b", &class, 10));
     large.first_token(&EngineReport::default(), Instant::now());
     let GateOutcome::Admitted(_small) = small.wait().await else {
-        panic!("the large prompt no longer waits for prefill");
+        panic!("not admitted after the large prompt was prefilled");
     };
     assert_eq!(gate.figures().under_way, 2);
     assert_eq!(gate.figures().prefill_tokens, 10);
 }
 
-/// A large prompt waits for room that smaller ones of other teams would fit in, and is given up.
-/// Those behind it must go at once, not when the next answer happens to come.
+/// When a large request that blocks the queue expires, smaller requests behind it must be admitted
+/// at once, not with the next response.
 #[tokio::test(start_paused = true)]
-async fn those_behind_a_large_prompt_go_when_it_is_given_up() {
+async fn expired_large_request_unblocks_smaller_ones() {
     let gate = fixed_gate(9, 1_000);
-    let _under_way = admitted(enter(&gate, "a", &class(URGENT, 60_000, 9), 900));
+    let _in_flight = admitted(enter(&gate, "a", &class(URGENT, 60_000, 9), 900));
     let large = queued(enter(&gate, "b", &class(URGENT, 1_000, 9), 500));
     let small = queued(enter(&gate, "c", &class(URGENT, 5_000, 9), 50));
     let GateOutcome::Refused(refusal) = large.wait().await else { panic!("not refused") };
@@ -56,10 +56,9 @@
     assert!(matches!(small.wait().await, GateOutcome::Admitted(_)));
 }
 
-/// Batch work and one crowded team leave some of a server free, since what runs can't be
-/// overtaken.
+/// Non-urgent requests and each single team must leave a share of the limits free for others.
 #[tokio::test(start_paused = true)]
-async fn a_part_of_the_limit_stays_free_for_others() {
+async fn limits_reserve_share_for_other_requests() {
     let conf = GateConf { first_requests: 10, ..GateConf::engine() };
     let gate = ServerGate::new(ServerName::new("engine-1"), conf);
     let (urgent, batch) = (class(URGENT, 1_000, 99), class(BATCH, 1_000, 99));
@@ -70,63 +69,62 @@
         }
         tickets
     };
-    let lesser = fill("a", &batch);
-    assert_eq!(lesser.len(), 8);
-    let crowd = fill("a", &urgent);
-    assert_eq!(crowd.len(), 1);
+    let non_urgent = fill("a", &batch);
+    assert_eq!(non_urgent.len(), 8);
+    let urgent_of_same_team = fill("a", &urgent);
+    assert_eq!(urgent_of_same_team.len(), 1);
     assert_eq!(fill("b", &urgent).len(), 1);
 }
 
-/// How limits move with what answers report.
+/// Reported queue and offered load, and how the request limit must change.
 struct LimitCase {
     name: &'static str,
-    /// Prompt tokens waiting at the server, as each answer reports.
+    /// Prompt tokens queued at the server, as reported by each response.
     queue_tokens: u32,
-    /// Whether more requests come than fit.
-    pressed: Pressed,
+    load: OfferedLoad,
     expected: Ordering,
 }
 
 #[derive(Clone, Copy, PartialEq)]
-enum Pressed {
-    Yes,
-    No,
+enum OfferedLoad {
+    AboveLimit,
+    BelowLimit,
 }
 
 #[tokio::test(start_paused = true)]
-async fn limits_follow_reports() {
+async fn limits_follow_reported_queue() {
     let cases = [
         LimitCase {
-            name: "idle",
+            name: "no load, empty queue",
             queue_tokens: 0,
-            pressed: Pressed::No,
+            load: OfferedLoad::BelowLimit,
             expected: Ordering::Equal,
         },
         LimitCase {
-            name: "room left",
+            name: "saturated, empty queue",
             queue_tokens: 0,
-            pressed: Pressed::Yes,
+            load: OfferedLoad::AboveLimit,
             expected: Ordering::Greater,
         },
         LimitCase {
-            name: "full",
+            name: "saturated, long queue",
             queue_tokens: 40_000,
-            pressed: Pressed::Yes,
+            load: OfferedLoad::AboveLimit,
             expected: Ordering::Less,
         },
         LimitCase {
-            name: "others",
+            name: "no load, long queue of other routers",
             queue_tokens: 40_000,
-            pressed: Pressed::No,
+            load: OfferedLoad::BelowLimit,
             expected: Ordering::Less,
         },
     ];
     for case in &cases {
-        check_limit(case).await;
+        assert_limit_change(case).await;
     }
 }
 
-async fn check_limit(case: &LimitCase) {
+async fn assert_limit_change(case: &LimitCase) {
     let conf = GateConf { first_requests: 4, ..GateConf::engine() };
     let gate = ServerGate::new(ServerName::new("engine-1"), conf);
     let class = class(URGENT, 10_000, 99);
@@ -134,8 +132,8 @@
         let team = format!("team-{round}");
         let mut ticket = admitted(enter(&gate, &team, &class, 400));
         let mut others = Vec::new();
-        let crowd = if case.pressed == Pressed::Yes { 99 } else { 0 };
-        for other in 0..crowd {
+        let count = if case.load == OfferedLoad::AboveLimit { 99 } else { 0 };
+        for other in 0..count {
             let entry = enter(&gate, &format!("other-{other}"), &class, 0);
             if let GateEntry::Decided(GateOutcome::Admitted(ticket)) = entry {
                 others.push(ticket);
--- a/crates/admission/tests/gate_properties.rs
+++ b/crates/admission/tests/gate_properties.rs
@@ -1,4 +1,4 @@
-//! What holds at a gate whatever comes in whatever order.
+//! Property tests of a gate: random interleavings of requests, completions and disconnects.
 
 mod support;
 
@@ -32,244 +32,266 @@
 const TOKENS_LIMIT: u32 = 1_000;
 const QUEUE_LIMIT: usize = 6;
 
-/// One request and all that its caller ever heard.
-struct Asked {
+/// One request and all decisions that its caller received.
+struct TrackedRequest {
     priority: u8,
-    /// Each decision, in the order in which they came; a ticket is kept until the request ends.
-    heard: Arc<Mutex<Vec<Heard>>>,
+    /// Decisions in the order received. The ticket is held until the request completes.
+    decisions: Arc<Mutex<Vec<Decision>>>,
     waiting: Option<JoinHandle<()>>,
     deadline: Instant,
-    /// Whether its decision was there at the last check.
+    /// Whether it was decided at the previous check.
     was_decided: bool,
 }
 
-enum Heard {
+enum Decision {
     Sent(Option<GateTicket>, u32),
     Refused(Instant),
     Moved,
 }
 
-/// A gate, what was asked of it, and what is checked after each step.
-struct GateWorld {
+/// A gate, its requests and the violated invariants found so far.
+struct GateSimulation {
     gate: Arc<ServerGate>,
     classes: [Arc<ClassConf>; 2],
-    asked: Vec<Asked>,
-    faults: Vec<String>,
+    requests: Vec<TrackedRequest>,
+    violations: Vec<String>,
 }
 
-impl GateWorld {
-    fn new() -> GateWorld {
-        GateWorld {
+impl GateSimulation {
+    fn new() -> GateSimulation {
+        GateSimulation {
             gate: fixed_gate(REQUESTS_LIMIT, TOKENS_LIMIT),
             classes: [class(URGENT, 400, QUEUE_LIMIT), class(BATCH, 2_000, QUEUE_LIMIT)],
-            asked: Vec::new(),
-            faults: Vec::new(),
+            requests: Vec::new(),
+            violations: Vec::new(),
         }
     }
 
-    async fn step(&mut self, dice: &mut Dice) {
-        let urgent_before = self.waiting(URGENT);
-        match dice.below(12) {
-            0..5 => self.enter(dice),
-            5..8 => self.end_one(dice),
-            8 => self.first_token(dice),
-            9 => self.hang_up(dice),
-            10 if dice.below(6) == 0 => self.close_and_open(),
-            _ => sleep(ms(dice.below(300) as u64)).await,
+    async fn step(&mut self, rng: &mut Dice) {
+        let urgent_queued_before = self.waiting(URGENT);
+        match rng.below(12) {
+            0..5 => self.enter(rng),
+            5..8 => self.complete_random(rng),
+            8 => self.first_token(rng),
+            9 => self.disconnect_random(rng),
+            10 if rng.below(6) == 0 => self.close_and_reopen(),
+            _ => sleep(ms(rng.below(300) as u64)).await,
         }
         for _ in 0..4 {
             yield_now().await;
         }
-        self.check(&urgent_before);
+        self.check(&urgent_queued_before);
     }
 
-    fn enter(&mut self, dice: &mut Dice) {
-        let team = ["crowd", "crowd", "crowd", "other", "third"][dice.below(5)];
-        let class = &self.classes[dice.below(2)];
-        let tokens = [0, 10, 300, 900, 5_000][dice.below(5)];
+    fn enter(&mut self, rng: &mut Dice) {
+        let team = ["crowd", "crowd", "crowd", "other", "third"][rng.below(5)];
+        let class = &self.classes[rng.below(2)];
+        let tokens = [0, 10, 300, 900, 5_000][rng.below(5)];
         let request = request(team, class, tokens);
-        let heard = Arc::new(Mutex::new(Vec::new()));
+        let decisions = Arc::new(Mutex::new(Vec::new()));
         let mut waiting = None;
         match self.gate.enter(&request, Instant::now()) {
-            GateEntry::Decided(outcome) => heard.lock().unwrap().push(hear(outcome, tokens)),
+            GateEntry::Decided(outcome) => decisions.lock().unwrap().push(record(outcome, tokens)),
             GateEntry::Queued(waiter) => {
-                let told = Arc::clone(&heard);
+                let decisions = Arc::clone(&decisions);
                 waiting = Some(tokio::spawn(async move {
                     let outcome = waiter.wait().await;
-                    told.lock().unwrap().push(hear(outcome, tokens));
+                    decisions.lock().unwrap().push(record(outcome, tokens));
                 }));
             }
         }
         let (priority, deadline) = (class.priority, request.class.deadline);
-        self.asked.push(Asked { priority, heard, waiting, deadline, was_decided: false });
+        self.requests.push(TrackedRequest {
+            priority,
+            decisions,
+            waiting,
+            deadline,
+            was_decided: false,
+        });
     }
 
-    /// One of the requests under way ends.
-    fn end_one(&mut self, dice: &mut Dice) {
-        let under_way: Vec<usize> =
-            (0..self.asked.len()).filter(|index| self.asked[*index].is_under_way()).collect();
-        if !under_way.is_empty() {
-            let asked = &self.asked[under_way[dice.below(under_way.len())]];
-            asked.with_ticket(|ticket, _| *ticket = None);
+    /// Completes a random in-flight request.
+    fn complete_random(&mut self, rng: &mut Dice) {
+        let in_flight: Vec<usize> =
+            (0..self.requests.len()).filter(|index| self.requests[*index].is_in_flight()).collect();
+        if !in_flight.is_empty() {
+            let request = &self.requests[in_flight[rng.below(in_flight.len())]];
+            request.with_ticket(|ticket, _| *ticket = None);
         }
     }
 
-    fn first_token(&mut self, dice: &mut Dice) {
-        let under_way: Vec<&Asked> =
-            self.asked.iter().filter(|asked| asked.is_under_way()).collect();
-        if !under_way.is_empty() {
-            under_way[dice.below(under_way.len())].with_ticket(|ticket, tokens| {
+    fn first_token(&mut self, rng: &mut Dice) {
+        let in_flight: Vec<&TrackedRequest> =
+            self.requests.iter().filter(|request| request.is_in_flight()).collect();
+        if !in_flight.is_empty() {
+            in_flight[rng.below(in_flight.len())].with_ticket(|ticket, tokens| {
                 *tokens = 0;
-                let ticket = ticket.as_mut().expect("under way");
+                let ticket = ticket.as_mut().expect("in flight");
                 ticket.first_token(&EngineReport::default(), Instant::now());
             });
         }
     }
 
-    fn hang_up(&mut self, dice: &mut Dice) {
+    fn disconnect_random(&mut self, rng: &mut Dice) {
         let waiting: Vec<usize> =
-            (0..self.asked.len()).filter(|index| self.asked[*index].waits()).collect();
+            (0..self.requests.len()).filter(|index| self.requests[*index].is_waiting()).collect();
         if !waiting.is_empty() {
-            let asked = &mut self.asked[waiting[dice.below(waiting.len())]];
-            asked.waiting.take().expect("waits").abort();
+            let request = &mut self.requests[waiting[rng.below(waiting.len())]];
+            request.waiting.take().expect("is waiting").abort();
         }
     }
 
-    fn close_and_open(&mut self) {
+    fn close_and_reopen(&mut self) {
         self.gate.close(MoveReason::Ejected, Instant::now());
         self.gate.open();
     }
 
-    /// Indices of those that wait.
+    /// Indices of the queued requests of this priority.
     fn waiting(&self, priority: u8) -> Vec<usize> {
-        let waits =
-            |index: &usize| self.asked[*index].waits() && self.asked[*index].priority == priority;
-        (0..self.asked.len()).filter(waits).collect()
+        let is_waiting = |index: &usize| {
+            self.requests[*index].is_waiting() && self.requests[*index].priority == priority
+        };
+        (0..self.requests.len()).filter(is_waiting).collect()
     }
 
-    fn check(&mut self, urgent_before: &[usize]) {
+    fn check(&mut self, urgent_queued_before: &[usize]) {
         let figures = self.gate.figures();
-        let under_way = self.asked.iter().filter(|asked| asked.is_under_way()).count();
+        let in_flight = self.requests.iter().filter(|request| request.is_in_flight()).count();
         let waiting = self.waiting(URGENT).len() + self.waiting(BATCH).len();
-        let tokens: u32 = self.asked.iter().map(Asked::prefill).sum();
-        let large = self.asked.iter().filter(|asked| asked.prefill() > 0).count() <= 1;
-        let overtaken = urgent_before.iter().any(|index| self.asked[*index].waits());
-        let batch_sent = self.asked.iter().any(Asked::is_new_batch);
+        let tokens: u32 = self.requests.iter().map(TrackedRequest::prefill_tokens).sum();
+        let at_most_one_in_prefill =
+            self.requests.iter().filter(|request| request.prefill_tokens() > 0).count() <= 1;
+        let urgent_still_queued =
+            urgent_queued_before.iter().any(|index| self.requests[*index].is_waiting());
+        let batch_sent = self.requests.iter().any(TrackedRequest::is_newly_sent_batch);
         let checks = [
-            ("as many under way as hold tickets", figures.under_way as usize == under_way),
-            ("none lost in the queue", figures.waiting == waiting),
-            ("request limit", figures.under_way <= REQUESTS_LIMIT),
-            ("token limit, but for one alone", tokens <= TOKENS_LIMIT || large),
-            ("queue limit of urgent", self.waiting(URGENT).len() <= QUEUE_LIMIT),
-            ("queue limit of batch", self.waiting(BATCH).len() <= QUEUE_LIMIT),
-            ("one decision each", self.asked.iter().all(|asked| asked.decisions() <= 1)),
-            ("refused by the deadline", self.asked.iter().all(Asked::is_in_time)),
-            ("urgent before batch", !(overtaken && batch_sent)),
+            ("in-flight count equals tickets held", figures.under_way as usize == in_flight),
+            ("queue length equals callers waiting", figures.waiting == waiting),
+            ("request limit holds", figures.under_way <= REQUESTS_LIMIT),
+            (
+                "token limit holds, except for a single large request",
+                tokens <= TOKENS_LIMIT || at_most_one_in_prefill,
+            ),
+            ("urgent queue limit holds", self.waiting(URGENT).len() <= QUEUE_LIMIT),
+            ("batch queue limit holds", self.waiting(BATCH).len() <= QUEUE_LIMIT),
+            (
+                "at most one decision per request",
+                self.requests.iter().all(|request| request.decision_count() <= 1),
+            ),
+            (
+                "decided by the deadline",
+                self.requests.iter().all(TrackedRequest::is_decided_in_time),
+            ),
+            ("urgent requests before batch requests", !(urgent_still_queued && batch_sent)),
         ];
         let failed = checks.iter().filter(|(_, holds)| !holds);
-        self.faults.extend(failed.map(|(name, _)| (*name).to_owned()));
-        for asked in &mut self.asked {
-            asked.was_decided = asked.decisions() > 0;
+        self.violations.extend(failed.map(|(name, _)| (*name).to_owned()));
+        for request in &mut self.requests {
+            request.was_decided = request.decision_count() > 0;
         }
     }
 }
 
-fn hear(outcome: GateOutcome, tokens: u32) -> Heard {
+fn record(outcome: GateOutcome, tokens: u32) -> Decision {
     match outcome {
-        GateOutcome::Admitted(ticket) => Heard::Sent(Some(ticket), tokens),
-        GateOutcome::Refused(_) => Heard::Refused(Instant::now()),
-        GateOutcome::Moved(_) => Heard::Moved,
+        GateOutcome::Admitted(ticket) => Decision::Sent(Some(ticket), tokens),
+        GateOutcome::Refused(_) => Decision::Refused(Instant::now()),
+        GateOutcome::Moved(_) => Decision::Moved,
     }
 }
 
-impl Asked {
-    fn waits(&self) -> bool {
-        self.waiting.is_some() && self.decisions() == 0
+impl TrackedRequest {
+    fn is_waiting(&self) -> bool {
+        self.waiting.is_some() && self.decision_count() == 0
     }
 
-    fn decisions(&self) -> usize {
-        self.heard.lock().unwrap().len()
+    fn decision_count(&self) -> usize {
+        self.decisions.lock().unwrap().len()
     }
 
-    fn is_under_way(&self) -> bool {
-        matches!(self.heard.lock().unwrap().first(), Some(Heard::Sent(Some(_), _)))
+    fn is_in_flight(&self) -> bool {
+        matches!(self.decisions.lock().unwrap().first(), Some(Decision::Sent(Some(_), _)))
     }
 
     fn with_ticket(&self, act: impl FnOnce(&mut Option<GateTicket>, &mut u32)) {
-        if let Some(Heard::Sent(ticket, tokens)) = self.heard.lock().unwrap().first_mut() {
+        if let Some(Decision::Sent(ticket, tokens)) = self.decisions.lock().unwrap().first_mut() {
             act(ticket, tokens);
         }
     }
 
-    /// Tokens of this request that wait for prefill.
-    fn prefill(&self) -> u32 {
-        match self.heard.lock().unwrap().first() {
-            Some(Heard::Sent(Some(_), tokens)) => *tokens,
+    /// Tokens that wait for prefill.
+    fn prefill_tokens(&self) -> u32 {
+        match self.decisions.lock().unwrap().first() {
+            Some(Decision::Sent(Some(_), tokens)) => *tokens,
             _ => 0,
         }
     }
 
-    fn is_new_batch(&self) -> bool {
-        self.priority == BATCH && self.is_under_way() && !self.was_decided
+    fn is_newly_sent_batch(&self) -> bool {
+        self.priority == BATCH && self.is_in_flight() && !self.was_decided
     }
 
-    fn is_in_time(&self) -> bool {
-        let refused = match self.heard.lock().unwrap().first() {
-            Some(Heard::Refused(at)) => Some(*at),
+    fn is_decided_in_time(&self) -> bool {
+        let refused = match self.decisions.lock().unwrap().first() {
+            Some(Decision::Refused(at)) => Some(*at),
             _ => None,
         };
-        let until = refused.or(self.waits().then(Instant::now));
-        // Timers go by whole milliseconds.
-        until.is_none_or(|until| until <= self.deadline + ms(1))
+        let decided_at = refused.or(self.is_waiting().then(Instant::now));
+        // Tokio timers have millisecond resolution.
+        decided_at.is_none_or(|decided_at| decided_at <= self.deadline + ms(1))
     }
 }
 
-/// Requests of three teams and two classes come, end, hang up and wait in any order, and now and
-/// then the gate closes. Each caller that stays hears one decision, by its deadline.
+/// Whatever the order of arrivals, completions, disconnects and closings of the gate, each waiting
+/// caller must receive exactly one decision, by its deadline.
 #[test]
-fn each_request_is_sent_or_refused_once_and_in_order() {
+fn each_request_gets_one_decision_in_order() {
     fn check(seed: u64) -> Result<(), String> {
         paused(async move {
-            let mut world = GateWorld::new();
-            let mut dice = Dice(seed);
+            let mut simulation = GateSimulation::new();
+            let mut rng = Dice(seed);
             for _ in 0..400 {
-                world.step(&mut dice).await;
+                simulation.step(&mut rng).await;
             }
             sleep(ms(2_001)).await;
-            while world.asked.iter().any(Asked::is_under_way) {
-                world.end_one(&mut dice);
+            while simulation.requests.iter().any(TrackedRequest::is_in_flight) {
+                simulation.complete_random(&mut rng);
                 yield_now().await;
             }
             sleep(ms(1)).await;
-            let left = world.asked.iter().filter(|asked| asked.waits()).count();
+            let left = simulation.requests.iter().filter(|request| request.is_waiting()).count();
             if left > 0 {
-                world.faults.push(format!("{left} left without a decision"));
+                simulation.violations.push(format!("{left} requests without a decision"));
+            }
+            simulation.violations.dedup();
+            if simulation.violations.is_empty() {
+                Ok(())
+            } else {
+                Err(format!("{:?}", simulation.violations))
             }
-            world.faults.dedup();
-            if world.faults.is_empty() { Ok(()) } else { Err(format!("{:?}", world.faults)) }
         })
     }
     let check = check as fn(_) -> _;
     QuickCheck::new().rng(Gen::from_size_and_seed(100, 45)).tests(100).quickcheck(check);
 }
 
-/// Teams that always have requests waiting get equal shares of the tokens, whatever their sizes:
-/// no two differ by more than two of the largest prompts.
+/// Backlogged teams must get equal shares of the tokens whatever their prompt sizes: the difference
+/// stays within two of the largest prompts.
 #[test]
-fn crowded_teams_share_evenly() {
+fn backlogged_teams_get_equal_token_shares() {
     const TEAMS: usize = 5;
     const LARGEST: usize = 800;
     fn check(seed: u64) -> bool {
         paused(async move {
             let gate = fixed_gate(1, 10_000);
             let class = class(BATCH, 3_600_000, 10_000);
-            let mut dice = Dice(seed);
-            let mut under_way = admitted(gate.enter(&request("z", &class, 1), Instant::now()));
-            let (sender, mut granted) = tokio::sync::mpsc::unbounded_channel();
+            let mut rng = Dice(seed);
+            let mut in_flight = admitted(gate.enter(&request("z", &class, 1), Instant::now()));
+            let (sender, mut decisions) = tokio::sync::mpsc::unbounded_channel();
             for _ in 0..200 {
                 for team in 0..TEAMS {
-                    // The first team sends small prompts only, and the last one large ones.
-                    let tokens = (1 + dice.below(LARGEST * (team + 1) / TEAMS)) as u32;
+                    // The maximum prompt size grows with the team's index.
+                    let tokens = (1 + rng.below(LARGEST * (team + 1) / TEAMS)) as u32;
                     let entry =
                         gate.enter(&request(&format!("{team}"), &class, tokens), Instant::now());
                     let (waiter, sender) = (support::queued(entry), sender.clone());
@@ -278,14 +300,14 @@
             }
             yield_now().await;
             let mut served = [0_i64; TEAMS];
-            // As long as even the team with the smallest prompts has some left.
+            // Stop before the team with the smallest prompts runs out of requests.
             while served[0] < 10_000 {
-                drop(under_way);
-                let (team, tokens, outcome) = granted.recv().await.expect("one is next");
+                drop(in_flight);
+                let (team, tokens, outcome) = decisions.recv().await.expect("a request is decided");
                 let GateOutcome::Admitted(ticket) = outcome else {
                     return false;
                 };
-                under_way = ticket;
+                in_flight = ticket;
                 served[team] += i64::from(tokens) + 64;
             }
             let spread = served.iter().max().unwrap() - served.iter().min().unwrap();
@@ -298,27 +320,26 @@
         .quickcheck(check as fn(_) -> _);
 }
 
-/// Four traffic threads share a gate. Each enters, waits a little and hangs up, or runs and ends.
-/// Under no interleaving may more run than the limit, nor room be lost.
+/// When several threads share a gate, the request limit must hold and no slot may leak.
 #[test]
-fn threads_share_a_gate() {
+fn concurrent_threads_respect_request_limit() {
     use std::sync::atomic::AtomicU32;
     use std::sync::atomic::Ordering;
     let gate = fixed_gate(REQUESTS_LIMIT, 1_000_000);
-    let (running, most) = (AtomicU32::new(0), AtomicU32::new(0));
+    let (running, max_running) = (AtomicU32::new(0), AtomicU32::new(0));
     std::thread::scope(|scope| {
         for thread in 0..4 {
-            let (gate, running, most) = (&gate, &running, &most);
+            let (gate, running, max_running) = (&gate, &running, &max_running);
             scope.spawn(move || {
                 let class = class(URGENT, 600_000, 100);
                 let mut builder = tokio::runtime::Builder::new_current_thread();
                 let runtime = builder.enable_time().build().expect("a runtime");
-                let mut dice = Dice(thread);
+                let mut rng = Dice(thread);
                 for _ in 0..3_000 {
                     let entry = gate.enter(&request("a", &class, 1), Instant::now());
                     let outcome = match entry {
                         GateEntry::Decided(outcome) => outcome,
-                        GateEntry::Queued(waiter) if dice.below(3) == 0 => {
+                        GateEntry::Queued(waiter) if rng.below(3) == 0 => {
                             drop(waiter);
                             continue;
                         }
@@ -327,7 +348,8 @@
                     let GateOutcome::Admitted(ticket) = outcome else {
                         panic!("not admitted: {outcome:?}");
                     };
-                    most.fetch_max(running.fetch_add(1, Ordering::SeqCst) + 1, Ordering::SeqCst);
+                    max_running
+                        .fetch_max(running.fetch_add(1, Ordering::SeqCst) + 1, Ordering::SeqCst);
                     std::thread::yield_now();
                     running.fetch_sub(1, Ordering::SeqCst);
                     drop(ticket);
@@ -335,7 +357,7 @@
             });
         }
     });
-    assert!(most.into_inner() <= REQUESTS_LIMIT);
+    assert!(max_running.into_inner() <= REQUESTS_LIMIT);
     assert_eq!(gate.figures().under_way, 0);
     assert_eq!(gate.figures().waiting, 0);
 }
