--- a/crates/admission/src/health_book.rs
+++ b/crates/admission/src/health_book.rs
@@ -1,4 +1,4 @@
-//! The health of all servers.
+//! Health of all servers.
 
 use std::sync::Mutex;
 
@@ -17,59 +17,59 @@
 use crate::server_health::HealthStep;
 use crate::server_health::ServerHealth;
 
-/// Leaving incarnations of servers that are not in the configuration that are remembered.
-const MOST_MARKS: usize = 4_096;
+/// Maximum number of servers for which a leaving incarnation is remembered.
+const MAX_LEAVING: usize = 4_096;
 
-/// The health of all servers, with a floor: however many fail, a share of each zone's servers of a
-/// pool stays in use, for a fault of the router or of the network can make all look dead.
+/// Health of all servers. A minimum share of each zone's servers of a pool is never ejected, because
+/// a fault of the router or the network can make all servers appear to fail.
 #[derive(Debug)]
 pub struct HealthBook {
     conf: HealthConf,
-    state: Mutex<BookState>,
+    state: Mutex<HealthState>,
 }
 
 #[derive(Debug, Default)]
-struct BookState {
-    servers: IndexMap<ServerName, BookRow>,
-    /// Incarnations that leave, also of servers that are not configured or not met yet: a server
-    /// that is taken out and put back must not come back to life.
-    marks: IndexMap<ServerName, Incarnation>,
+struct HealthState {
+    servers: IndexMap<ServerName, HealthEntry>,
+    /// Newest leaving incarnation of each server, configured or not, so that removing a server from
+    /// the configuration and adding it again doesn't put a leaving incarnation back into use.
+    leaving: IndexMap<ServerName, Incarnation>,
 }
 
 #[derive(Debug)]
-struct BookRow {
+struct HealthEntry {
     spot: ServerSpot,
     health: ServerHealth,
 }
 
 impl HealthBook {
-    /// No servers yet.
+    /// Creates a registry without servers.
     pub fn new(conf: HealthConf) -> HealthBook {
         HealthBook { conf, state: Mutex::default() }
     }
 
-    /// Takes over the servers of a configuration; what is known of those that stay is kept.
+    /// Replaces the configured servers, keeping the health of those that remain.
     pub fn set_servers(&self, spots: &[ServerSpot], now: Instant) -> Vec<HealthNews> {
         let mut state = lock(&self.state);
-        let mut before = std::mem::take(&mut state.servers);
+        let mut previous = std::mem::take(&mut state.servers);
         for spot in spots {
-            let mark = state.marks.get(&spot.server).copied();
-            let mut health = match before.swap_remove(&spot.server) {
-                Some(row) => row.health,
-                None => ServerHealth::new(mark, now),
+            let known_leaving = state.leaving.get(&spot.server).copied();
+            let mut health = match previous.swap_remove(&spot.server) {
+                Some(entry) => entry.health,
+                None => ServerHealth::new(known_leaving, now),
             };
             health.drain = spot.drain;
-            state.servers.insert(spot.server.clone(), BookRow { spot: spot.clone(), health });
+            state.servers.insert(spot.server.clone(), HealthEntry { spot: spot.clone(), health });
         }
         let mut news = Vec::new();
         for spot in spots {
-            state.keep_floor(&self.conf, spot, &mut news);
+            state.enforce_floor(&self.conf, spot, &mut news);
         }
         news
     }
 
-    /// Takes in a result. `incarnation` is the one that the request was sent to, if it is known:
-    /// late failures of an earlier one must not eject its successor.
+    /// Records the result of a request sent to this incarnation, if known. Failures of an earlier
+    /// incarnation are ignored, so that they don't eject its successor.
     pub fn note(
         &self,
         server: &ServerName,
@@ -79,21 +79,21 @@
     ) -> Vec<HealthNews> {
         let mut state = lock(&self.state);
         let mut news = Vec::new();
-        let Some(row) = state.servers.get_mut(server) else {
+        let Some(entry) = state.servers.get_mut(server) else {
             return news;
         };
-        if incarnation.is_some() && incarnation < row.health.incarnation {
+        if incarnation.is_some() && incarnation < entry.health.incarnation {
             return news;
         }
-        match row.health.note(result, &self.conf, now) {
+        match entry.health.note(result, &self.conf, now) {
             HealthStep::Nothing => {}
-            HealthStep::Restored => news.push(told(server, HealthChange::Restored)),
+            HealthStep::Restored => news.push(news_of(server, HealthChange::Restored)),
             HealthStep::Eject => state.eject(&self.conf, server, now, &mut news),
         }
         news
     }
 
-    /// The server was heard under this incarnation.
+    /// Records that the server reported this incarnation.
     pub fn seen(
         &self,
         server: &ServerName,
@@ -101,80 +101,80 @@
         now: Instant,
     ) -> Vec<HealthNews> {
         let mut state = lock(&self.state);
-        let Some(row) = state.servers.get_mut(server) else {
+        let Some(entry) = state.servers.get_mut(server) else {
             return Vec::new();
         };
-        let known = row.health.incarnation;
-        if known.is_some_and(|known| incarnation <= known) {
+        let previous_incarnation = entry.health.incarnation;
+        if previous_incarnation.is_some_and(|previous| incarnation <= previous) {
             return Vec::new();
         }
-        let was_closed = row.health.is_leaving() || row.health.is_out();
-        row.health.restart(incarnation, now);
-        let is_news = known.is_some() || was_closed;
-        if !is_news || row.health.is_leaving() {
+        let was_unavailable = entry.health.is_leaving() || entry.health.is_ejected();
+        entry.health.restart(incarnation, now);
+        let is_change = previous_incarnation.is_some() || was_unavailable;
+        if !is_change || entry.health.is_leaving() {
             return Vec::new();
         }
-        vec![told(server, HealthChange::Restarted)]
+        vec![news_of(server, HealthChange::Restarted)]
     }
 
-    /// Somebody says that this incarnation leaves: the list, the server, operators or a peer. It
-    /// stays so until a later incarnation is seen.
+    /// Marks an incarnation as leaving, as announced by discovery, the server, an operator or another
+    /// router. Only a later incarnation is used again.
     pub fn leaving(&self, server: &ServerName, incarnation: Incarnation) -> Vec<HealthNews> {
         let mut state = lock(&self.state);
-        state.mark(server, incarnation);
+        state.mark_leaving(server, incarnation);
         let mut news = Vec::new();
-        let Some(row) = state.servers.get_mut(server) else {
+        let Some(entry) = state.servers.get_mut(server) else {
             return news;
         };
-        let was_leaving = row.health.is_leaving();
-        row.health.leaving = row.health.leaving.max(Some(incarnation));
-        if was_leaving || !row.health.is_leaving() {
+        let was_leaving = entry.health.is_leaving();
+        entry.health.leaving = entry.health.leaving.max(Some(incarnation));
+        if was_leaving || !entry.health.is_leaving() {
             return news;
         }
-        let spot = row.spot.clone();
-        news.push(told(server, HealthChange::Leaving));
-        state.keep_floor(&self.conf, &spot, &mut news);
+        let spot = entry.spot.clone();
+        news.push(news_of(server, HealthChange::Leaving));
+        state.enforce_floor(&self.conf, &spot, &mut news);
         news
     }
 
-    /// How far a server is in use; a server that is not configured is not.
+    /// State of a server; `Drained` if it is not configured.
     pub fn in_use(&self, server: &ServerName, now: Instant) -> ServerUse {
         let state = lock(&self.state);
-        let row = state.servers.get(server);
-        row.map_or(ServerUse::Drained, |row| row.health.in_use(&self.conf, now))
+        let entry = state.servers.get(server);
+        entry.map_or(ServerUse::Drained, |entry| entry.health.in_use(&self.conf, now))
     }
 
-    /// How far each server is in use.
+    /// States of all servers.
     pub fn all_in_use(&self, now: Instant) -> Vec<(ServerName, ServerUse)> {
         let state = lock(&self.state);
-        let rows = state.servers.iter();
-        rows.map(|(name, row)| (name.clone(), row.health.in_use(&self.conf, now))).collect()
+        let entries = state.servers.iter();
+        entries.map(|(name, entry)| (name.clone(), entry.health.in_use(&self.conf, now))).collect()
     }
 
-    /// Servers that are due one trial request or probe each; it counts as taken.
+    /// Servers that are due for a trial request or probe. The caller must send one to each.
     pub fn trial_due(&self, now: Instant) -> Vec<ServerName> {
         let mut state = lock(&self.state);
-        let due = |row: &mut BookRow| {
-            row.health.is_present().then(|| row.health.take_trial(&self.conf, now)).flatten()
+        let take_trial_of = |entry: &mut HealthEntry| {
+            entry.health.is_available().then(|| entry.health.take_trial(&self.conf, now)).flatten()
         };
-        let rows = state.servers.iter_mut();
-        rows.filter_map(|(name, row)| due(row).map(|()| name.clone())).collect()
+        let entries = state.servers.iter_mut();
+        entries.filter_map(|(name, entry)| take_trial_of(entry).map(|()| name.clone())).collect()
     }
 
-    /// The incarnations that leave, for other routers.
+    /// Leaving incarnations, to be sent to other routers.
     pub fn leaving_marks(&self) -> Vec<(ServerName, Incarnation)> {
         let state = lock(&self.state);
-        state.marks.iter().map(|(name, incarnation)| (name.clone(), *incarnation)).collect()
+        state.leaving.iter().map(|(name, incarnation)| (name.clone(), *incarnation)).collect()
     }
 }
 
-impl BookState {
-    fn mark(&mut self, server: &ServerName, incarnation: Incarnation) {
-        if self.marks.len() >= MOST_MARKS && !self.marks.contains_key(server) {
-            self.marks.shift_remove_index(0);
+impl HealthState {
+    fn mark_leaving(&mut self, server: &ServerName, incarnation: Incarnation) {
+        if self.leaving.len() >= MAX_LEAVING && !self.leaving.contains_key(server) {
+            self.leaving.shift_remove_index(0);
         }
-        let mark = self.marks.entry(server.clone()).or_insert(incarnation);
-        *mark = incarnation.max(*mark);
+        let known_leaving = self.leaving.entry(server.clone()).or_insert(incarnation);
+        *known_leaving = incarnation.max(*known_leaving);
     }
 
     fn eject(
@@ -184,62 +184,68 @@
         now: Instant,
         news: &mut Vec<HealthNews>,
     ) {
-        let Some(row) = self.servers.get(server) else {
+        let Some(entry) = self.servers.get(server) else {
             return;
         };
-        let was_out = row.health.is_out();
-        let was_kept = row.health.is_last_resort();
-        let room = was_out || self.out(&row.spot) < self.most_out(conf, &row.spot);
-        let Some(row) = self.servers.get_mut(server) else {
+        let was_ejected = entry.health.is_ejected();
+        let was_last_resort = entry.health.is_last_resort();
+        let may_eject =
+            was_ejected || self.ejected_count(&entry.spot) < self.max_ejected(conf, &entry.spot);
+        let Some(entry) = self.servers.get_mut(server) else {
             return;
         };
-        if room {
-            row.health.eject(conf, now);
-            if !was_out {
-                news.push(told(server, HealthChange::Ejected));
+        if may_eject {
+            entry.health.eject(conf, now);
+            if !was_ejected {
+                news.push(news_of(server, HealthChange::Ejected));
             }
         } else {
-            row.health.keep();
-            if !was_kept {
-                news.push(told(server, HealthChange::KeptByFloor));
+            entry.health.keep_as_last_resort();
+            if !was_last_resort {
+                news.push(news_of(server, HealthChange::KeptByFloor));
             }
         }
     }
 
-    /// Takes servers back into use while too few are left, the one due first.
-    fn keep_floor(&mut self, conf: &HealthConf, spot: &ServerSpot, news: &mut Vec<HealthNews>) {
-        while self.out(spot) > self.most_out(conf, spot) {
-            let rows = self.servers.values_mut();
-            let out = rows.filter(|row| row.is_beside(spot) && row.health.is_out());
-            let Some(row) = out.min_by_key(|row| row.health.out_until()) else {
+    /// Puts ejected servers back into use while too few are left, in the order in which their
+    /// ejections end.
+    fn enforce_floor(&mut self, conf: &HealthConf, spot: &ServerSpot, news: &mut Vec<HealthNews>) {
+        while self.ejected_count(spot) > self.max_ejected(conf, spot) {
+            let entries = self.servers.values_mut();
+            let ejected =
+                entries.filter(|entry| entry.is_alternative_to(spot) && entry.health.is_ejected());
+            let Some(entry) = ejected.min_by_key(|entry| entry.health.ejected_until()) else {
                 return;
             };
-            row.health.keep();
-            news.push(told(&row.spot.server, HealthChange::KeptByFloor));
+            entry.health.keep_as_last_resort();
+            news.push(news_of(&entry.spot.server, HealthChange::KeptByFloor));
         }
     }
 
-    /// Servers beside this one, itself included, that are out of use for their failures.
-    fn out(&self, spot: &ServerSpot) -> usize {
-        self.servers.values().filter(|row| row.is_beside(spot) && row.health.is_out()).count()
+    /// Number of ejected servers in the same zone and pool.
+    fn ejected_count(&self, spot: &ServerSpot) -> usize {
+        self.servers
+            .values()
+            .filter(|entry| entry.is_alternative_to(spot) && entry.health.is_ejected())
+            .count()
     }
 
-    /// How many of them may be.
-    fn most_out(&self, conf: &HealthConf, spot: &ServerSpot) -> usize {
-        let present = self.servers.values().filter(|row| row.is_beside(spot)).count();
-        let least = (present as f64 * conf.floor).ceil() as usize;
-        present.saturating_sub(least)
+    /// Maximum number of ejected servers in the same zone and pool.
+    fn max_ejected(&self, conf: &HealthConf, spot: &ServerSpot) -> usize {
+        let available = self.servers.values().filter(|entry| entry.is_alternative_to(spot)).count();
+        let min_in_use = (available as f64 * conf.floor).ceil() as usize;
+        available.saturating_sub(min_in_use)
     }
 }
 
-impl BookRow {
-    /// Whether it could stand in for a server of this spot.
-    fn is_beside(&self, spot: &ServerSpot) -> bool {
-        let same = self.spot.zone == spot.zone && self.spot.pool == spot.pool;
-        same && self.health.is_present()
+impl HealthEntry {
+    /// Whether it is available and in the same zone and pool.
+    fn is_alternative_to(&self, spot: &ServerSpot) -> bool {
+        let same_pool = self.spot.zone == spot.zone && self.spot.pool == spot.pool;
+        same_pool && self.health.is_available()
     }
 }
 
-fn told(server: &ServerName, change: HealthChange) -> HealthNews {
+fn news_of(server: &ServerName, change: HealthChange) -> HealthNews {
     HealthNews { server: server.clone(), change }
 }
--- a/crates/admission/src/health_conf.rs
+++ b/crates/admission/src/health_conf.rs
@@ -1,29 +1,29 @@
-//! Numbers that shape ejection and return.
+//! Settings of ejection and recovery.
 
 use std::time::Duration;
 
-/// When a server is taken out of use and how it comes back.
+/// When a server is ejected and how it returns to use.
 #[derive(Clone, Copy, Debug)]
 pub struct HealthConf {
-    /// Failures in a row that eject a server; a closed port counts as two.
+    /// Consecutive failures that eject a server; a closed port counts as two.
     pub eject_streak: u32,
-    /// Share of failures among the last ten results or so that ejects a server.
+    /// Failure rate that ejects a server: a moving average over about ten results.
     pub eject_share: f64,
-    /// How long a first ejection lasts; each further one twice as long.
+    /// Duration of the first ejection; it doubles with each further one.
     pub first_pause: Duration,
-    /// The longest ejection.
+    /// Maximum duration of an ejection.
     pub longest_pause: Duration,
-    /// Time without ejection after which earlier ones are forgotten.
+    /// Time in use after which earlier ejections no longer prolong the next one.
     pub forgive_after: Duration,
-    /// Share of a zone's servers of one pool that stay in use however they fail.
+    /// Minimum share of a zone's servers of one pool that stays in use despite failures.
     pub floor: f64,
-    /// Time from one trial request to the next.
+    /// Interval between trial requests.
     pub trial_gap: Duration,
-    /// Trial requests that must succeed in a row.
+    /// Number of successful trial requests after which a server returns to use.
     pub trials: u32,
-    /// Time from a start or return to full use.
+    /// Duration of the warm-up after a start or return.
     pub slow_start: Duration,
-    /// Share of full use that a server begins with.
+    /// Share of its normal traffic that a server gets at the start of the warm-up.
     pub first_share: f64,
 }
 
--- a/crates/admission/src/health_news.rs
+++ b/crates/admission/src/health_news.rs
@@ -1,27 +1,27 @@
-//! Changes of a server's use.
+//! Health state changes.
 
 use fulmargate_names::ServerName;
 
-/// A change of a server's use, to be logged and carried out at its gate.
+/// A change of a server's health state, to be logged and applied to its gate.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HealthNews {
     /// The server.
     pub server: ServerName,
-    /// What changed.
+    /// The change.
     pub change: HealthChange,
 }
 
-/// What changed.
+/// Kind of a health state change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HealthChange {
-    /// It is out of use: close its gate.
+    /// The server was ejected: close its gate.
     Ejected,
-    /// It would be out of use, but too few others are left.
+    /// The server fails but stays in use, because too few others are left.
     KeptByFloor,
-    /// It is in use again: open its gate.
+    /// The server is in use again: open its gate.
     Restored,
-    /// It has started anew: restart and open its gate.
+    /// The server has a new incarnation: restart and open its gate.
     Restarted,
-    /// It gets nothing new: close its gate.
+    /// The server is shutting down: close its gate.
     Leaving,
 }
--- a/crates/admission/src/reach_book.rs
+++ b/crates/admission/src/reach_book.rs
@@ -1,4 +1,4 @@
-//! Which routers are heard, and what they told.
+//! Connectivity between routers and their usage reports.
 
 use std::collections::VecDeque;
 
@@ -11,51 +11,52 @@
 
 use crate::LimiterConf;
 use crate::UsageReport;
-use crate::reach_view::ReachView;
+use crate::sharing_view::SharingView;
 use crate::team_rate::TeamRate;
 use crate::usage_spread::SpreadView;
 use crate::usage_spread::UsageSpread;
 
-/// With more changes than this in a short time, a router relies on nobody.
-const MOST_VIEWS: usize = 6;
+/// Maximum number of views kept. If exceeded, the oldest are replaced by a view without other
+/// routers.
+const MAX_VIEWS: usize = 6;
 
-/// Which routers are known and heard, and what each told of its teams.
+/// Known routers and the latest usage report of each.
 #[derive(Debug)]
 pub(crate) struct ReachBook {
     own: HostName,
     known: IndexSet<HostName>,
-    heard: IndexMap<HostName, HeardRouter>,
-    /// The views of the last while, oldest first, each with the time from which it held.
-    views: VecDeque<(Instant, ReachView)>,
+    reports: IndexMap<HostName, RouterReport>,
+    /// Views within the hold time, oldest first, each with the time when it took effect.
+    views: VecDeque<(Instant, SharingView)>,
 }
 
-/// A router's last report.
+/// Latest report of a router.
 #[derive(Debug)]
-struct HeardRouter {
-    told: Instant,
+struct RouterReport {
+    sent_at: Instant,
     reach: u64,
     teams: IndexMap<TeamName, TeamRate>,
 }
 
 impl ReachBook {
-    /// Knows only itself.
+    /// Creates a registry that contains only this router.
     pub(crate) fn new(own: HostName) -> ReachBook {
         let known = IndexSet::from([own.clone()]);
-        ReachBook { own, known, heard: IndexMap::new(), views: VecDeque::new() }
+        ReachBook { own, known, reports: IndexMap::new(), views: VecDeque::new() }
     }
 
-    /// Replaces the list of all routers; gives back how many there are, this one included.
+    /// Replaces the set of known routers and returns its size, including this one.
     pub(crate) fn set_known(&mut self, hosts: &[HostName]) -> usize {
         self.known = hosts.iter().cloned().collect();
         self.known.insert(self.own.clone());
-        self.heard.retain(|host, _| self.known.contains(host));
+        self.reports.retain(|host, _| self.known.contains(host));
         self.known.len()
     }
 
-    /// Takes in what another router told at a time; one that came late changes nothing.
-    pub(crate) fn hear(&mut self, host: &HostName, report: &UsageReport, told: Instant) {
-        let is_late = self.heard.get(host).is_some_and(|heard| told < heard.told);
-        if *host == self.own || !self.known.contains(host) || is_late {
+    /// Records another router's report; reports that arrive out of order are ignored.
+    pub(crate) fn hear(&mut self, host: &HostName, report: &UsageReport, sent_at: Instant) {
+        let is_out_of_order = self.reports.get(host).is_some_and(|report| sent_at < report.sent_at);
+        if *host == self.own || !self.known.contains(host) || is_out_of_order {
             return;
         }
         let rate = |usage: &crate::TeamUsage| TeamRate {
@@ -63,71 +64,74 @@
             tokens: f64::from(usage.prompt_tokens_per_s),
         };
         let teams = report.teams.iter().map(|usage| (usage.team.clone(), rate(usage))).collect();
-        let heard = HeardRouter { told, reach: report.reach, teams };
-        self.heard.insert(host.clone(), heard);
+        let report = RouterReport { sent_at, reach: report.reach, teams };
+        self.reports.insert(host.clone(), report);
     }
 
-    /// Works out with whom the limits are shared now; gives back what to tell the others.
+    /// Recomputes the view and returns the digest of the routers known and heard, which is sent to
+    /// the others.
     pub(crate) fn renew(&mut self, conf: &LimiterConf, now: Instant) -> u64 {
         let stale_after = conf.stale_among(self.known.len());
-        let fresh = |heard: &HeardRouter| now.saturating_duration_since(heard.told) < stale_after;
-        let is_heard =
-            |host: &HostName| *host == self.own || self.heard.get(host).is_some_and(fresh);
-        let heard = self.known.iter().filter(|host| is_heard(host));
-        let reach = digest(self.known.iter()) ^ digest(heard).rotate_left(1);
-        // Whoever tells the same reach hears this router and is heard by it.
+        let is_fresh =
+            |report: &RouterReport| now.saturating_duration_since(report.sent_at) < stale_after;
+        let is_reachable =
+            |host: &HostName| *host == self.own || self.reports.get(host).is_some_and(is_fresh);
+        let reachable = self.known.iter().filter(|host| is_reachable(host));
+        let reach = digest(self.known.iter()) ^ digest(reachable).rotate_left(1);
+        // The same digest implies connectivity in both directions.
         let mut members: Vec<HostName> = self
-            .heard
+            .reports
             .iter()
-            .filter(|(_, heard)| heard.reach == reach)
+            .filter(|(_, report)| report.reach == reach)
             .map(|(host, _)| host.clone())
             .collect();
         members.sort_unstable();
-        self.change_view(ReachView { members, known: self.known.len() }, conf, now);
+        self.update_views(SharingView { members, known: self.known.len() }, conf, now);
         reach
     }
 
-    /// What the members of each view of the last while ask for, by team.
+    /// Usage by team of the members of each view within the hold time.
     pub(crate) fn spread(&self) -> UsageSpread {
         let views = self.views.iter().map(|(_, view)| self.spread_view(view)).collect();
         UsageSpread::new(views)
     }
 
-    fn spread_view(&self, view: &ReachView) -> SpreadView {
+    fn spread_view(&self, view: &SharingView) -> SpreadView {
         let mut others: IndexMap<TeamName, TeamRate> = IndexMap::new();
         for host in &view.members {
-            let Some(heard) = self.heard.get(host) else {
+            let Some(report) = self.reports.get(host) else {
                 continue;
             };
-            for (team, rate) in &heard.teams {
+            for (team, rate) in &report.teams {
                 let sum = others.entry(team.clone()).or_default();
                 *sum = sum.plus(*rate);
             }
         }
-        SpreadView { size: view.size(), part: view.part(), others }
+        SpreadView { size: view.router_count(), part: view.limit_share(), others }
     }
 
-    /// Keeps each view until it has been out of force for the whole hold: see `UsageSpread`.
-    fn change_view(&mut self, view: ReachView, conf: &LimiterConf, now: Instant) {
+    /// Appends a changed view and drops views that were replaced longer ago than the hold time; see
+    /// `UsageSpread`.
+    fn update_views(&mut self, view: SharingView, conf: &LimiterConf, now: Instant) {
         if self.views.is_empty() {
-            self.views.push_back((now, ReachView::alone(self.known.len())));
+            self.views.push_back((now, SharingView::alone(self.known.len())));
         }
         if self.views.back().is_some_and(|(_, last)| *last != view) {
             self.views.push_back((now, view));
         }
         let hold = conf.hold_among(self.known.len());
-        let is_over = |since: Instant| now.saturating_duration_since(since) >= hold;
-        while self.views.get(1).is_some_and(|(since, _)| is_over(*since)) {
+        let has_expired = |since: Instant| now.saturating_duration_since(since) >= hold;
+        while self.views.get(1).is_some_and(|(since, _)| has_expired(*since)) {
             self.views.pop_front();
         }
-        if self.views.len() > MOST_VIEWS {
+        if self.views.len() > MAX_VIEWS {
             self.views.pop_front();
-            self.views[0] = (self.views[0].0, ReachView::alone(self.known.len()));
+            self.views[0] = (self.views[0].0, SharingView::alone(self.known.len()));
         }
     }
 }
 
-/// A number for a set of hosts, whatever their order.
+/// Order-independent digest of a set of hosts.
 fn digest<'a>(hosts: impl Iterator<Item = &'a HostName>) -> u64 {
     hosts.map(|host| xxh3_64(host.as_str().as_bytes())).fold(0, |sum, hash| sum ^ hash)
 }
--- a/crates/admission/src/retry_budget.rs
+++ b/crates/admission/src/retry_budget.rs
@@ -1,4 +1,4 @@
-//! How many second attempts a router may make.
+//! Retry budget of a router.
 
 use std::sync::Mutex;
 use std::time::Duration;
@@ -9,14 +9,14 @@
 use crate::lock::lock;
 use crate::token_bucket::TokenBucket;
 
-/// The operators' numbers for retries.
+/// Settings of the retry budget.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryConf {
     /// Retries allowed per first attempt, for example 0.1.
     pub share: f64,
-    /// Retries a second that are allowed however low the traffic is.
+    /// Minimum retries per second, independent of traffic.
     pub least_per_second: f64,
-    /// Most retries that may be saved up.
+    /// Maximum unused retries that accumulate.
     pub most_saved: f64,
 }
 
@@ -26,43 +26,43 @@
     }
 }
 
-/// Retries as a share of the traffic, for each priority apart.
+/// Limits retries to a share of the traffic, separately for each priority.
 ///
-/// With a count per request, a zone that fails every attempt multiplies its load just when it can
-/// carry least. A share bounds the extra load of the whole router, whatever the requests do; a
-/// budget for each class keeps retries of batch work from using up what urgent requests need.
+/// A limit per request would multiply the load on a zone in which every attempt fails. A share of
+/// the traffic bounds the additional load of the whole router. Separate budgets keep retries of
+/// batch requests from consuming those of urgent ones.
 #[derive(Debug)]
 pub struct RetryBudget {
     conf: RetryConf,
-    classes: Mutex<IndexMap<u8, TokenBucket>>,
+    buckets: Mutex<IndexMap<u8, TokenBucket>>,
 }
 
-/// The answer to a wish to try again.
+/// Decision on a retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryGrant {
-    /// The attempt may be made, and is paid for.
+    /// The retry may be made and has been charged to the budget.
     Allowed,
-    /// The budget is spent: the request fails now.
+    /// The budget is exhausted: the request fails.
     Spent {
-        /// When the budget allows the next attempt if nobody else takes it.
+        /// Time until the budget allows another retry.
         retry_after: Duration,
     },
 }
 
 impl RetryBudget {
-    /// A budget that has its full saving for each class.
+    /// Creates a full budget.
     pub fn new(conf: RetryConf) -> RetryBudget {
-        RetryBudget { conf, classes: Mutex::new(IndexMap::new()) }
+        RetryBudget { conf, buckets: Mutex::new(IndexMap::new()) }
     }
 
-    /// Counts a first attempt, which earns a share of a retry.
+    /// Adds the share for one first attempt to the budget.
     pub fn first_attempt(&self, priority: u8, now: Instant) {
-        self.with(priority, now, |bucket| bucket.put(self.conf.share));
+        self.with_bucket(priority, now, |bucket| bucket.put(self.conf.share));
     }
 
-    /// Takes one retry from the class's budget.
+    /// Charges one retry to the budget of this priority.
     pub fn try_retry(&self, priority: u8, now: Instant) -> RetryGrant {
-        self.with(priority, now, |bucket| {
+        self.with_bucket(priority, now, |bucket| {
             if !bucket.has(1.0, now) {
                 return RetryGrant::Spent { retry_after: bucket.wait_for(1.0) };
             }
@@ -71,12 +71,17 @@
         })
     }
 
-    fn with<T>(&self, priority: u8, now: Instant, act: impl FnOnce(&mut TokenBucket) -> T) -> T {
+    fn with_bucket<T>(
+        &self,
+        priority: u8,
+        now: Instant,
+        action: impl FnOnce(&mut TokenBucket) -> T,
+    ) -> T {
         let conf = self.conf;
-        let mut classes = lock(&self.classes);
-        let bucket = classes
+        let mut buckets = lock(&self.buckets);
+        let bucket = buckets
             .entry(priority)
             .or_insert_with(|| TokenBucket::full(conf.least_per_second, conf.most_saved, now));
-        act(bucket)
+        action(bucket)
     }
 }
--- a/crates/admission/src/server_health.rs
+++ b/crates/admission/src/server_health.rs
@@ -1,4 +1,4 @@
-//! The health of one server.
+//! Health of one server.
 
 use std::time::Duration;
 
@@ -10,25 +10,25 @@
 use crate::ServerResult;
 use crate::ServerUse;
 
-/// What the newest result weighs in the share of failures.
-const RESULT_WEIGHT: f64 = 0.1;
+/// Weight of the latest result in the moving average of failures.
+const FAILURE_RATE_WEIGHT: f64 = 0.1;
 
-/// The health of one server, from the results of requests rather than from probes alone: a server
-/// can answer its probe and fail its requests.
+/// Health of one server, judged by the results of requests: a server can pass its probes and still
+/// fail requests.
 #[derive(Debug)]
 pub(crate) struct ServerHealth {
-    /// The newest incarnation met.
+    /// Newest incarnation seen.
     pub(crate) incarnation: Option<Incarnation>,
-    /// What operators want.
+    /// Drain state set by operators.
     pub(crate) drain: DrainState,
-    /// The newest incarnation that was said to leave. It stays, whatever a lagging list says next.
+    /// Newest incarnation announced as leaving. Never reset, since discovery may lag.
     pub(crate) leaving: Option<Incarnation>,
     phase: HealthPhase,
-    streak: u32,
-    failing: f64,
-    /// Ejections that are not forgotten yet.
-    ejections: u32,
-    restored: Instant,
+    consecutive_failures: u32,
+    failure_rate: f64,
+    /// Ejections since the last reset, which sets the duration of the next one.
+    recent_ejections: u32,
+    last_restored: Instant,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -40,33 +40,33 @@
     Trial { next: Instant, passed: u32 },
 }
 
-/// What a result calls for.
+/// Effect of a result.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum HealthStep {
     Nothing,
-    /// It should be ejected, if the floor allows.
+    /// Eject the server, if enough others remain in use.
     Eject,
-    /// It came back from ejection.
+    /// The server is in use again.
     Restored,
 }
 
 impl ServerHealth {
-    /// A server that is met for the first time. It is in full use: a router that restarts serves
-    /// at once, and knows of no trouble.
+    /// Health of a new server. It is in full use at once, so that a router that restarts doesn't
+    /// treat all its servers as new.
     pub(crate) fn new(leaving: Option<Incarnation>, now: Instant) -> ServerHealth {
         ServerHealth {
             incarnation: None,
             drain: DrainState::InUse,
             leaving,
             phase: HealthPhase::Open,
-            streak: 0,
-            failing: 0.0,
-            ejections: 0,
-            restored: now,
+            consecutive_failures: 0,
+            failure_rate: 0.0,
+            recent_ejections: 0,
+            last_restored: now,
         }
     }
 
-    /// How far it is in use.
+    /// State of the server.
     pub(crate) fn in_use(&self, conf: &HealthConf, now: Instant) -> ServerUse {
         if self.is_leaving() {
             return ServerUse::Leaving;
@@ -79,32 +79,34 @@
             HealthPhase::LastResort => ServerUse::LastResort,
             HealthPhase::Ejected { until } if now < until => ServerUse::Ejected,
             HealthPhase::Ejected { .. } | HealthPhase::Trial { .. } => ServerUse::Trial,
-            HealthPhase::Warming { since } => warmth(conf, now.saturating_duration_since(since)),
+            HealthPhase::Warming { since } => {
+                warming_share(conf, now.saturating_duration_since(since))
+            }
         }
     }
 
-    /// Whether the newest incarnation leaves. One that was told of before it was met counts.
+    /// Whether the current incarnation is leaving. An announcement may precede its first sighting.
     pub(crate) fn is_leaving(&self) -> bool {
         self.leaving.is_some_and(|leaving| self.incarnation.is_none_or(|own| own <= leaving))
     }
 
-    /// Whether it counts among those that could be in use.
-    pub(crate) fn is_present(&self) -> bool {
+    /// Whether it is neither leaving nor drained.
+    pub(crate) fn is_available(&self) -> bool {
         !self.is_leaving() && self.drain == DrainState::InUse
     }
 
-    /// Whether it is out of use for its failures.
-    pub(crate) fn is_out(&self) -> bool {
+    /// Whether it is ejected, or on trial after an ejection.
+    pub(crate) fn is_ejected(&self) -> bool {
         matches!(self.phase, HealthPhase::Ejected { .. } | HealthPhase::Trial { .. })
     }
 
-    /// Whether it is kept in use only since too few others are left.
+    /// Whether it is failing but in use because too few others are left.
     pub(crate) fn is_last_resort(&self) -> bool {
         self.phase == HealthPhase::LastResort
     }
 
-    /// When its pause ends or ended.
-    pub(crate) fn out_until(&self) -> Option<Instant> {
+    /// When its ejection ends, or when its next trial is due.
+    pub(crate) fn ejected_until(&self) -> Option<Instant> {
         match self.phase {
             HealthPhase::Ejected { until } => Some(until),
             HealthPhase::Trial { next, .. } => Some(next),
@@ -112,7 +114,7 @@
         }
     }
 
-    /// Takes in a result of the present incarnation.
+    /// Records a result of the current incarnation.
     pub(crate) fn note(
         &mut self,
         result: ServerResult,
@@ -120,40 +122,41 @@
         now: Instant,
     ) -> HealthStep {
         let failed = if result == ServerResult::Answered { 0.0 } else { 1.0 };
-        self.failing += RESULT_WEIGHT * (failed - self.failing);
+        self.failure_rate += FAILURE_RATE_WEIGHT * (failed - self.failure_rate);
         if result == ServerResult::Answered {
-            self.streak = 0;
-            return self.note_answer(conf, now);
+            self.consecutive_failures = 0;
+            return self.record_success(conf, now);
         }
-        self.streak = self.streak.saturating_add(result.weight());
-        let over = self.streak >= conf.eject_streak || self.failing > conf.eject_share;
+        self.consecutive_failures = self.consecutive_failures.saturating_add(result.weight());
+        let exceeds_threshold =
+            self.consecutive_failures >= conf.eject_streak || self.failure_rate > conf.eject_share;
         match self.phase {
             HealthPhase::Trial { .. } => HealthStep::Eject,
-            // Results of requests that were under way when it was ejected say nothing new.
+            // Requests that were already in flight at the ejection.
             HealthPhase::Ejected { .. } => HealthStep::Nothing,
-            _ if over => HealthStep::Eject,
+            _ if exceeds_threshold => HealthStep::Eject,
             _ => HealthStep::Nothing,
         }
     }
 
-    /// Takes it out of use, for longer each time.
+    /// Ejects the server, with exponential backoff.
     pub(crate) fn eject(&mut self, conf: &HealthConf, now: Instant) {
-        if now.saturating_duration_since(self.restored) > conf.forgive_after {
-            self.ejections = 0;
+        if now.saturating_duration_since(self.last_restored) > conf.forgive_after {
+            self.recent_ejections = 0;
         }
-        let pause = conf.first_pause * 2_u32.saturating_pow(self.ejections.min(16));
-        self.ejections += 1;
-        self.phase = HealthPhase::Ejected { until: now + pause.min(conf.longest_pause) };
-        self.streak = 0;
-        self.failing = 0.0;
+        let duration = conf.first_pause * 2_u32.saturating_pow(self.recent_ejections.min(16));
+        self.recent_ejections += 1;
+        self.phase = HealthPhase::Ejected { until: now + duration.min(conf.longest_pause) };
+        self.consecutive_failures = 0;
+        self.failure_rate = 0.0;
     }
 
-    /// Keeps it in use in spite of its failures.
-    pub(crate) fn keep(&mut self) {
+    /// Keeps the server in use despite its failures.
+    pub(crate) fn keep_as_last_resort(&mut self) {
         self.phase = HealthPhase::LastResort;
     }
 
-    /// Takes the turn of a trial request, if one is due.
+    /// If a trial request is due, schedules the next one and returns `Some`.
     pub(crate) fn take_trial(&mut self, conf: &HealthConf, now: Instant) -> Option<()> {
         let passed = match self.phase {
             HealthPhase::Ejected { until } if until <= now => 0,
@@ -164,32 +167,32 @@
         Some(())
     }
 
-    /// The server's process has started anew: what was held against the last one is void. It comes
-    /// back empty, so it is warmed up; it is not when it is met for the first time.
+    /// Resets the failures for a new incarnation. A restarted server warms up, as its cache is empty;
+    /// one seen for the first time does not, unless it is ejected.
     pub(crate) fn restart(&mut self, incarnation: Incarnation, now: Instant) {
-        let is_first = self.incarnation.is_none();
+        let is_first_seen = self.incarnation.is_none();
         self.incarnation = Some(incarnation);
-        if is_first && !self.is_out() {
+        if is_first_seen && !self.is_ejected() {
             return;
         }
         self.phase = HealthPhase::Warming { since: now };
-        self.restored = now;
-        self.streak = 0;
-        self.failing = 0.0;
+        self.last_restored = now;
+        self.consecutive_failures = 0;
+        self.failure_rate = 0.0;
     }
 
-    fn note_answer(&mut self, conf: &HealthConf, now: Instant) -> HealthStep {
+    fn record_success(&mut self, conf: &HealthConf, now: Instant) -> HealthStep {
         match self.phase {
             HealthPhase::Trial { passed, .. } if passed + 1 >= conf.trials => {
                 self.phase = HealthPhase::Warming { since: now };
-                self.restored = now;
+                self.last_restored = now;
                 HealthStep::Restored
             }
             HealthPhase::Trial { next, passed } => {
                 self.phase = HealthPhase::Trial { next, passed: passed + 1 };
                 HealthStep::Nothing
             }
-            HealthPhase::LastResort if self.failing < conf.eject_share => {
+            HealthPhase::LastResort if self.failure_rate < conf.eject_share => {
                 self.phase = HealthPhase::Open;
                 HealthStep::Restored
             }
@@ -204,8 +207,8 @@
     }
 }
 
-/// The share of full use after this time.
-fn warmth(conf: &HealthConf, elapsed: Duration) -> ServerUse {
+/// State of a server this long after its start or return.
+fn warming_share(conf: &HealthConf, elapsed: Duration) -> ServerUse {
     if elapsed >= conf.slow_start {
         return ServerUse::Open;
     }
--- a/crates/admission/src/server_result.rs
+++ b/crates/admission/src/server_result.rs
@@ -1,22 +1,22 @@
-//! What an attempt says of its server.
+//! Result of one attempt, for server health.
 
-/// What an attempt says of its server. Refusals for load and answers to bad requests are answers.
+/// Result of one attempt. Overload rejections and client errors count as answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerResult {
-    /// It answered.
+    /// The server answered.
     Answered,
-    /// It answered with an error of its own.
+    /// The server answered with an internal error.
     Failed,
     /// The connection broke after the request was written.
     Broken,
-    /// It did not answer in time, or could not be reached in time.
+    /// Connecting or waiting for the answer timed out.
     TimedOut,
-    /// Its port is closed: no process is there.
+    /// The connection was refused: no process listens on the port.
     Closed,
 }
 
 impl ServerResult {
-    /// What it adds to failures in a row.
+    /// Contribution to the count of consecutive failures.
     pub(crate) fn weight(self) -> u32 {
         match self {
             ServerResult::Answered => 0,
--- a/crates/admission/src/server_spot.rs
+++ b/crates/admission/src/server_spot.rs
@@ -1,4 +1,4 @@
-//! Where a server stands.
+//! Configuration of a server.
 
 use std::sync::Arc;
 
@@ -7,15 +7,15 @@
 
 use crate::DrainState;
 
-/// A server as the configuration has it.
+/// Zone, pool and drain state of a configured server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServerSpot {
-    /// Its name.
+    /// Name of the server.
     pub server: ServerName,
-    /// Its zone.
+    /// Availability zone of the server.
     pub zone: ZoneName,
-    /// Servers of one zone and pool stand in for each other, for example those of one model.
+    /// Servers of one zone and pool are interchangeable, for example those of one model.
     pub pool: Arc<str>,
-    /// What operators want of it.
+    /// Drain state set by operators.
     pub drain: DrainState,
 }
--- a/crates/admission/src/server_use.rs
+++ b/crates/admission/src/server_use.rs
@@ -1,39 +1,39 @@
-//! How far a server is in use.
+//! Availability of a server.
 
-/// How far a server is in use.
+/// Availability of a server for new requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ServerUse {
     /// In full use.
     Open,
-    /// It has just started or come back, and gets this share of what it would get.
+    /// Just started or returned; gets a reduced share of the traffic.
     Warming {
-        /// From 0 to 1.
+        /// Share of its normal traffic, from 0 to 1.
         share: f64,
     },
-    /// It fails, but too few others are left: only if no other suits.
+    /// Failing, but too few others are left: use only if no other server is suitable.
     LastResort,
-    /// Only trial requests, one at a time: see `HealthBook::trial_due`.
+    /// Trial requests only, one at a time; see `HealthBook::trial_due`.
     Trial,
-    /// Nothing until its pause is over.
+    /// No requests until the ejection ends.
     Ejected,
-    /// Nothing new for this incarnation.
+    /// Shutting down: no new requests for this incarnation.
     Leaving,
-    /// Nothing new by the operators' will.
+    /// Drained by operators: no new requests.
     Drained,
 }
 
 impl ServerUse {
-    /// Whether ordinary requests may go there.
+    /// Whether the server accepts requests other than trials.
     pub fn takes_new(self) -> bool {
         matches!(self, ServerUse::Open | ServerUse::Warming { .. } | ServerUse::LastResort)
     }
 }
 
-/// What operators want of a server.
+/// Drain state set by operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DrainState {
-    /// It is to be used.
+    /// The server may be used.
     InUse,
-    /// It is to get nothing new.
+    /// The server gets no new requests.
     Drained,
 }
--- a/crates/admission/tests/health.rs
+++ b/crates/admission/tests/health.rs
@@ -1,4 +1,4 @@
-//! Which servers are in use.
+//! Ejection, recovery and shutdown of servers.
 
 mod support;
 
@@ -29,31 +29,31 @@
 use ServerResult::Failed;
 use ServerResult::TimedOut;
 
-/// What happens to the servers `a` to `d` of one zone, and what is told of it.
+/// Events at servers `a` to `d` of one zone, and the state changes they must cause.
 struct HealthCase {
     name: &'static str,
     events: &'static [Event],
     news: &'static [(&'static str, HealthChange)],
-    /// Use of server `a` at the end.
-    end: End,
+    /// Final state of server `a`.
+    final_state: FinalState,
 }
 
 enum Event {
-    /// So many results, under an incarnation.
+    /// Server, incarnation, result and number of results.
     Results(&'static str, u64, ServerResult, u32),
     Seen(&'static str, u64),
-    SaidLeaving(&'static str, u64),
-    Pass(u64),
-    /// A trial of `a` is due, and ends so.
+    AnnouncedLeaving(&'static str, u64),
+    Advance(u64),
+    /// A trial of `a` must be due; its result.
     Trial(ServerResult),
-    NoTrial,
-    /// The configuration drops `a` and takes it up again.
+    NoTrialDue,
+    /// `a` is removed from the configuration and added again.
     Reconfigured,
     Drained(&'static str),
 }
 
 #[derive(Debug, PartialEq)]
-enum End {
+enum FinalState {
     Open,
     Warming,
     LastResort,
@@ -62,12 +62,12 @@
     Leaving,
 }
 
+use Event::Advance;
+use Event::AnnouncedLeaving;
 use Event::Drained;
-use Event::NoTrial;
-use Event::Pass;
+use Event::NoTrialDue;
 use Event::Reconfigured;
 use Event::Results;
-use Event::SaidLeaving;
 use Event::Seen;
 use Event::Trial;
 
@@ -80,22 +80,22 @@
             Results("a", 1, Failed, 3),
         ],
         news: &[],
-        end: End::Open,
+        final_state: FinalState::Open,
     },
     HealthCase {
         name: "failures in a row",
-        events: &[Results("a", 1, TimedOut, 4), NoTrial],
+        events: &[Results("a", 1, TimedOut, 4), NoTrialDue],
         news: &[("a", Ejected)],
-        end: End::Ejected,
+        final_state: FinalState::Ejected,
     },
     HealthCase {
         name: "a closed port counts twice",
         events: &[Results("a", 1, Closed, 2)],
         news: &[("a", Ejected)],
-        end: End::Ejected,
+        final_state: FinalState::Ejected,
     },
     HealthCase {
-        name: "most fail, never four in a row",
+        name: "most requests fail, never four in a row",
         events: &[
             Results("a", 1, Failed, 3),
             Results("a", 1, Answered, 1),
@@ -104,77 +104,77 @@
             Results("a", 1, Failed, 3),
         ],
         news: &[("a", Ejected)],
-        end: End::Ejected,
+        final_state: FinalState::Ejected,
     },
     HealthCase {
-        name: "trials bring it back by steps",
+        name: "successful trials restore a server",
         events: &[
             Results("a", 1, Broken, 4),
-            Pass(1_000),
+            Advance(1_000),
             Trial(Answered),
-            NoTrial,
-            Pass(250),
+            NoTrialDue,
+            Advance(250),
             Trial(Answered),
         ],
         news: &[("a", Ejected), ("a", Restored)],
-        end: End::Warming,
+        final_state: FinalState::Warming,
     },
     HealthCase {
-        name: "a failed trial doubles the pause",
+        name: "a failed trial doubles the ejection time",
         events: &[
             Results("a", 1, Broken, 4),
-            Pass(1_000),
+            Advance(1_000),
             Trial(Broken),
-            Pass(1_900),
-            NoTrial,
-            Pass(100),
+            Advance(1_900),
+            NoTrialDue,
+            Advance(100),
             Trial(Answered),
         ],
         news: &[("a", Ejected)],
-        end: End::Trial,
+        final_state: FinalState::Trial,
     },
     HealthCase {
-        name: "results of before the ejection change nothing",
+        name: "late answers to earlier requests don't end an ejection",
         events: &[Results("a", 1, Broken, 4), Results("a", 1, Answered, 9)],
         news: &[("a", Ejected)],
-        end: End::Ejected,
+        final_state: FinalState::Ejected,
     },
     HealthCase {
-        name: "failures of before the ejection don't prolong it",
-        events: &[Results("a", 1, Broken, 16), Pass(1_000), Trial(Answered)],
+        name: "late failures of earlier requests don't prolong an ejection",
+        events: &[Results("a", 1, Broken, 16), Advance(1_000), Trial(Answered)],
         news: &[("a", Ejected)],
-        end: End::Trial,
+        final_state: FinalState::Trial,
     },
     HealthCase {
-        name: "a new incarnation comes back at once, slowly",
+        name: "a new incarnation is used at once and warms up",
         events: &[Seen("a", 1), Results("a", 1, Broken, 4), Seen("a", 2)],
         news: &[("a", Ejected), ("a", Restarted)],
-        end: End::Warming,
+        final_state: FinalState::Warming,
     },
     HealthCase {
-        name: "late failures of the last incarnation",
-        events: &[Seen("a", 1), Seen("a", 2), Results("a", 1, Broken, 9), Pass(5_000)],
+        name: "late failures of the previous incarnation are ignored",
+        events: &[Seen("a", 1), Seen("a", 2), Results("a", 1, Broken, 9), Advance(5_000)],
         news: &[("a", Restarted)],
-        end: End::Open,
+        final_state: FinalState::Open,
     },
     HealthCase {
-        name: "late word of an earlier incarnation",
+        name: "a late report of an earlier incarnation is ignored",
         events: &[Seen("a", 2), Seen("a", 1)],
         news: &[],
-        end: End::Open,
+        final_state: FinalState::Open,
     },
     HealthCase {
-        name: "the floor keeps half of a zone",
+        name: "at most half of a zone is ejected",
         events: &[
             Results("b", 1, Closed, 9),
             Results("c", 1, Closed, 9),
             Results("a", 1, Closed, 9),
         ],
         news: &[("b", Ejected), ("c", Ejected), ("a", KeptByFloor)],
-        end: End::LastResort,
+        final_state: FinalState::LastResort,
     },
     HealthCase {
-        name: "one that was kept and answers again",
+        name: "a last-resort server that answers again is restored",
         events: &[
             Results("b", 1, Closed, 9),
             Results("c", 1, Closed, 9),
@@ -182,66 +182,66 @@
             Results("a", 1, Answered, 3),
         ],
         news: &[("b", Ejected), ("c", Ejected), ("a", KeptByFloor), ("a", Restored)],
-        end: End::Open,
+        final_state: FinalState::Open,
     },
     HealthCase {
-        name: "when the others leave, an ejected one is taken back",
+        name: "an ejected server is used again when the others leave",
         events: &[
             Results("a", 1, Closed, 9),
-            SaidLeaving("c", 1),
-            SaidLeaving("d", 1),
-            SaidLeaving("b", 1),
+            AnnouncedLeaving("c", 1),
+            AnnouncedLeaving("d", 1),
+            AnnouncedLeaving("b", 1),
         ],
         news: &[("a", Ejected), ("c", Leaving), ("d", Leaving), ("b", Leaving), ("a", KeptByFloor)],
-        end: End::LastResort,
+        final_state: FinalState::LastResort,
     },
     HealthCase {
-        name: "when the others are drained, an ejected one is taken back",
+        name: "an ejected server is used again when the others are drained",
         events: &[Results("a", 1, Closed, 9), Drained("b"), Drained("c"), Drained("d")],
         news: &[("a", Ejected), ("a", KeptByFloor)],
-        end: End::LastResort,
+        final_state: FinalState::LastResort,
     },
     HealthCase {
-        name: "leaving stays, whatever is heard of the same incarnation",
+        name: "a leaving incarnation stays leaving",
         events: &[
             Seen("a", 7),
-            SaidLeaving("a", 7),
+            AnnouncedLeaving("a", 7),
             Seen("a", 7),
             Results("a", 7, Answered, 9),
             Reconfigured,
             Seen("a", 7),
         ],
         news: &[("a", Leaving)],
-        end: End::Leaving,
+        final_state: FinalState::Leaving,
     },
     HealthCase {
-        name: "leaving was said before the server was met",
-        events: &[SaidLeaving("a", 7), Seen("a", 7)],
+        name: "leaving is announced before the server is seen",
+        events: &[AnnouncedLeaving("a", 7), Seen("a", 7)],
         news: &[("a", Leaving)],
-        end: End::Leaving,
+        final_state: FinalState::Leaving,
     },
     HealthCase {
-        name: "a later incarnation does not leave",
-        events: &[Seen("a", 7), SaidLeaving("a", 7), Seen("a", 8), SaidLeaving("a", 7)],
+        name: "a later incarnation is not leaving",
+        events: &[Seen("a", 7), AnnouncedLeaving("a", 7), Seen("a", 8), AnnouncedLeaving("a", 7)],
         news: &[("a", Leaving), ("a", Restarted)],
-        end: End::Warming,
+        final_state: FinalState::Warming,
     },
     HealthCase {
-        name: "late word that an earlier incarnation leaves",
-        events: &[Seen("a", 8), SaidLeaving("a", 7)],
+        name: "a late announcement for an earlier incarnation is ignored",
+        events: &[Seen("a", 8), AnnouncedLeaving("a", 7)],
         news: &[],
-        end: End::Open,
+        final_state: FinalState::Open,
     },
 ];
 
 #[test]
-fn servers_leave_and_come_back() {
+fn events_cause_expected_state_changes() {
     for case in CASES {
-        check(case);
+        assert_case(case);
     }
 }
 
-fn check(case: &HealthCase) {
+fn assert_case(case: &HealthCase) {
     let book = HealthBook::new(HealthConf::default());
     let mut now = Instant::now();
     let mut spots: Vec<ServerSpot> = ["a", "b", "c", "d"].map(spot).to_vec();
@@ -257,29 +257,34 @@
             Seen(server, incarnation) => {
                 news.extend(book.seen(&ServerName::new(server), Incarnation(*incarnation), now));
             }
-            SaidLeaving(server, incarnation) => {
+            AnnouncedLeaving(server, incarnation) => {
                 news.extend(book.leaving(&ServerName::new(server), Incarnation(*incarnation)));
             }
-            Pass(millis) => now += ms(*millis),
+            Advance(millis) => now += ms(*millis),
             Trial(result) => {
                 assert_eq!(book.trial_due(now), [ServerName::new("a")], "{}", case.name);
                 news.extend(book.note(&ServerName::new("a"), None, *result, now));
             }
-            NoTrial => assert!(book.trial_due(now).is_empty(), "{}", case.name),
+            NoTrialDue => assert!(book.trial_due(now).is_empty(), "{}", case.name),
             Reconfigured => {
                 news.extend(book.set_servers(&spots[1..], now));
                 news.extend(book.set_servers(&spots, now));
             }
             Drained(server) => {
                 let found = spots.iter_mut().find(|spot| spot.server.as_str() == *server);
-                found.expect("one of them").drain = DrainState::Drained;
+                found.expect("a configured server").drain = DrainState::Drained;
                 news.extend(book.set_servers(&spots, now));
             }
         }
     }
-    let expected: Vec<HealthNews> = case.news.iter().map(told).collect();
+    let expected: Vec<HealthNews> = case.news.iter().map(news_of).collect();
     assert_eq!(news, expected, "{}", case.name);
-    assert_eq!(end(book.in_use(&ServerName::new("a"), now)), case.end, "{}", case.name);
+    assert_eq!(
+        final_state(book.in_use(&ServerName::new("a"), now)),
+        case.final_state,
+        "{}",
+        case.name
+    );
 }
 
 fn spot(name: &str) -> ServerSpot {
@@ -291,30 +296,30 @@
     }
 }
 
-fn told((server, change): &(&str, HealthChange)) -> HealthNews {
+fn news_of((server, change): &(&str, HealthChange)) -> HealthNews {
     HealthNews { server: ServerName::new(server), change: *change }
 }
 
-fn end(in_use: ServerUse) -> End {
+fn final_state(in_use: ServerUse) -> FinalState {
     match in_use {
-        ServerUse::Open => End::Open,
-        ServerUse::Warming { .. } => End::Warming,
-        ServerUse::LastResort => End::LastResort,
-        ServerUse::Trial => End::Trial,
-        ServerUse::Ejected => End::Ejected,
-        ServerUse::Leaving => End::Leaving,
+        ServerUse::Open => FinalState::Open,
+        ServerUse::Warming { .. } => FinalState::Warming,
+        ServerUse::LastResort => FinalState::LastResort,
+        ServerUse::Trial => FinalState::Trial,
+        ServerUse::Ejected => FinalState::Ejected,
+        ServerUse::Leaving => FinalState::Leaving,
         ServerUse::Drained => panic!("not drained"),
     }
 }
 
 #[test]
-fn a_server_warms_up_evenly() {
+fn warm_up_is_linear() {
     let book = HealthBook::new(HealthConf::default());
     let now = Instant::now();
     book.set_servers(&[spot("a")], now);
     let name = ServerName::new("a");
     book.seen(&name, Incarnation(1), now);
-    assert_eq!(book.in_use(&name, now), ServerUse::Open, "the router has just started");
+    assert_eq!(book.in_use(&name, now), ServerUse::Open, "no warm-up at the first sighting");
     book.seen(&name, Incarnation(2), now);
     let share = |millis| match book.in_use(&name, now + ms(millis)) {
         ServerUse::Warming { share } => (share * 100.0).round(),
@@ -324,10 +329,10 @@
     assert_eq!(book.in_use(&name, now + ms(5_000)), ServerUse::Open);
 }
 
-/// Zones and pools have their own floors: the last replica of a service stays in use though all
-/// engines of its zone are well.
+/// The minimum share applies to each pool: the only server of a pool stays in use even if other
+/// pools of the zone are healthy.
 #[test]
-fn the_last_server_of_a_pool_is_never_ejected() {
+fn only_server_of_a_pool_is_not_ejected() {
     let book = HealthBook::new(HealthConf::default());
     let now = Instant::now();
     let checkout = ServerSpot { pool: Arc::from("checkout"), ..spot("checkout-1") };
