--- a/crates/admission/src/crash_record.rs
+++ b/crates/admission/src/crash_record.rs
@@ -1,4 +1,4 @@
-//! What is known of one crash.
+//! Record of one crash.
 
 use indexmap::IndexSet;
 use tokio::time::Instant;
@@ -6,22 +6,22 @@
 use crate::CrashProof;
 use crate::Fingerprint;
 
-/// What is known of one crash.
+/// One crash and its suspects.
 #[derive(Debug)]
 pub(crate) struct CrashRecord {
-    /// The requests that it may be due to.
-    pub(crate) prints: IndexSet<Fingerprint>,
+    /// The requests that may have caused it.
+    pub(crate) fingerprints: IndexSet<Fingerprint>,
     /// The request that was convicted of it.
     pub(crate) culprit: Option<Fingerprint>,
-    /// How sure it is.
+    /// Whether the crash is confirmed.
     pub(crate) proof: CrashProof,
-    /// When it was first heard of.
+    /// When it was first reported.
     pub(crate) at: Instant,
 }
 
 impl CrashRecord {
-    /// A crash without suspects yet.
+    /// Creates an unconfirmed crash without suspects.
     pub(crate) fn new(at: Instant) -> CrashRecord {
-        CrashRecord { prints: IndexSet::new(), culprit: None, proof: CrashProof::Broken, at }
+        CrashRecord { fingerprints: IndexSet::new(), culprit: None, proof: CrashProof::Broken, at }
     }
 }
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -5,11 +5,11 @@
 //! locks only briefly.
 
 mod adaptive_limit;
-mod case_file;
 mod class_conf;
 mod class_queue;
 mod class_rule;
 mod class_table;
+mod crash_evidence;
 mod crash_id;
 mod crash_record;
 mod drain_rate;
--- a/crates/admission/src/suspect_book.rs
+++ b/crates/admission/src/suspect_book.rs
@@ -1,4 +1,4 @@
-//! Requests that may crash the backend servers that run them.
+//! Detection of requests that crash backend servers.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -20,57 +20,57 @@
 use crate::suspect_state::SuspectState;
 use crate::trial_order::TrialOrder;
 
-/// Finds the request that crashes servers among all that were under way when one crashed.
+/// Detects the requests that crash servers, among all that were in flight at a crash.
 ///
-/// Each of those is a suspect and most are innocent. A suspect runs again with no other suspect
-/// on its server; it is cleared when its answer comes whole, and convicted when that server
-/// crashes too and nothing else explains it. Suspicion, runs and convictions travel to the other
-/// routers, so that a request sent again is treated there as what it is.
+/// All of those are suspects, most of them innocent. A suspect is run again without another suspect
+/// on its server. It is cleared when its response is complete, and convicted when that server
+/// crashes too and nothing else explains the crash. Suspicions, runs and convictions are shared
+/// with the other routers, so that they also apply to retries sent there.
 #[derive(Debug)]
 pub struct SuspectBook {
     state: Mutex<SuspectState>,
     changes: watch::Sender<u64>,
 }
 
-/// What is held of a request.
+/// Standing of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SuspectStanding {
-    /// Nothing is open against it.
+    /// No crash counts against it.
     Innocent,
-    /// It runs apart from other suspects.
+    /// It may run, but not on a server with another suspect.
     Suspect,
-    /// Two servers crashed with it; it may not run until it is known who did it.
+    /// Two servers crashed with it in flight; it may not run until the cause is known.
     Held,
-    /// It crashes servers, and is refused.
+    /// It crashes servers and is refused.
     Convicted,
 }
 
-/// How well a server suits a request, apart from load and cache.
+/// Whether a request may run on a server, regardless of load and cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunFit {
-    /// It is no suspect: any server.
+    /// Not a suspect: it may run on any server.
     Anywhere,
-    /// A suspect, on a server that is this router's for suspects: the first choice.
+    /// A suspect, on a server owned by this router for suspects: preferred.
     Own,
-    /// A suspect, on a server where another router may run one: the second choice.
+    /// A suspect, on a server owned by another router: second choice.
     Shared,
-    /// Another suspect runs there, or this one runs already, or it is another router's turn there.
+    /// Another suspect runs on the server, this one already runs, or other routers take precedence.
     Busy,
-    /// No server yet.
+    /// May not run on any server yet.
     Held {
         /// When to look again.
         retry_after: Duration,
     },
-    /// No server ever.
+    /// Convicted: may not run on any server.
     Never,
 }
 
 /// Why a run may not begin.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunRefusal {
-    /// As `RunFit::Busy`: try another server, or look again after a change or a turn.
+    /// As `RunFit::Busy`: try another server, or retry after a change or a delay.
     Busy,
-    /// It is not yet known which request crashes servers.
+    /// The cause of the crashes is not known yet.
     Held {
         /// When to look again.
         retry_after: Duration,
@@ -80,7 +80,7 @@
 }
 
 impl SuspectBook {
-    /// An empty book.
+    /// Creates a detector without suspects.
     pub fn new(conf: SuspectConf) -> Arc<SuspectBook> {
         Arc::new(SuspectBook {
             state: Mutex::new(SuspectState::new(conf)),
@@ -88,75 +88,81 @@
         })
     }
 
-    /// Names the routers among which servers are divided for runs of suspects.
+    /// Sets the routers among which the servers are divided for runs of suspects.
     pub fn set_routers(&self, own: &HostName, all: &[HostName]) {
-        lock(&self.state).set_order(TrialOrder::new(own, all));
+        lock(&self.state).set_trial_order(TrialOrder::new(own, all));
     }
 
-    /// What is held of a request now.
-    pub fn standing(&self, print: Fingerprint, now: Instant) -> SuspectStanding {
-        lock(&self.state).standing(print, now)
+    /// Current standing of a request.
+    pub fn standing(&self, fingerprint: Fingerprint, now: Instant) -> SuspectStanding {
+        lock(&self.state).standing(fingerprint, now)
     }
 
-    /// Whether and how well a request may run on a server.
-    pub fn may_run_on(&self, print: Fingerprint, server: &ServerName, now: Instant) -> RunFit {
-        lock(&self.state).fit(print, server, now)
+    /// Whether a request may run on a server.
+    pub fn may_run_on(
+        &self,
+        fingerprint: Fingerprint,
+        server: &ServerName,
+        now: Instant,
+    ) -> RunFit {
+        lock(&self.state).run_fit(fingerprint, server, now)
     }
 
-    /// Whether a suspect runs on a server: what runs beside it may become one.
+    /// Whether a suspect runs on a server. Requests sent there may become suspects.
     pub fn has_suspect(&self, server: &ServerName, now: Instant) -> bool {
         lock(&self.state).has_suspect(server, now)
     }
 
-    /// Begins a run, before its first byte is sent. The check and the entry are one step: two
+    /// Registers a run before its first byte is sent. Check and registration are atomic, so two
     /// threads can't both find the server free of suspects.
     pub fn begin(
         self: &Arc<SuspectBook>,
-        print: Fingerprint,
+        fingerprint: Fingerprint,
         server: &ServerName,
         incarnation: Incarnation,
         now: Instant,
     ) -> Result<SuspectRun, RunRefusal> {
-        let place = CrashId { server: server.clone(), incarnation };
-        let (id, standing) = lock(&self.state).begin(RunEntry { print, place }, now)?;
+        let target = CrashId { server: server.clone(), incarnation };
+        let (id, standing) = lock(&self.state).begin(RunEntry { fingerprint, target }, now)?;
         if standing == SuspectStanding::Suspect {
             self.notify();
         }
         Ok(SuspectRun::new(Arc::clone(self), id, standing))
     }
 
-    /// The server's process has ended under this incarnation or an earlier one: its port is
-    /// closed, or another process answers there.
+    /// Reports that this incarnation and all earlier ones have ended: the port is closed, or another
+    /// process answers there.
     pub fn crashed(&self, server: &ServerName, incarnation: Incarnation, now: Instant) {
         lock(&self.state).crashed(server, incarnation, now);
         self.notify();
     }
 
-    /// The server answered, under this incarnation, a question that was put after connections to
-    /// it broke.
+    /// Reports that the server answered a probe under this incarnation, sent after connections to it
+    /// broke.
     pub fn seen(&self, server: &ServerName, incarnation: Incarnation, now: Instant) {
         lock(&self.state).seen(server, incarnation, now);
         self.notify();
     }
 
-    /// Takes in another router's word.
+    /// Merges a verdict from another router.
     pub fn learn(&self, verdict: &SuspectVerdict, from: &HostName, now: Instant) {
-        lock(&self.state).learn(verdict, from, now);
+        lock(&self.state).merge(verdict, from, now);
         self.notify();
     }
 
-    /// What other routers have to be told since the last call; also drops what has expired.
+    /// Returns the verdicts changed since the last call, to be sent to other routers, and drops
+    /// expired records.
     pub fn news(&self, now: Instant) -> Vec<SuspectVerdict> {
-        lock(&self.state).news(now)
+        lock(&self.state).take_changed_verdicts(now)
     }
 
-    /// All that is known, for a router that has just started.
+    /// All verdicts, for a router that has just started.
     pub fn verdicts(&self, now: Instant) -> Vec<SuspectVerdict> {
         lock(&self.state).verdicts(now)
     }
 
-    /// Changes when a suspect's run begins or ends or a verdict comes in: who waits for a server
-    /// or for a verdict looks again, and control has news to send.
+    /// Notifies of new or ended runs of suspects and of merged verdicts, for tasks that wait for a
+    /// server or send verdicts to other routers.
     pub fn changes(&self) -> watch::Receiver<u64> {
         self.changes.subscribe()
     }
@@ -164,21 +170,21 @@
     pub(crate) fn end(&self, id: u64, end: RunEnd, now: Instant) {
         let mut state = lock(&self.state);
         match end {
-            RunEnd::Well => state.ended_well(id, now),
-            RunEnd::Broke => state.broke(id, now),
-            RunEnd::Withdrawn => state.withdraw(id, now),
+            RunEnd::Completed => state.run_completed(id, now),
+            RunEnd::ConnectionBroken => state.run_broke(id, now),
+            RunEnd::Abandoned => state.run_abandoned(id, now),
         }
     }
 
     pub(crate) fn notify(&self) {
-        self.changes.send_modify(|change| *change = change.wrapping_add(1));
+        self.changes.send_modify(|version| *version = version.wrapping_add(1));
     }
 }
 
 /// How a run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RunEnd {
-    Well,
-    Broke,
-    Withdrawn,
+    Completed,
+    ConnectionBroken,
+    Abandoned,
 }
--- a/crates/admission/src/suspect_conf.rs
+++ b/crates/admission/src/suspect_conf.rs
@@ -1,26 +1,26 @@
-//! Times and bounds of suspicion.
+//! Settings of crash suspicion.
 
 use std::time::Duration;
 
-/// Times and bounds of suspicion.
+/// Timeouts and limits of crash suspicion.
 #[derive(Clone, Copy, Debug)]
 pub struct SuspectConf {
-    /// Time after a second crash in which other routers' suspects of the same crash are waited
-    /// for: as long as peers need to hear of each other.
+    /// Time after a second crash before a suspect is assessed, so that other routers can report
+    /// their suspects of the same crash.
     pub settle: Duration,
-    /// Time that each router leaves to those before it at a server that is not its own for suspects.
+    /// Delay per rank before a router may run a suspect on a server; see `TrialOrder`.
     pub turn: Duration,
-    /// Time after a second crash in which the others of that crash are waited for.
+    /// Maximum time after a second crash to wait for the other suspects of that crash to run.
     pub trial_limit: Duration,
-    /// A run that ended unclearly still counts as under way at its server for this long.
+    /// Time for which a run that ended without a complete response counts as in flight.
     pub grace: Duration,
-    /// How long another router's word that it runs a suspect holds.
+    /// Validity of another router's report that it runs a suspect.
     pub run_lease: Duration,
-    /// How long a suspicion lasts without news.
+    /// Retention of a suspect without updates.
     pub suspect_ttl: Duration,
-    /// How long a conviction lasts.
+    /// Retention of a convicted request without updates.
     pub convicted_ttl: Duration,
-    /// Most fingerprints kept.
+    /// Maximum number of records.
     pub most_records: usize,
 }
 
--- a/crates/admission/src/suspect_record.rs
+++ b/crates/admission/src/suspect_record.rs
@@ -1,4 +1,4 @@
-//! What is known of one suspect.
+//! Record of one suspect.
 
 use std::time::Duration;
 
@@ -11,104 +11,100 @@
 use crate::CrashId;
 use crate::SuspectConf;
 
-/// Cleared crashes that are remembered, so that late news of them revives no suspicion.
-const MOST_CLEARED: usize = 8;
+/// Maximum number of cleared crashes kept per request, so that late reports of them are ignored.
+const MAX_CLEARED: usize = 8;
 
-/// What is known of one request that was under way when a server crashed.
+/// A request that was in flight when a server crashed.
 #[derive(Debug)]
 pub(crate) struct SuspectRecord {
     /// Crashes that count against it, and when each was seen.
-    pub(crate) open: IndexMap<CrashId, Instant>,
+    pub(crate) crashes: IndexMap<CrashId, Instant>,
     /// Crashes that it did not cause.
     pub(crate) cleared: IndexSet<CrashId>,
-    /// Whether it was convicted.
-    pub(crate) guilt: Guilt,
-    /// Other routers that run it, where, and until when their word holds.
-    runners: IndexMap<HostName, (ServerName, Instant)>,
-    touched: Instant,
+    pub(crate) status: SuspectStatus,
+    /// Other routers that run the request, with the server and the expiry of their report.
+    peer_runs: IndexMap<HostName, (ServerName, Instant)>,
+    last_updated: Instant,
 }
 
-/// Whether a suspect was convicted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Guilt {
-    Open,
+pub(crate) enum SuspectStatus {
+    Suspected,
     Convicted,
 }
 
 impl SuspectRecord {
-    /// Nothing known yet.
+    /// Creates a record without crashes.
     pub(crate) fn new(now: Instant) -> SuspectRecord {
         SuspectRecord {
-            open: IndexMap::new(),
+            crashes: IndexMap::new(),
             cleared: IndexSet::new(),
-            guilt: Guilt::Open,
-            runners: IndexMap::new(),
-            touched: now,
+            status: SuspectStatus::Suspected,
+            peer_runs: IndexMap::new(),
+            last_updated: now,
         }
     }
 
-    /// The last crash that counts against it.
-    pub(crate) fn latest(&self) -> Option<(&CrashId, Instant)> {
-        let (crash, at) = self.open.iter().max_by_key(|(crash, at)| (**at, *crash))?;
+    /// The latest crash that counts against the request.
+    pub(crate) fn latest_crash(&self) -> Option<(&CrashId, Instant)> {
+        let (crash, at) = self.crashes.iter().max_by_key(|(crash, at)| (**at, *crash))?;
         Some((crash, *at))
     }
 
-    /// Whether it has been there for more than one crash.
-    pub(crate) fn is_repeated(&self) -> bool {
-        self.open.len() > 1
+    pub(crate) fn has_multiple_crashes(&self) -> bool {
+        self.crashes.len() > 1
     }
 
-    /// A crash counts against it no more. A conviction needs two crashes, and falls without them.
-    pub(crate) fn acquit(&mut self, crash: &CrashId) {
-        self.open.shift_remove(crash);
-        if !self.is_repeated() {
-            self.guilt = Guilt::Open;
+    /// Removes a crash. A conviction is revoked if fewer than two crashes remain.
+    pub(crate) fn remove_crash(&mut self, crash: &CrashId) {
+        self.crashes.shift_remove(crash);
+        if !self.has_multiple_crashes() {
+            self.status = SuspectStatus::Suspected;
         }
     }
 
-    /// Remembers that it did not cause this crash.
-    pub(crate) fn remember_cleared(&mut self, crash: &CrashId) {
+    /// Records that the request did not cause this crash.
+    pub(crate) fn add_cleared(&mut self, crash: &CrashId) {
         self.cleared.insert(crash.clone());
-        if self.cleared.len() > MOST_CLEARED {
+        if self.cleared.len() > MAX_CLEARED {
             self.cleared.shift_remove_index(0);
         }
     }
 
-    /// There is news of it, or it is still being sent.
-    pub(crate) fn touch(&mut self, now: Instant) {
-        self.touched = now;
+    /// Restarts the expiry of the record.
+    pub(crate) fn mark_updated(&mut self, now: Instant) {
+        self.last_updated = now;
     }
 
-    /// Another router says whether and where it runs the request; gives back where it ran before.
-    pub(crate) fn set_runner(
+    /// Sets the run of another router and returns the server of its previous run.
+    pub(crate) fn set_peer_run(
         &mut self,
         host: &HostName,
         run: Option<(ServerName, Instant)>,
     ) -> Option<ServerName> {
-        let before = match run {
-            Some(run) => self.runners.insert(host.clone(), run),
-            None => self.runners.swap_remove(host),
+        let previous = match run {
+            Some(run) => self.peer_runs.insert(host.clone(), run),
+            None => self.peer_runs.swap_remove(host),
         };
-        before.map(|(server, _)| server)
+        previous.map(|(server, _)| server)
     }
 
-    /// Servers on which other routers run the request.
-    pub(crate) fn runs_elsewhere(&self, now: Instant) -> impl Iterator<Item = &ServerName> {
-        let fresh = move |(_, until): &&(ServerName, Instant)| *until > now;
-        self.runners.values().filter(fresh).map(|(server, _)| server)
+    /// Servers on which other routers currently run the request.
+    pub(crate) fn peer_run_servers(&self, now: Instant) -> impl Iterator<Item = &ServerName> {
+        let is_valid = move |(_, until): &&(ServerName, Instant)| *until > now;
+        self.peer_runs.values().filter(is_valid).map(|(server, _)| server)
     }
 
-    /// Whether it is no longer worth its memory.
     pub(crate) fn is_expired(&self, conf: &SuspectConf, now: Instant) -> bool {
-        let ttl = match self.guilt {
-            Guilt::Convicted => conf.convicted_ttl,
-            Guilt::Open => conf.suspect_ttl,
+        let ttl = match self.status {
+            SuspectStatus::Convicted => conf.convicted_ttl,
+            SuspectStatus::Suspected => conf.suspect_ttl,
         };
         self.age(now) > ttl
     }
 
-    /// Time since the last news.
+    /// Time since the last update.
     pub(crate) fn age(&self, now: Instant) -> Duration {
-        now.saturating_duration_since(self.touched)
+        now.saturating_duration_since(self.last_updated)
     }
 }
--- a/crates/admission/src/suspect_run.rs
+++ b/crates/admission/src/suspect_run.rs
@@ -1,4 +1,4 @@
-//! One run of a request at a server.
+//! Run of a request on a server.
 
 use std::sync::Arc;
 
@@ -8,8 +8,8 @@
 use crate::SuspectStanding;
 use crate::suspect_book::RunEnd;
 
-/// One run of a request at a server, from before its first byte is sent. Dropping it says that it
-/// ended without saying anything of the server.
+/// Run of a request on a server, created before the first byte is sent. Dropping it without
+/// reporting an end means that the run was abandoned, for example because the caller disconnected.
 #[derive(Debug)]
 pub struct SuspectRun {
     book: Arc<SuspectBook>,
@@ -20,29 +20,29 @@
 
 impl SuspectRun {
     pub(crate) fn new(book: Arc<SuspectBook>, id: u64, standing: SuspectStanding) -> SuspectRun {
-        SuspectRun { book, id, standing, end: RunEnd::Withdrawn }
+        SuspectRun { book, id, standing, end: RunEnd::Abandoned }
     }
 
-    /// What was held of the request when the run began.
+    /// Standing of the request when the run began.
     pub fn standing(&self) -> SuspectStanding {
         self.standing
     }
 
-    /// The whole answer came.
+    /// Reports that the response was complete.
     pub fn ended_well(mut self) {
-        self.end = RunEnd::Well;
+        self.end = RunEnd::Completed;
     }
 
-    /// The connection broke before the whole answer came.
+    /// Reports that the connection broke before the response was complete.
     pub fn broke(mut self) {
-        self.end = RunEnd::Broke;
+        self.end = RunEnd::ConnectionBroken;
     }
 }
 
 impl Drop for SuspectRun {
     fn drop(&mut self) {
         self.book.end(self.id, self.end, Instant::now());
-        if self.standing != SuspectStanding::Innocent || self.end == RunEnd::Broke {
+        if self.standing != SuspectStanding::Innocent || self.end == RunEnd::ConnectionBroken {
             self.book.notify();
         }
     }
--- a/crates/admission/src/suspect_state.rs
+++ b/crates/admission/src/suspect_state.rs
@@ -1,4 +1,4 @@
-//! The part of the suspect book behind its lock.
+//! State of `SuspectBook`, guarded by its lock.
 
 use std::time::Duration;
 
@@ -18,92 +18,95 @@
 use crate::SuspectStanding;
 use crate::SuspectVerdict;
 use crate::VerdictStanding;
-use crate::case_file::CaseFile;
-use crate::case_file::Judgement;
+use crate::crash_evidence::Assessment;
+use crate::crash_evidence::CrashEvidence;
 use crate::run_table::RunEntry;
 use crate::run_table::RunTable;
-use crate::suspect_record::Guilt;
+use crate::suspect_record::SuspectStatus;
 use crate::trial_order::TrialOrder;
 
-/// Turns that a router waits for at most.
-const MOST_TURNS: u32 = 8;
+/// Maximum number of ranks for which a router waits.
+const MAX_DELAYED_RANKS: u32 = 8;
 
-/// Suspects, crashes and runs.
+/// Suspects, crashes and runs of one router.
 #[derive(Debug)]
 pub(crate) struct SuspectState {
     conf: SuspectConf,
-    file: CaseFile,
+    evidence: CrashEvidence,
     runs: RunTable,
-    order: TrialOrder,
-    /// When the last suspect's run on a server ended, here or at another router.
-    freed: IndexMap<ServerName, Instant>,
+    trial_order: TrialOrder,
+    /// When the last run of a suspect on each server ended, on any router.
+    last_suspect_ended: IndexMap<ServerName, Instant>,
 }
 
 impl SuspectState {
-    /// Nothing known.
     pub(crate) fn new(conf: SuspectConf) -> SuspectState {
         SuspectState {
             conf,
-            file: CaseFile::new(conf),
+            evidence: CrashEvidence::new(conf),
             runs: RunTable::default(),
-            order: TrialOrder::default(),
-            freed: IndexMap::new(),
+            trial_order: TrialOrder::default(),
+            last_suspect_ended: IndexMap::new(),
         }
     }
 
-    /// The routers' order at each server.
-    pub(crate) fn set_order(&mut self, order: TrialOrder) {
-        self.order = order;
+    pub(crate) fn set_trial_order(&mut self, trial_order: TrialOrder) {
+        self.trial_order = trial_order;
     }
 
-    /// What is held of a request now.
-    pub(crate) fn standing(&mut self, print: Fingerprint, now: Instant) -> SuspectStanding {
-        let Some(record) = self.file.record(print) else {
+    /// Current standing of a request. May convict it.
+    pub(crate) fn standing(&mut self, fingerprint: Fingerprint, now: Instant) -> SuspectStanding {
+        let Some(record) = self.evidence.record(fingerprint) else {
             return SuspectStanding::Innocent;
         };
-        if record.guilt == Guilt::Convicted {
+        if record.status == SuspectStatus::Convicted {
             return SuspectStanding::Convicted;
         }
-        match record.open.len() {
+        match record.crashes.len() {
             0 => return SuspectStanding::Innocent,
             1 => return SuspectStanding::Suspect,
             _ => {}
         }
-        match self.file.judge(print, now) {
-            Judgement::MayRun => SuspectStanding::Suspect,
-            Judgement::Wait => SuspectStanding::Held,
-            Judgement::Guilty => {
-                self.file.convict(print);
+        match self.evidence.assess(fingerprint, now) {
+            Assessment::MayRun => SuspectStanding::Suspect,
+            Assessment::Wait => SuspectStanding::Held,
+            Assessment::Convict => {
+                self.evidence.convict(fingerprint);
                 SuspectStanding::Convicted
             }
         }
     }
 
-    /// How well a server suits a request, apart from load and cache.
-    pub(crate) fn fit(&mut self, print: Fingerprint, server: &ServerName, now: Instant) -> RunFit {
-        match self.standing(print, now) {
+    /// Whether a request may run on a server.
+    pub(crate) fn run_fit(
+        &mut self,
+        fingerprint: Fingerprint,
+        server: &ServerName,
+        now: Instant,
+    ) -> RunFit {
+        match self.standing(fingerprint, now) {
             SuspectStanding::Innocent => RunFit::Anywhere,
             SuspectStanding::Convicted => RunFit::Never,
             SuspectStanding::Held => RunFit::Held { retry_after: self.conf.settle },
-            SuspectStanding::Suspect if self.is_busy(print, server, now) => RunFit::Busy,
-            SuspectStanding::Suspect if self.order.rank(server) == 0 => RunFit::Own,
+            SuspectStanding::Suspect if self.is_busy(fingerprint, server, now) => RunFit::Busy,
+            SuspectStanding::Suspect if self.trial_order.rank(server) == 0 => RunFit::Own,
             SuspectStanding::Suspect => RunFit::Shared,
         }
     }
 
-    /// Begins a run, if it may begin now.
+    /// Registers a run, if it may begin now.
     pub(crate) fn begin(
         &mut self,
         run: RunEntry,
         now: Instant,
     ) -> Result<(u64, SuspectStanding), RunRefusal> {
-        let standing = self.standing(run.print, now);
+        let standing = self.standing(run.fingerprint, now);
         match standing {
             SuspectStanding::Innocent => {}
             SuspectStanding::Convicted => {
-                // A request that is still being sent stays convicted.
-                if let Some(record) = self.file.record_mut(run.print) {
-                    record.touch(now);
+                // The conviction doesn't expire while callers keep sending the request.
+                if let Some(record) = self.evidence.record_mut(run.fingerprint) {
+                    record.mark_updated(now);
                 }
                 return Err(RunRefusal::Convicted);
             }
@@ -111,164 +114,177 @@
                 return Err(RunRefusal::Held { retry_after: self.conf.settle });
             }
             SuspectStanding::Suspect => {
-                if self.is_busy(run.print, &run.place.server, now) {
+                if self.is_busy(run.fingerprint, &run.target.server, now) {
                     return Err(RunRefusal::Busy);
                 }
-                self.file.mark_changed(run.print);
+                self.evidence.mark_changed(run.fingerprint);
             }
         }
         Ok((self.runs.begin(run), standing))
     }
 
-    /// The run's whole answer came: the request crashes nothing.
-    pub(crate) fn ended_well(&mut self, id: u64, now: Instant) {
-        let Some(run) = self.end(id, now) else {
+    /// Ends a run with a complete response, which clears the request of all crashes.
+    pub(crate) fn run_completed(&mut self, id: u64, now: Instant) {
+        let Some(run) = self.remove_run(id, now) else {
             return;
         };
-        let Some(record) = self.file.record(run.print) else {
+        let Some(record) = self.evidence.record(run.fingerprint) else {
             return;
         };
-        let crashes: Vec<CrashId> = record.open.keys().cloned().collect();
+        let crashes: Vec<CrashId> = record.crashes.keys().cloned().collect();
         for crash in &crashes {
-            self.file.clear(run.print, crash, now);
+            self.evidence.clear(run.fingerprint, crash, now);
         }
     }
 
-    /// The run's connection broke: a crash unless the server turns out to live.
-    pub(crate) fn broke(&mut self, id: u64, now: Instant) {
-        let Some(run) = self.end(id, now) else {
+    /// Ends a run whose connection broke, which counts as a crash unless the server turns out to be
+    /// running.
+    pub(crate) fn run_broke(&mut self, id: u64, now: Instant) {
+        let Some(run) = self.remove_run(id, now) else {
             return;
         };
-        self.file.accuse(run.print, &sighted(&run.place, CrashProof::Broken), now);
-        self.runs.remember(run, &self.conf, now);
+        self.evidence.add_suspicion(
+            run.fingerprint,
+            &sighting_now(&run.target, CrashProof::Broken),
+            now,
+        );
+        self.runs.remember_ended(run, &self.conf, now);
     }
 
-    /// The run ended for another reason, for example since its caller hung up.
-    pub(crate) fn withdraw(&mut self, id: u64, now: Instant) {
-        let Some(run) = self.end(id, now) else {
+    /// Ends a run for another reason, for example because the caller disconnected.
+    pub(crate) fn run_abandoned(&mut self, id: u64, now: Instant) {
+        let Some(run) = self.remove_run(id, now) else {
             return;
         };
-        self.runs.remember(run, &self.conf, now);
+        self.runs.remember_ended(run, &self.conf, now);
     }
 
-    /// The server's process has ended: all that was under way there is suspect.
+    /// Records a confirmed crash. All requests in flight on the server become suspects.
     pub(crate) fn crashed(&mut self, server: &ServerName, incarnation: Incarnation, now: Instant) {
         let crash = CrashId { server: server.clone(), incarnation };
-        self.file.note_crash(&crash, now);
-        self.file.confirm(&crash);
-        for run in self.runs.victims(server, incarnation, &self.conf, now) {
-            self.file.accuse(run.print, &sighted(&run.place, CrashProof::Confirmed), now);
+        self.evidence.crash_entry(&crash, now);
+        self.evidence.confirm_crash(&crash);
+        for run in self.runs.affected_by_crash(server, incarnation, &self.conf, now) {
+            self.evidence.add_suspicion(
+                run.fingerprint,
+                &sighting_now(&run.target, CrashProof::Confirmed),
+                now,
+            );
         }
-        self.prove(server, |place| place <= incarnation);
+        self.confirm_crashes(server, |crashed| crashed <= incarnation);
     }
 
-    /// The server was heard after connections to it broke: a break under the same incarnation was
-    /// no crash, one under an earlier incarnation was.
+    /// Records that the server answered a probe after connections to it broke. Unconfirmed crashes of
+    /// earlier incarnations are confirmed, and one of the same incarnation is discarded.
     pub(crate) fn seen(&mut self, server: &ServerName, incarnation: Incarnation, now: Instant) {
-        self.prove(server, |place| place < incarnation);
-        for crash in self.file.unproven(server, |place| place == incarnation) {
-            self.file.dismiss(&crash, now);
+        self.confirm_crashes(server, |crashed| crashed < incarnation);
+        for crash in self.evidence.unconfirmed_crashes(server, |crashed| crashed == incarnation) {
+            self.evidence.discard_crash(&crash, now);
         }
     }
 
-    /// Another router's word. It is not told on: its origin tells all.
-    pub(crate) fn learn(&mut self, verdict: &SuspectVerdict, from: &HostName, now: Instant) {
-        let changed = self.file.take_changed();
+    /// Merges a verdict from another router. It is not forwarded: its sender sends it to all routers.
+    pub(crate) fn merge(&mut self, verdict: &SuspectVerdict, from: &HostName, now: Instant) {
+        let changed = self.evidence.take_changed();
         for crash in &verdict.cleared {
-            self.file.learn_cleared(verdict.print, crash, now);
+            self.evidence.record_cleared_by_peer(verdict.print, crash, now);
         }
         for sighting in &verdict.crashes {
-            self.file.accuse(verdict.print, sighting, now);
+            self.evidence.add_suspicion(verdict.print, sighting, now);
         }
         let until = now + self.conf.run_lease;
-        if let Some(record) = self.file.record_mut(verdict.print) {
+        if let Some(record) = self.evidence.record_mut(verdict.print) {
             let run = verdict.running_on.clone().map(|server| (server, until));
-            if let Some(server) = record.set_runner(from, run) {
-                self.freed.insert(server, now);
+            if let Some(server) = record.set_peer_run(from, run) {
+                self.last_suspect_ended.insert(server, now);
             }
-            if verdict.standing == VerdictStanding::Convicted && record.is_repeated() {
-                self.file.convict(verdict.print);
+            if verdict.standing == VerdictStanding::Convicted && record.has_multiple_crashes() {
+                self.evidence.convict(verdict.print);
             }
         }
-        self.file.set_changed(changed);
-        // The sender would run it again, not knowing that it is under way here, too.
-        if self.runs.place_of(verdict.print).is_some() && self.file.is_suspect(verdict.print) {
-            self.file.mark_changed(verdict.print);
+        self.evidence.set_changed(changed);
+        // Let the sender know that the request is in flight here, so that it doesn't run it as well.
+        if self.runs.target_of(verdict.print).is_some() && self.evidence.is_suspect(verdict.print) {
+            self.evidence.mark_changed(verdict.print);
         }
     }
 
-    /// What has changed since the last call.
-    pub(crate) fn news(&mut self, now: Instant) -> Vec<SuspectVerdict> {
-        self.file.prune(now);
-        self.freed.retain(|_, at| now.saturating_duration_since(*at) <= self.conf.run_lease);
-        let prints: Vec<Fingerprint> = self.file.prints().collect();
-        for print in prints {
-            self.standing(print, now);
+    /// Verdicts changed since the last call.
+    pub(crate) fn take_changed_verdicts(&mut self, now: Instant) -> Vec<SuspectVerdict> {
+        self.evidence.prune(now);
+        self.last_suspect_ended
+            .retain(|_, at| now.saturating_duration_since(*at) <= self.conf.run_lease);
+        let fingerprints: Vec<Fingerprint> = self.evidence.fingerprints().collect();
+        for fingerprint in fingerprints {
+            self.standing(fingerprint, now);
         }
-        let changed = self.file.take_changed();
-        changed.into_iter().filter_map(|print| self.verdict(print, now)).collect()
+        let changed = self.evidence.take_changed();
+        changed.into_iter().filter_map(|fingerprint| self.verdict(fingerprint, now)).collect()
     }
 
-    /// All that is known.
+    /// All verdicts.
     pub(crate) fn verdicts(&self, now: Instant) -> Vec<SuspectVerdict> {
-        self.file.prints().filter_map(|print| self.verdict(print, now)).collect()
+        self.evidence
+            .fingerprints()
+            .filter_map(|fingerprint| self.verdict(fingerprint, now))
+            .collect()
     }
 
-    /// Whether a suspect runs on a server, through any router.
+    /// Whether any router runs a suspect on a server.
     pub(crate) fn has_suspect(&self, server: &ServerName, now: Instant) -> bool {
-        self.runs.prints_on(server).any(|print| self.file.is_suspect(print))
-            || self.file.runs_elsewhere(server, now)
+        self.runs.fingerprints_on(server).any(|fingerprint| self.evidence.is_suspect(fingerprint))
+            || self.evidence.has_peer_run(server, now)
     }
 
-    /// A suspect runs once at a time, and with no other suspect on its server: if two crashed it
-    /// together, neither could be told from the other. Routers hear of each other's runs late, so
-    /// they take turns at a server in a fixed order, each a little after the one before it.
-    fn is_busy(&self, print: Fingerprint, server: &ServerName, now: Instant) -> bool {
-        if self.runs.place_of(print).is_some() || self.has_suspect(server, now) {
+    /// Whether a suspect must not start on a server now. A suspect has at most one run at a time, and
+    /// no two suspects share a server, since a crash could not be attributed to either. Reports of
+    /// other routers' runs arrive with a delay, so routers of a higher rank at the server wait longer
+    /// before they use it.
+    fn is_busy(&self, fingerprint: Fingerprint, server: &ServerName, now: Instant) -> bool {
+        if self.runs.target_of(fingerprint).is_some() || self.has_suspect(server, now) {
             return true;
         }
-        let Some(record) = self.file.record(print) else {
+        let Some(record) = self.evidence.record(fingerprint) else {
             return false;
         };
-        let suspected = record.latest().map(|(_, at)| at);
-        let free_since = suspected.max(self.freed.get(server).copied());
-        let turn = self.conf.turn * self.order.rank(server).min(MOST_TURNS);
-        let too_early = free_since.is_some_and(|since| now < since + turn);
-        too_early || record.runs_elsewhere(now).next().is_some()
+        let last_crash = record.latest_crash().map(|(_, at)| at);
+        let free_since = last_crash.max(self.last_suspect_ended.get(server).copied());
+        let rank_delay = self.conf.turn * self.trial_order.rank(server).min(MAX_DELAYED_RANKS);
+        let too_early = free_since.is_some_and(|since| now < since + rank_delay);
+        too_early || record.peer_run_servers(now).next().is_some()
     }
 
-    /// Takes a run out.
-    fn end(&mut self, id: u64, now: Instant) -> Option<RunEntry> {
+    /// Removes a run.
+    fn remove_run(&mut self, id: u64, now: Instant) -> Option<RunEntry> {
         let run = self.runs.end(id)?;
-        if self.file.is_suspect(run.print) {
-            self.freed.insert(run.place.server.clone(), now);
-            self.file.mark_changed(run.print);
+        if self.evidence.is_suspect(run.fingerprint) {
+            self.last_suspect_ended.insert(run.target.server.clone(), now);
+            self.evidence.mark_changed(run.fingerprint);
         }
         Some(run)
     }
 
-    /// Breaks under these incarnations were crashes.
-    fn prove(&mut self, server: &ServerName, ended: impl Fn(Incarnation) -> bool) {
-        for crash in self.file.unproven(server, ended) {
-            self.file.confirm(&crash);
+    /// Confirms the unconfirmed crashes of incarnations that have ended.
+    fn confirm_crashes(&mut self, server: &ServerName, has_ended: impl Fn(Incarnation) -> bool) {
+        for crash in self.evidence.unconfirmed_crashes(server, has_ended) {
+            self.evidence.confirm_crash(&crash);
         }
     }
 
-    fn verdict(&self, print: Fingerprint, now: Instant) -> Option<SuspectVerdict> {
-        let record = self.file.record(print)?;
-        let standing = match record.guilt {
-            Guilt::Convicted => VerdictStanding::Convicted,
-            Guilt::Open if record.open.is_empty() => VerdictStanding::Innocent,
-            Guilt::Open => VerdictStanding::Suspect,
+    fn verdict(&self, fingerprint: Fingerprint, now: Instant) -> Option<SuspectVerdict> {
+        let record = self.evidence.record(fingerprint)?;
+        let standing = match record.status {
+            SuspectStatus::Convicted => VerdictStanding::Convicted,
+            SuspectStatus::Suspected if record.crashes.is_empty() => VerdictStanding::Innocent,
+            SuspectStatus::Suspected => VerdictStanding::Suspect,
         };
         let cleared = record.cleared.iter().cloned().collect();
-        let running_on = self.runs.place_of(print).map(|place| place.server.clone());
-        let crashes = self.file.sightings(record, now);
-        Some(SuspectVerdict { print, standing, running_on, crashes, cleared })
+        let running_on = self.runs.target_of(fingerprint).map(|target| target.server.clone());
+        let crashes = self.evidence.sightings(record, now);
+        Some(SuspectVerdict { print: fingerprint, standing, running_on, crashes, cleared })
     }
 }
 
-/// A crash that is seen at this moment.
-fn sighted(place: &CrashId, proof: CrashProof) -> CrashSighting {
-    CrashSighting { crash: place.clone(), age: Duration::ZERO, proof }
+fn sighting_now(target: &CrashId, proof: CrashProof) -> CrashSighting {
+    CrashSighting { crash: target.clone(), age: Duration::ZERO, proof }
 }
--- a/crates/admission/src/suspect_verdict.rs
+++ b/crates/admission/src/suspect_verdict.rs
@@ -1,4 +1,4 @@
-//! What routers tell each other of a suspect.
+//! Messages about suspects between routers.
 
 use std::time::Duration;
 
@@ -7,27 +7,28 @@
 use crate::CrashId;
 use crate::Fingerprint;
 
-/// What one router knows of a request. Merging is a union: it may come late, twice or crossed.
+/// A router's knowledge of a request. Merging is commutative and idempotent, so messages may arrive
+/// late, repeatedly or out of order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SuspectVerdict {
-    /// The request.
+    /// Fingerprint of the request.
     pub print: Fingerprint,
-    /// What the sender holds of it.
+    /// Standing of the request at the sender.
     pub standing: VerdictStanding,
-    /// Where the sender runs it at this moment.
+    /// Server on which the sender currently runs the request.
     pub running_on: Option<ServerName>,
-    /// The crashes that count against it.
+    /// Crashes that count against the request.
     pub crashes: Vec<CrashSighting>,
-    /// The crashes that it turned out not to have caused.
+    /// Crashes that the request was cleared of.
     pub cleared: Vec<CrashId>,
 }
 
-/// What a router holds of a request.
+/// Standing of a request at a router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VerdictStanding {
-    /// Nothing is open against it.
+    /// No crash counts against it.
     Innocent,
-    /// It was under way at a server that crashed.
+    /// It was in flight on a server that crashed.
     Suspect,
     /// It crashes the servers that run it.
     Convicted,
@@ -38,16 +39,16 @@
 pub struct CrashSighting {
     /// The crash.
     pub crash: CrashId,
-    /// How long ago it was seen.
+    /// Time since the crash was detected.
     pub age: Duration,
-    /// How sure it is.
+    /// Whether the crash is confirmed.
     pub proof: CrashProof,
 }
 
-/// How sure a crash is.
+/// Evidence of a crash.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CrashProof {
-    /// The connection broke; the server may still live.
+    /// A connection broke; the server may still be running.
     Broken,
     /// The server's process has ended.
     Confirmed,
