--- a/crates/admission/src/gate_load.rs
+++ b/crates/admission/src/gate_load.rs
@@ -61,9 +61,9 @@
         if priority > conf.urgent_priority {
             let requests_limit = scale_limit(requests_limit, conf.lesser_share);
             let tokens_limit = tokens_limit * conf.lesser_share;
-            let non_urgent = self.non_urgent.room(requests_limit, tokens_limit, tokens);
-            if non_urgent != GateRoom::Free {
-                return non_urgent;
+            let non_urgent_room = self.non_urgent.room(requests_limit, tokens_limit, tokens);
+            if non_urgent_room != GateRoom::Free {
+                return non_urgent_room;
             }
         }
         let Some(team_load) = self.teams.get(team) else {
--- a/crates/admission/src/gate_state.rs
+++ b/crates/admission/src/gate_state.rs
@@ -247,8 +247,8 @@
         now: Instant,
     ) -> (EntryAction, Option<QueueDecision>) {
         let idle_ttft = self.limit.idle_ttft(request.prefill_tokens);
-        let give_up = request.class.deadline.checked_sub(idle_ttft).unwrap_or(now);
-        let slack = give_up.saturating_duration_since(now);
+        let expires_at = request.class.deadline.checked_sub(idle_ttft).unwrap_or(now);
+        let slack = expires_at.saturating_duration_since(now);
         let wait = self.estimate_wait(request, now);
         if slack.is_zero() || wait.is_some_and(|wait| wait > slack) {
             let retry_after = wait.unwrap_or(DEFAULT_RETRY_AFTER).saturating_sub(slack);
@@ -263,16 +263,16 @@
                 return (refuse(ErrorKind::QueueFull, wait.unwrap_or(DEFAULT_RETRY_AFTER)), None);
             }
         }
-        let id = self.push(request, sender, give_up, now);
+        let id = self.push(request, sender, expires_at, now);
         let displaced = displaced.map(|entry| self.reject(ErrorKind::QueueFull, entry, now));
-        (EntryAction::Wait(id, give_up), displaced)
+        (EntryAction::Wait(id, expires_at), displaced)
     }
 
     fn push(
         &mut self,
         request: &GateRequest,
         sender: oneshot::Sender<crate::GateOutcome>,
-        give_up: Instant,
+        expires_at: Instant,
         now: Instant,
     ) -> u64 {
         let id = self.next_id;
@@ -284,7 +284,7 @@
             priority,
             prefill_tokens: request.prefill_tokens,
             cost: self.cost(request),
-            give_up,
+            give_up: expires_at,
             sender,
         };
         self.queue.class(priority).push(entry, now);
--- a/crates/admission/src/gate_waiter.rs
+++ b/crates/admission/src/gate_waiter.rs
@@ -17,7 +17,7 @@
     id: u64,
     priority: u8,
     team: TeamName,
-    give_up: Instant,
+    expires_at: Instant,
     receiver: oneshot::Receiver<GateOutcome>,
 }
 
@@ -27,15 +27,15 @@
         id: u64,
         priority: u8,
         team: TeamName,
-        give_up: Instant,
+        expires_at: Instant,
         receiver: oneshot::Receiver<GateOutcome>,
     ) -> GateWaiter {
-        GateWaiter { gate, id, priority, team, give_up, receiver }
+        GateWaiter { gate, id, priority, team, expires_at, receiver }
     }
 
     /// When the request expires: if sent later, its first token would miss the deadline.
     pub fn give_up(&self) -> Instant {
-        self.give_up
+        self.expires_at
     }
 
     /// Waits for the decision, at most until the request expires.
@@ -43,7 +43,7 @@
     /// Dropping the future removes the request from the queue. If the request has already been
     /// admitted, its ticket is dropped and the slot goes to the next request.
     pub async fn wait(mut self) -> GateOutcome {
-        let decision = tokio::time::timeout_at(self.give_up, &mut self.receiver).await;
+        let decision = tokio::time::timeout_at(self.expires_at, &mut self.receiver).await;
         if let Ok(decision) = decision {
             return decision.unwrap_or(GateOutcome::Moved(MoveReason::Gone));
         }
--- a/crates/admission/src/server_gate.rs
+++ b/crates/admission/src/server_gate.rs
@@ -58,11 +58,11 @@
             EntryAction::Admit(slot) => GateEntry::Decided(self.admit(slot, now)),
             EntryAction::Refuse(refusal) => GateEntry::Decided(GateOutcome::Refused(refusal)),
             EntryAction::Move(reason) => GateEntry::Decided(GateOutcome::Moved(reason)),
-            EntryAction::Wait(id, give_up) => {
+            EntryAction::Wait(id, expires_at) => {
                 let priority = request.class.conf.priority;
                 let team = request.team.clone();
                 let gate = Arc::clone(self);
-                GateEntry::Queued(GateWaiter::new(gate, id, priority, team, give_up, receiver))
+                GateEntry::Queued(GateWaiter::new(gate, id, priority, team, expires_at, receiver))
             }
         }
     }
--- a/crates/admission/tests/gate.rs
+++ b/crates/admission/tests/gate.rs
@@ -177,9 +177,9 @@
 async fn full_queue_displaces_request_of_largest_team() {
     let gate = fixed_gate(1, 100_000);
     let class = class(BATCH, 60_000, 3);
-    let in_flight = admitted(enter(&gate, "crowd", &class, 1));
-    let mut large_team: Vec<_> = (0..3).map(|_| queued(enter(&gate, "crowd", &class, 1))).collect();
-    let rejected = enter(&gate, "crowd", &class, 1);
+    let in_flight = admitted(enter(&gate, "large", &class, 1));
+    let mut large_team: Vec<_> = (0..3).map(|_| queued(enter(&gate, "large", &class, 1))).collect();
+    let rejected = enter(&gate, "large", &class, 1);
     assert!(matches!(
         rejected,
         GateEntry::Decided(GateOutcome::Refused(refusal)) if refusal.kind == ErrorKind::QueueFull
--- a/crates/admission/tests/gate_properties.rs
+++ b/crates/admission/tests/gate_properties.rs
@@ -84,7 +84,7 @@
     }
 
     fn enter(&mut self, rng: &mut Dice) {
-        let team = ["crowd", "crowd", "crowd", "other", "third"][rng.below(5)];
+        let team = ["large", "large", "large", "other", "third"][rng.below(5)];
         let class = &self.classes[rng.below(2)];
         let tokens = [0, 10, 300, 900, 5_000][rng.below(5)];
         let request = request(team, class, tokens);
--- a/crates/admission/tests/suspect_book.rs
+++ b/crates/admission/tests/suspect_book.rs
@@ -229,7 +229,8 @@
         runs.into_iter().for_each(SuspectRun::broke);
         book.crashed(&ServerName::new(server), Incarnation(1), Instant::now());
     };
-    let standings = || [innocent, first, second].map(|it| book.standing(it, Instant::now()));
+    let standings =
+        || [innocent, first, second].map(|fingerprint| book.standing(fingerprint, Instant::now()));
     crash("a", vec![run(innocent, "a"), run(first, "a")]);
     advance(ms(100)).await;
     crash("b", vec![run(innocent, "b"), run(second, "b")]);
@@ -293,7 +294,8 @@
 async fn in_flight_run_of_new_suspect_is_reported() {
     let book = SuspectBook::new(SuspectConf::default());
     let (fingerprint, server) = (Fingerprint(7), ServerName::new("b"));
-    let _run = book.begin(fingerprint, &server, Incarnation(1), Instant::now()).expect("innocent");
+    let _run =
+        book.begin(fingerprint, &server, Incarnation(1), Instant::now()).expect("not a suspect");
     assert!(book.news(Instant::now()).is_empty());
     let verdict_received = verdict(fingerprint, VerdictStanding::Suspect, &[("a", 1)], &[]);
     book.learn(&verdict_received, &HostName::new("entry-9"), Instant::now());
