--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -1,14 +1,15 @@
-//! Which request runs when: classes, team limits, queues, server health, retry budget, suspects.
+//! Admission control: request classes, team limits and quotas, server queues, server health, retry
+//! budget and detection of requests that crash servers.
 //!
-//! Nothing here does I/O. All types are shared by the traffic threads of one router; each holds
-//! its locks for one short step.
+//! Nothing here does I/O. All types are shared by the traffic threads of one router and hold their
+//! locks only briefly.
 
 mod adaptive_limit;
-mod case_file;
 mod class_conf;
 mod class_queue;
 mod class_rule;
 mod class_table;
+mod crash_evidence;
 mod crash_id;
 mod crash_record;
 mod drain_rate;
@@ -36,7 +37,6 @@
 mod quota_report;
 mod quota_tracker;
 mod reach_book;
-mod reach_view;
 mod request_class;
 mod retry_budget;
 mod run_table;
@@ -45,6 +45,7 @@
 mod server_result;
 mod server_spot;
 mod server_use;
+mod sharing_view;
 mod suspect_book;
 mod suspect_conf;
 mod suspect_record;
