--- a/crates/admission/src/quota_bucket.rs
+++ b/crates/admission/src/quota_bucket.rs
@@ -1,4 +1,4 @@
-//! One team's quota as one router sees it.
+//! Token bucket for one team's quota at one router.
 
 use std::time::Duration;
 
@@ -7,370 +7,404 @@
 
 use crate::QuotaConf;
 use crate::TeamQuota;
-use crate::quota_reach::QuotaReach;
-use crate::use_rate::UseRate;
-
-/// What is expected of other routers since their last reports rests on so much of their use.
-const SHORT_SPAN: Duration = Duration::from_millis(250);
-/// Parts of a quota rest on so much use.
-const LONG_SPAN: Duration = Duration::from_secs(4);
-/// The part of a quota that routers share equally whatever their use.
-const EQUAL_PART: f64 = 0.1;
-/// The sides of a cut know each other's use up to different moments, so that their parts may sum up to more
-/// than the whole. Each takes this share of its part.
-const CUT_SHARE: f64 = 0.93;
-/// A surge at this router is taken for one at all of them, up to this factor.
-const MOST_SURGE: f64 = 8.0;
-/// The share of the bound's margin for use that no report has covered yet.
-const MARGIN_SHARE: f64 = 0.2;
-/// The share of the margin that may be saved up beside the burst.
-const DEPTH_SHARE: f64 = 0.3;
-/// A bucket holds this share of what the rate grants in a window at least.
-const LEAST_DEPTH_SHARE: f64 = 1.0 / 16.0;
-/// The share of a burst that is granted evenly over each window, beside the rate. The bound of a window is
-/// the same, steady use comes closer to it, and less is spent before routers know of each other's use.
-const EVEN_SHARE: f64 = 0.75;
-
-/// A token bucket that all routers fill at the same rate and empty by each other's reports.
+use crate::decaying_rate::DecayingRate;
+use crate::peer_tracker::PeerTracker;
+
+/// Averaging period for estimating the unreported usage of other routers.
+const SHORT_AVERAGING_PERIOD: Duration = Duration::from_millis(250);
+/// Averaging period for dividing a quota by usage.
+const LONG_AVERAGING_PERIOD: Duration = Duration::from_secs(4);
+/// Fraction of a quota that is divided equally among routers, regardless of usage.
+const EQUAL_FRACTION: f64 = 0.1;
+/// Factor applied to a router's share of the quota during a network partition. The sides of a
+/// partition compute the shares from usage at different times, so the shares may add up to more
+/// than the quota.
+const PARTITION_FACTOR: f64 = 0.93;
+/// Upper bound of the factor by which a local surge is assumed to occur at all routers.
+const MAX_SURGE_FACTOR: f64 = 8.0;
+/// Fraction of the overage margin that is available for unreported usage.
+const UNREPORTED_MARGIN_FRACTION: f64 = 0.2;
+/// Fraction of the overage margin that is added to the bucket's capacity.
+const CAPACITY_MARGIN_FRACTION: f64 = 0.3;
+/// Minimum capacity of a bucket, as a fraction of the tokens that the rate grants in a window.
+const MIN_CAPACITY_FRACTION: f64 = 1.0 / 16.0;
+/// Fraction of the burst that is added to the refill rate, spread over the window, instead of to
+/// the capacity. The total for a window stays the same, and less can be spent before routers learn
+/// of each other's usage.
+const STEADY_BURST_FRACTION: f64 = 0.75;
+
+/// A token bucket that every router refills at the same rate. Both local requests and the usage
+/// reported by other routers are deducted from it.
 #[derive(Debug)]
 pub(crate) struct QuotaBucket {
     pub(crate) quota: TeamQuota,
-    /// Tokens left; negative after more was used than there was.
+    /// Available tokens; negative when more tokens were used than were available.
     level: f64,
     updated: Instant,
-    /// The part of the quota that this router shares with those in reach.
-    share: f64,
-    /// Tokens kept for routers that have fallen out of reach.
-    withheld: f64,
-    /// All routers have been in reach since.
-    whole_since: Option<Instant>,
-    own: RouterUse,
-    /// Tokens that were asked for here, refused ones included.
-    asked: RouterUse,
-    peers: IndexMap<usize, RouterUse>,
-    /// Routers out of reach, with the parts of the quota that are kept for them.
-    lost: IndexMap<usize, f64>,
-    /// Parts by use, the present ones and those before them.
-    parts: [IndexMap<usize, f64>; 2],
-    parted: Instant,
-    /// Tokens promised to callers that were refused.
-    promised: f64,
-    promised_at: Instant,
-    /// Tokens that were admitted here and ran nowhere.
-    credit: f64,
-    /// The part of `own.total` that reports have covered.
-    reported: u64,
+    /// Fraction of the quota available to this router and the reachable routers together.
+    reachable_share: f64,
+    /// Tokens reserved for unreachable routers.
+    reserved: f64,
+    /// Time since which all routers have been reachable.
+    all_reachable_since: Option<Instant>,
+    own: RouterUsage,
+    /// Tokens requested at this router, including refused requests.
+    requested: RouterUsage,
+    peers: IndexMap<usize, RouterUsage>,
+    /// Unreachable routers and the fractions of the quota reserved for them.
+    unreachable: IndexMap<usize, f64>,
+    /// Fractions of the quota by usage: the previous and the current ones.
+    usage_shares: [IndexMap<usize, f64>; 2],
+    usage_shares_updated: Instant,
+    /// Tokens that refused callers are expected to request again.
+    retry_backlog: f64,
+    retry_backlog_updated: Instant,
+    /// Refunded tokens that have not been deducted from later usage yet.
+    refunded: f64,
+    /// Value of `own.total` in the last report.
+    reported_total: u64,
 }
 
 #[derive(Debug)]
-struct RouterUse {
+struct RouterUsage {
     total: u64,
-    short: UseRate,
-    long: UseRate,
-    /// It was out of reach, and what it used then is not reported yet.
-    is_late: bool,
+    short_rate: DecayingRate,
+    long_rate: DecayingRate,
+    /// The router was unreachable and has not reported its usage during that time yet.
+    is_report_overdue: bool,
 }
 
-/// The outcome of a request for tokens.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) enum BucketAnswer {
+pub(crate) enum BucketDecision {
     Admitted,
     Refused { retry_after: Duration },
 }
 
-impl RouterUse {
-    fn new(now: Instant) -> RouterUse {
-        let (short, long) = (UseRate::new(SHORT_SPAN, now), UseRate::new(LONG_SPAN, now));
-        RouterUse { total: 0, short, long, is_late: false }
+impl RouterUsage {
+    fn new(now: Instant) -> RouterUsage {
+        let (short_rate, long_rate) = (
+            DecayingRate::new(SHORT_AVERAGING_PERIOD, now),
+            DecayingRate::new(LONG_AVERAGING_PERIOD, now),
+        );
+        RouterUsage { total: 0, short_rate, long_rate, is_report_overdue: false }
     }
 
     fn add(&mut self, tokens: u64, now: Instant) {
         self.total += tokens;
-        self.short.add(tokens as f64, now);
-        self.long.add(tokens as f64, now);
+        self.short_rate.add(tokens as f64, now);
+        self.long_rate.add(tokens as f64, now);
     }
 }
 
 impl QuotaBucket {
-    /// A bucket with this level.
     pub(crate) fn new(quota: TeamQuota, level: f64, now: Instant) -> QuotaBucket {
         QuotaBucket {
             quota,
             level,
             updated: now,
-            share: 1.0,
-            withheld: 0.0,
-            whole_since: None,
-            own: RouterUse::new(now),
-            asked: RouterUse::new(now),
+            reachable_share: 1.0,
+            reserved: 0.0,
+            all_reachable_since: None,
+            own: RouterUsage::new(now),
+            requested: RouterUsage::new(now),
             peers: IndexMap::new(),
-            lost: IndexMap::new(),
-            parts: Default::default(),
-            parted: now,
-            promised: 0.0,
-            promised_at: now,
-            credit: 0.0,
-            reported: 0,
+            unreachable: IndexMap::new(),
+            usage_shares: Default::default(),
+            usage_shares_updated: now,
+            retry_backlog: 0.0,
+            retry_backlog_updated: now,
+            refunded: 0.0,
+            reported_total: 0,
         }
     }
 
-    /// Puts another quota in force. Debts keep their time to be repaid.
+    /// Changes the quota. If the rate falls, a debt is scaled down so that its repayment time stays
+    /// the same.
     pub(crate) fn set_quota(&mut self, quota: TeamQuota) {
         if quota.rate_per_s < self.quota.rate_per_s && self.level < 0.0 {
             self.level *= quota.rate_per_s / self.quota.rate_per_s;
         }
-        self.withheld = self.withheld.min(quota.burst);
+        self.reserved = self.reserved.min(quota.burst);
         self.level = self.level.min(quota.burst);
         self.quota = quota;
     }
 
-    /// Takes tokens, or says when they will be there.
+    /// Takes tokens, or returns the time after which to retry.
     pub(crate) fn admit(
         &mut self,
         cost: u64,
-        reach: &mut QuotaReach,
+        peer_tracker: &mut PeerTracker,
         conf: &QuotaConf,
         now: Instant,
-    ) -> BucketAnswer {
-        self.renew(reach, conf, now);
-        let surge = self.surge(now);
-        self.asked.add(cost, now);
-        let needed = (cost as f64).min(self.depth(conf));
-        let expected = self.expected(reach, conf, now);
-        let margin = MARGIN_SHARE * self.margin(conf);
-        let left = self.level - expected;
-        let surging = (surge - 1.0) * expected;
-        if 0.0 < self.share && needed <= left && needed <= left - surging + margin {
+    ) -> BucketDecision {
+        self.update(peer_tracker, conf, now);
+        let surge_factor = self.surge_factor(now);
+        self.requested.add(cost, now);
+        let needed = (cost as f64).min(self.capacity(conf));
+        let estimated_unreported = self.estimated_unreported(peer_tracker, conf, now);
+        let margin = UNREPORTED_MARGIN_FRACTION * self.margin(conf);
+        let available = self.level - estimated_unreported;
+        let surge_tokens = (surge_factor - 1.0) * estimated_unreported;
+        if 0.0 < self.reachable_share
+            && needed <= available
+            && needed <= available - surge_tokens + margin
+        {
             self.charge(cost, now);
-            return BucketAnswer::Admitted;
+            return BucketDecision::Admitted;
+        }
+        BucketDecision::Refused {
+            retry_after: self.retry_after(cost, needed - available, conf, now),
         }
-        BucketAnswer::Refused { retry_after: self.promise(cost, needed - left, conf, now) }
     }
 
-    /// Counts tokens of a request that may run a second time.
+    /// Deducts tokens without checking the quota, for example for a retry of a request that may
+    /// already have run.
     pub(crate) fn charge(&mut self, cost: u64, now: Instant) {
         self.level -= cost as f64;
-        let from_credit = self.credit.min(cost as f64);
-        self.credit -= from_credit;
-        self.own.add(cost - from_credit as u64, now);
+        let from_refund = self.refunded.min(cost as f64);
+        self.refunded -= from_refund;
+        self.own.add(cost - from_refund as u64, now);
     }
 
-    /// Gives back what a request took that ran nowhere. Totals only grow, so that the next requests are
-    /// counted against it.
-    pub(crate) fn give_back(&mut self, cost: u64, conf: &QuotaConf) {
-        self.level = (self.level + cost as f64).min(self.depth(conf));
-        self.credit += cost as f64;
+    /// Refunds the tokens of a request that no server ran. The reported total never decreases: the
+    /// refund is deducted from later usage instead.
+    pub(crate) fn refund(&mut self, cost: u64, conf: &QuotaConf) {
+        self.level = (self.level + cost as f64).min(self.capacity(conf));
+        self.refunded += cost as f64;
     }
 
-    /// Tokens of this router since its start, and those that were not reported yet.
+    /// Returns this router's total usage and the part of it that is new since the last report.
     pub(crate) fn take_report(&mut self) -> (u64, u64) {
-        let fresh = self.own.total - self.reported;
-        self.reported = self.own.total;
-        (self.own.total, fresh)
+        let unreported = self.own.total - self.reported_total;
+        self.reported_total = self.own.total;
+        (self.own.total, unreported)
     }
 
-    /// A router has reported its total.
-    pub(crate) fn report(
+    /// Applies the usage that another router reported.
+    pub(crate) fn apply_report(
         &mut self,
-        number: usize,
+        index: usize,
         total: u64,
-        fresh: u64,
-        reach: &mut QuotaReach,
+        unreported: u64,
+        peer_tracker: &mut PeerTracker,
         conf: &QuotaConf,
         now: Instant,
     ) {
-        self.renew(reach, conf, now);
-        let is_known = self.peers.contains_key(&number);
-        let peer = self.peers.entry(number).or_insert_with(|| RouterUse::new(now));
+        self.update(peer_tracker, conf, now);
+        let is_known = self.peers.contains_key(&index);
+        let peer = self.peers.entry(index).or_insert_with(|| RouterUsage::new(now));
         let used = match is_known {
             true => total.saturating_sub(peer.total),
-            false => fresh.min(total),
+            false => unreported.min(total),
         };
         peer.total = peer.total.max(total);
         if used == 0 {
             return;
         }
-        let was_late = std::mem::take(&mut peer.is_late);
-        // What a router used over some time is no rate of this moment.
-        match was_late {
-            true => peer.long.add(0.0, now),
+        let was_report_overdue = std::mem::take(&mut peer.is_report_overdue);
+        // Usage accumulated while unreachable is not a current rate.
+        match was_report_overdue {
+            true => peer.long_rate.add(0.0, now),
             false => {
-                peer.short.add(used as f64, now);
-                peer.long.add(used as f64, now);
+                peer.short_rate.add(used as f64, now);
+                peer.long_rate.add(used as f64, now);
             }
         }
-        let kept = if was_late { self.withheld.min(used as f64) } else { 0.0 };
-        self.withheld -= kept;
-        self.level -= used as f64 - kept;
+        let from_reserve = if was_report_overdue { self.reserved.min(used as f64) } else { 0.0 };
+        self.reserved -= from_reserve;
+        self.level -= used as f64 - from_reserve;
     }
 
-    /// A router has started again: its totals begin at zero.
-    pub(crate) fn restarted(&mut self, number: usize) {
-        if let Some(peer) = self.peers.get_mut(&number) {
+    /// Resets the total of a router that has restarted.
+    pub(crate) fn reset_peer_total(&mut self, index: usize) {
+        if let Some(peer) = self.peers.get_mut(&index) {
             peer.total = 0;
         }
     }
 
-    /// Tokens left, less what other routers are expected to have used since their last reports.
-    pub(crate) fn left(&self, reach: &QuotaReach, conf: &QuotaConf, now: Instant) -> f64 {
-        self.level - self.expected(reach, conf, now)
+    /// Available tokens, less the estimated unreported usage of other routers.
+    pub(crate) fn available(
+        &self,
+        peer_tracker: &PeerTracker,
+        conf: &QuotaConf,
+        now: Instant,
+    ) -> f64 {
+        self.level - self.estimated_unreported(peer_tracker, conf, now)
     }
 
-    /// Tokens that may be saved up by the routers in reach. Part of the bound's margin is added: what others
-    /// use is known late, and a request below the quota must not be refused for that.
-    fn depth(&self, conf: &QuotaConf) -> f64 {
-        self.saved(conf).max(self.least_depth(conf)) * self.share
+    /// Maximum level of the bucket. It includes a part of the overage margin so that delayed usage
+    /// reports do not cause the refusal of requests that are within the quota.
+    fn capacity(&self, conf: &QuotaConf) -> f64 {
+        self.burst_capacity(conf).max(self.min_capacity(conf)) * self.reachable_share
     }
 
-    /// Tokens a second that all routers together may use.
-    fn pace(&self, conf: &QuotaConf) -> f64 {
-        // What the bucket holds beyond the burst and the margin is taken from the rate.
-        let beyond = (self.least_depth(conf) - self.saved(conf)).max(0.0);
-        let even = EVEN_SHARE * self.quota.burst - beyond;
-        self.quota.rate_per_s + even / conf.window.as_secs_f64()
+    /// Tokens per second granted to all routers together.
+    fn refill_rate(&self, conf: &QuotaConf) -> f64 {
+        // Capacity in excess of the burst and margin is deducted from the rate.
+        let excess_capacity = (self.min_capacity(conf) - self.burst_capacity(conf)).max(0.0);
+        let steady_rate_tokens = STEADY_BURST_FRACTION * self.quota.burst - excess_capacity;
+        self.quota.rate_per_s + steady_rate_tokens / conf.window.as_secs_f64()
     }
 
-    fn saved(&self, conf: &QuotaConf) -> f64 {
-        (1.0 - EVEN_SHARE) * self.quota.burst + DEPTH_SHARE * self.margin(conf)
+    fn burst_capacity(&self, conf: &QuotaConf) -> f64 {
+        (1.0 - STEADY_BURST_FRACTION) * self.quota.burst
+            + CAPACITY_MARGIN_FRACTION * self.margin(conf)
     }
 
-    /// Without a burst and a margin a bucket would hold no request at all.
-    fn least_depth(&self, conf: &QuotaConf) -> f64 {
-        LEAST_DEPTH_SHARE * self.quota.rate_per_s * conf.window.as_secs_f64()
+    /// Without a minimum, a quota with neither burst nor margin would admit no request.
+    fn min_capacity(&self, conf: &QuotaConf) -> f64 {
+        MIN_CAPACITY_FRACTION * self.quota.rate_per_s * conf.window.as_secs_f64()
     }
 
     fn margin(&self, conf: &QuotaConf) -> f64 {
         conf.margin(self.quota.rate_per_s, self.quota.burst)
     }
 
-    /// Fills the bucket up to this moment.
-    fn renew(&mut self, reach: &mut QuotaReach, conf: &QuotaConf, now: Instant) {
-        self.fill(reach, conf, now);
-        self.part(reach, conf, now);
-        let part = (1.0 - self.lost.values().sum::<f64>()).max(0.0);
-        let share = match (reach.is_complete(), self.lost.is_empty()) {
+    /// Refills the bucket up to `now` and updates the reserve for unreachable routers.
+    fn update(&mut self, peer_tracker: &mut PeerTracker, conf: &QuotaConf, now: Instant) {
+        self.refill(peer_tracker, conf, now);
+        self.update_unreachable(peer_tracker, conf, now);
+        let remaining = (1.0 - self.unreachable.values().sum::<f64>()).max(0.0);
+        let share = match (peer_tracker.is_initialized(), self.unreachable.is_empty()) {
             (false, _) => 0.0,
             (true, true) => 1.0,
-            (true, false) => part * CUT_SHARE,
+            (true, false) => remaining * PARTITION_FACTOR,
         };
-        if share < self.share {
-            let kept = self.level.max(0.0) * (1.0 - share / self.share);
-            self.level -= kept;
-            self.withheld += kept;
+        if share < self.reachable_share {
+            let reserved = self.level.max(0.0) * (1.0 - share / self.reachable_share);
+            self.level -= reserved;
+            self.reserved += reserved;
         }
-        self.share = share;
-        self.release(conf, now);
+        self.reachable_share = share;
+        self.release_reserved(conf, now);
     }
 
-    fn fill(&mut self, reach: &QuotaReach, conf: &QuotaConf, now: Instant) {
-        let passed = now.saturating_duration_since(self.updated).as_secs_f64();
+    fn refill(&mut self, peer_tracker: &PeerTracker, conf: &QuotaConf, now: Instant) {
+        let elapsed = now.saturating_duration_since(self.updated).as_secs_f64();
         self.updated = self.updated.max(now);
-        let filled = self.pace(conf) * passed;
-        // An older debt than the window has no bearing on the bound.
-        let least = -self.pace(conf) * conf.window.as_secs_f64();
-        self.level = (self.level + filled * self.share).clamp(least, self.depth(conf));
-        let parts = self.lost.iter().filter(|(number, _)| reach.was_seen(**number));
-        let kept: f64 = parts.map(|(_, part)| part).sum();
-        let most = self.quota.burst + self.quota.rate_per_s * conf.window.as_secs_f64();
-        self.withheld = (self.withheld + filled * kept).min(most);
+        let filled = self.refill_rate(conf) * elapsed;
+        // Usage before the current window does not count against the quota.
+        let min_level = -self.refill_rate(conf) * conf.window.as_secs_f64();
+        self.level =
+            (self.level + filled * self.reachable_share).clamp(min_level, self.capacity(conf));
+        let unreachable =
+            self.unreachable.iter().filter(|(index, _)| peer_tracker.has_reported(**index));
+        let reserved_share: f64 = unreachable.map(|(_, share)| share).sum();
+        let max_reserved = self.quota.burst + self.quota.rate_per_s * conf.window.as_secs_f64();
+        self.reserved = (self.reserved + filled * reserved_share).min(max_reserved);
     }
 
-    /// Keeps parts for routers that have fallen out of reach, by the use of before that.
-    fn part(&mut self, reach: &mut QuotaReach, conf: &QuotaConf, now: Instant) {
-        let count = reach.count() as f64;
-        let surge = self.surge(now);
-        let lost = reach.lost(conf, now).to_vec();
-        if !self.lost.is_empty() || !lost.is_empty() {
-            self.lost.retain(|number, _| lost.contains(number));
-            for number in &lost {
-                if self.lost.contains_key(number) {
+    /// Reserves fractions of the quota for newly unreachable routers, based on their earlier usage.
+    fn update_unreachable(
+        &mut self,
+        peer_tracker: &mut PeerTracker,
+        conf: &QuotaConf,
+        now: Instant,
+    ) {
+        let router_count = peer_tracker.router_count() as f64;
+        let surge_factor = self.surge_factor(now);
+        let unreachable = peer_tracker.unreachable(conf, now).to_vec();
+        if !self.unreachable.is_empty() || !unreachable.is_empty() {
+            self.unreachable.retain(|index, _| unreachable.contains(index));
+            for index in &unreachable {
+                if self.unreachable.contains_key(index) {
                     continue;
                 }
-                if let Some(peer) = self.peers.get_mut(number) {
-                    peer.is_late = true;
-                    let seen = reach.last_seen(*number).unwrap_or(now);
+                if let Some(peer) = self.peers.get_mut(index) {
+                    peer.is_report_overdue = true;
+                    let last_report = peer_tracker.last_report(*index).unwrap_or(now);
                     let timeout_s = conf.reach_timeout.as_secs_f64();
-                    let unreported = peer.short.at(seen) * timeout_s * surge;
+                    let unreported = peer.short_rate.at(last_report) * timeout_s * surge_factor;
                     self.level -= unreported;
-                    self.withheld += unreported;
+                    self.reserved += unreported;
                 }
-                let part = match self.parts[0].is_empty() {
-                    true => 1.0 / count,
-                    false => EQUAL_PART / count + self.parts[0].get(number).unwrap_or(&0.0),
+                let share = match self.usage_shares[0].is_empty() {
+                    true => 1.0 / router_count,
+                    false => {
+                        EQUAL_FRACTION / router_count
+                            + self.usage_shares[0].get(index).unwrap_or(&0.0)
+                    }
                 };
-                self.lost.insert(*number, part);
+                self.unreachable.insert(*index, share);
             }
         }
-        if self.lost.is_empty() && conf.reach_timeout <= now.saturating_duration_since(self.parted)
+        if self.unreachable.is_empty()
+            && conf.reach_timeout <= now.saturating_duration_since(self.usage_shares_updated)
         {
-            self.parted = now;
-            let parts = self.parts_by_use(now);
-            let [older, newer] = &mut self.parts;
-            *older = std::mem::replace(newer, parts);
+            self.usage_shares_updated = now;
+            let shares = self.shares_by_usage(now);
+            let [older, newer] = &mut self.usage_shares;
+            *older = std::mem::replace(newer, shares);
         }
     }
 
-    /// Parts of those that used something lately; none where nobody did.
-    fn parts_by_use(&self, now: Instant) -> IndexMap<usize, f64> {
-        let peers = self.peers.values().map(|peer| peer.long.at(now));
-        let all = self.own.long.at(now) + peers.sum::<f64>();
-        if all < f64::EPSILON {
+    /// Fractions of the quota by recent usage; empty if there was none.
+    fn shares_by_usage(&self, now: Instant) -> IndexMap<usize, f64> {
+        let peers = self.peers.values().map(|peer| peer.long_rate.at(now));
+        let total = self.own.long_rate.at(now) + peers.sum::<f64>();
+        if total < f64::EPSILON {
             return IndexMap::new();
         }
-        let part = |peer: &RouterUse| (1.0 - EQUAL_PART) * peer.long.at(now) / all;
-        self.peers.iter().map(|(number, peer)| (*number, part(peer))).collect()
+        let share = |peer: &RouterUsage| (1.0 - EQUAL_FRACTION) * peer.long_rate.at(now) / total;
+        self.peers.iter().map(|(index, peer)| (*index, share(peer))).collect()
     }
 
-    /// What was kept for routers that are back, and was not used by them.
-    fn release(&mut self, conf: &QuotaConf, now: Instant) {
-        if !self.lost.is_empty() {
-            self.whole_since = None;
+    /// Releases the reserve once all routers have been reachable for the timeout.
+    fn release_reserved(&mut self, conf: &QuotaConf, now: Instant) {
+        if !self.unreachable.is_empty() {
+            self.all_reachable_since = None;
             return;
         }
-        let since = *self.whole_since.get_or_insert(now);
+        let since = *self.all_reachable_since.get_or_insert(now);
         if conf.reach_timeout <= now.saturating_duration_since(since) {
-            let released = std::mem::take(&mut self.withheld);
-            self.level = (self.level + released).min(self.depth(conf));
+            let released = std::mem::take(&mut self.reserved);
+            self.level = (self.level + released).min(self.capacity(conf));
         }
     }
 
-    /// What routers in reach are expected to have used since their last reports.
-    fn expected(&self, reach: &QuotaReach, conf: &QuotaConf, now: Instant) -> f64 {
-        let expected = |(number, peer): (&usize, &RouterUse)| {
-            // Its silence says nothing of its use; from the timeout on a part is kept for it.
-            let seen = reach.last_seen(*number)?;
-            let age = now.saturating_duration_since(seen);
-            (age < conf.reach_timeout).then(|| peer.short.at(seen) * age.as_secs_f64())
+    /// Estimated tokens that the reachable routers have used since their last reports.
+    fn estimated_unreported(
+        &self,
+        peer_tracker: &PeerTracker,
+        conf: &QuotaConf,
+        now: Instant,
+    ) -> f64 {
+        let estimate = |(index, peer): (&usize, &RouterUsage)| {
+            // After the timeout, a fraction of the quota is reserved for the router instead.
+            let last_report = peer_tracker.last_report(*index)?;
+            let age = now.saturating_duration_since(last_report);
+            (age < conf.reach_timeout).then(|| peer.short_rate.at(last_report) * age.as_secs_f64())
         };
-        self.peers.iter().filter_map(expected).sum()
+        self.peers.iter().filter_map(estimate).sum()
     }
 
-    /// How much more this router is asked for now than usually.
-    fn surge(&self, now: Instant) -> f64 {
-        let usual = self.asked.long.at(now);
-        if usual < f64::EPSILON {
+    /// Ratio of the short-term to the long-term request rate at this router.
+    fn surge_factor(&self, now: Instant) -> f64 {
+        let long_term_rate = self.requested.long_rate.at(now);
+        if long_term_rate < f64::EPSILON {
             return 1.0;
         }
-        (self.asked.short.at(now) / usual).clamp(1.0, MOST_SURGE)
+        (self.requested.short_rate.at(now) / long_term_rate).clamp(1.0, MAX_SURGE_FACTOR)
     }
 
-    /// When tokens that are missing will be there, behind those that were promised before.
-    fn promise(&mut self, cost: u64, missing: f64, conf: &QuotaConf, now: Instant) -> Duration {
-        let peers: f64 = self.peers.values().map(|peer| peer.long.at(now)).sum();
-        let own = self.own.long.at(now);
-        let own_part = match own + peers {
-            all if all < f64::EPSILON => 1.0,
-            all => (own / all).max(1.0 / (self.peers.len() + 1) as f64),
+    /// Estimates when the missing tokens will be available, assuming that previously refused
+    /// callers retry first.
+    fn retry_after(&mut self, cost: u64, missing: f64, conf: &QuotaConf, now: Instant) -> Duration {
+        let peers: f64 = self.peers.values().map(|peer| peer.long_rate.at(now)).sum();
+        let own = self.own.long_rate.at(now);
+        let own_share = match own + peers {
+            total if total < f64::EPSILON => 1.0,
+            total => (own / total).max(1.0 / (self.peers.len() + 1) as f64),
         };
-        let rate = (self.pace(conf) * self.share).max(f64::EPSILON);
-        let passed = now.saturating_duration_since(self.promised_at).as_secs_f64();
-        self.promised_at = now;
-        self.promised = (self.promised - passed * rate * own_part).max(0.0);
-        let wait_s = missing.max(0.0) / rate + self.promised / (rate * own_part);
-        self.promised += cost as f64;
-        Duration::try_from_secs_f64(wait_s.min(LONGEST_WAIT_S)).unwrap_or_default()
+        let rate = (self.refill_rate(conf) * self.reachable_share).max(f64::EPSILON);
+        let elapsed = now.saturating_duration_since(self.retry_backlog_updated).as_secs_f64();
+        self.retry_backlog_updated = now;
+        self.retry_backlog = (self.retry_backlog - elapsed * rate * own_share).max(0.0);
+        let wait_s = missing.max(0.0) / rate + self.retry_backlog / (rate * own_share);
+        self.retry_backlog += cost as f64;
+        Duration::try_from_secs_f64(wait_s.min(MAX_RETRY_AFTER_S)).unwrap_or_default()
     }
 }
 
-/// The longest `Retry-After`, in seconds.
-const LONGEST_WAIT_S: f64 = 60.0;
+/// Upper bound of `Retry-After`, in seconds.
+const MAX_RETRY_AFTER_S: f64 = 60.0;
--- a/crates/admission/src/quota_tracker.rs
+++ b/crates/admission/src/quota_tracker.rs
@@ -1,4 +1,4 @@
-//! Quotas of teams, shared among routers.
+//! Enforces team quotas shared by all routers.
 
 use std::time::Duration;
 
@@ -14,86 +14,87 @@
 use crate::QuotaReport;
 use crate::TeamKey;
 use crate::TeamQuota;
-use crate::quota_bucket::BucketAnswer;
+use crate::peer_tracker::PeerTracker;
+use crate::quota_bucket::BucketDecision;
 use crate::quota_bucket::QuotaBucket;
-use crate::quota_reach::QuotaReach;
 
-/// Most teams in a report; the rest follows with the next.
-const MOST_COUNTS: usize = 64;
+/// Maximum number of teams in a report; the remaining teams follow in the next one.
+const MAX_COUNTS: usize = 64;
 
-/// Tokens that each team may still use, as far as this router knows.
+/// Enforces team quotas that are shared by all routers.
 ///
-/// Each router keeps a token bucket for each team, fills it at the whole rate, and takes from it what it
-/// admits and what the others report. A report names the total since its sender's start, so that messages
-/// may be lost, late or repeated. For routers that are out of reach a part of each quota is kept, by their
-/// use before, so that the sides of a cut together admit no more than the whole. A router that has just
-/// started does not know what was used before: its buckets are empty.
+/// Every router keeps a token bucket per team that refills at the team's full rate, and deducts the
+/// usage of all routers from it. Reports carry totals since the sender's start and therefore
+/// tolerate loss, delay and duplication. A fraction of each quota is reserved for unreachable
+/// routers, based on their earlier usage, so that the sides of a network partition together stay
+/// within the quota. Buckets are empty after a restart, because earlier usage is unknown.
 #[derive(Debug)]
 pub struct QuotaTracker {
     conf: QuotaConf,
     own: HostName,
     start: u16,
-    /// A configuration was in force before.
+    /// Whether quotas have been configured since the start.
     is_configured: bool,
-    reach: QuotaReach,
+    peer_tracker: PeerTracker,
     buckets: IndexMap<TeamKey, QuotaBucket>,
     unreported: IndexSet<TeamKey>,
 }
 
-/// A team is over its quota.
+/// Refusal of a request whose team has exhausted its quota.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QuotaRefusal {
-    /// When the request would be admitted, if others that were refused before it return first.
+    /// When to retry, assuming that previously refused requests retry first.
     pub retry_after: Duration,
-    /// Tokens that are left; negative after more was used than there was.
+    /// Available tokens; negative when more tokens were used than were available.
     pub left: f64,
-    /// Age of the newest report of another router; none if none was seen.
+    /// Age of the newest report from another router; `None` if there is none.
     pub report_age: Option<Duration>,
 }
 
 impl QuotaTracker {
-    /// A tracker of the router `own`. `start` is drawn at each start of the process.
+    /// Creates a tracker for the router `own`. `start` is a random identifier of this process
+    /// start.
     pub fn new(own: HostName, start: u16, conf: QuotaConf) -> QuotaTracker {
         QuotaTracker {
             conf,
             own,
             start,
             is_configured: false,
-            reach: QuotaReach::default(),
+            peer_tracker: PeerTracker::default(),
             buckets: IndexMap::new(),
             unreported: IndexSet::new(),
         }
     }
 
-    /// Names all routers that may admit for the same teams. Before that nothing is admitted: each of many
-    /// that start together would take itself for the only one.
+    /// Adds all routers that share the quotas. No request is admitted before the first call:
+    /// routers that start at the same time would each claim the whole quota.
     pub fn set_routers(
         &mut self,
         routers: impl Iterator<Item = (HostName, ZoneName)>,
         now: Instant,
     ) {
         let own = self.own.clone();
-        self.reach.set_peers(routers.filter(|(host, _)| *host != own), now);
+        self.peer_tracker.add_peers(routers.filter(|(host, _)| *host != own), now);
     }
 
-    /// Puts the quotas of a configuration in force, all of them.
+    /// Replaces all quotas.
     pub fn set_quotas<'a>(
         &mut self,
         quotas: impl Iterator<Item = (&'a TeamName, TeamQuota)>,
         now: Instant,
     ) {
-        let mut kept = IndexSet::new();
+        let mut configured = IndexSet::new();
         for (team, quota) in quotas {
             let key = TeamKey::of(team);
-            kept.insert(key);
-            self.bucket(key, &quota, now);
+            configured.insert(key);
+            self.update_bucket(key, &quota, now);
         }
-        self.buckets.retain(|key, _| kept.contains(key));
-        self.unreported.retain(|key| kept.contains(key));
+        self.buckets.retain(|key, _| configured.contains(key));
+        self.unreported.retain(|key| configured.contains(key));
         self.is_configured = true;
     }
 
-    /// Takes a request's tokens from its team's quota.
+    /// Deducts a request's tokens from its team's quota, or refuses the request.
     pub fn admit(
         &mut self,
         team: &TeamName,
@@ -102,29 +103,29 @@
         now: Instant,
     ) -> Result<(), QuotaRefusal> {
         let key = TeamKey::of(team);
-        self.bucket(key, quota, now);
+        self.update_bucket(key, quota, now);
         let Some(bucket) = self.buckets.get_mut(&key) else { return Ok(()) };
-        match bucket.admit(cost, &mut self.reach, &self.conf, now) {
-            BucketAnswer::Admitted => {
+        match bucket.admit(cost, &mut self.peer_tracker, &self.conf, now) {
+            BucketDecision::Admitted => {
                 self.unreported.insert(key);
                 Ok(())
             }
-            BucketAnswer::Refused { retry_after } => Err(QuotaRefusal {
+            BucketDecision::Refused { retry_after } => Err(QuotaRefusal {
                 retry_after,
-                left: bucket.left(&self.reach, &self.conf, now),
-                report_age: self.reach.least_age(now),
+                left: bucket.available(&self.peer_tracker, &self.conf, now),
+                report_age: self.peer_tracker.newest_report_age(now),
             }),
         }
     }
 
-    /// Gives back what a request took that no server ran.
+    /// Refunds the tokens of a request that no server ran.
     pub fn give_back(&mut self, team: &TeamName, cost: u64) {
         if let Some(bucket) = self.buckets.get_mut(&TeamKey::of(team)) {
-            bucket.give_back(cost, &self.conf);
+            bucket.refund(cost, &self.conf);
         }
     }
 
-    /// Counts a request once more: it is sent again though it may have run.
+    /// Deducts the tokens again for a retry of a request that may already have run.
     pub fn charge_again(&mut self, team: &TeamName, cost: u64, now: Instant) {
         let key = TeamKey::of(team);
         if let Some(bucket) = self.buckets.get_mut(&key) {
@@ -133,14 +134,14 @@
         }
     }
 
-    /// Age of the newest report of another router; none if none was seen.
+    /// Age of the newest report from another router; `None` if there is none.
     pub fn report_age(&self, now: Instant) -> Option<Duration> {
-        self.reach.least_age(now)
+        self.peer_tracker.newest_report_age(now)
     }
 
-    /// What was admitted here since the last report, for the other routers.
+    /// Returns the usage admitted by this router since the last report.
     pub fn take_report(&mut self) -> QuotaReport {
-        let teams: Vec<TeamKey> = self.unreported.iter().take(MOST_COUNTS).copied().collect();
+        let teams: Vec<TeamKey> = self.unreported.iter().take(MAX_COUNTS).copied().collect();
         let mut counts = Vec::with_capacity(teams.len());
         for team in teams {
             self.unreported.shift_remove(&team);
@@ -153,26 +154,33 @@
         QuotaReport { start: self.start, counts }
     }
 
-    /// Takes in another router's report, also an empty one: it shows that the router is in reach.
+    /// Applies another router's report. An empty report still shows that the router is reachable.
     pub fn receive(&mut self, host: &HostName, report: &QuotaReport, now: Instant) {
         if *host == self.own {
             return;
         }
-        let contact = self.reach.note_seen(host, report.start, now);
-        if contact.is_new_start {
-            self.buckets.values_mut().for_each(|bucket| bucket.restarted(contact.number));
+        let sender = self.peer_tracker.record_report(host, report.start, now);
+        if sender.has_restarted {
+            self.buckets.values_mut().for_each(|bucket| bucket.reset_peer_total(sender.index));
         }
         for count in &report.counts {
-            // The sender may have a configuration that has not come here yet.
+            // The sender may already have a newer configuration.
             let Some(bucket) = self.buckets.get_mut(&count.team) else { continue };
             let (total, fresh) = (count.total, count.fresh);
-            bucket.report(contact.number, total, fresh, &mut self.reach, &self.conf, now);
+            bucket.apply_report(
+                sender.index,
+                total,
+                fresh,
+                &mut self.peer_tracker,
+                &self.conf,
+                now,
+            );
         }
     }
 
-    /// The bucket of a team. Where a running router learns of a new quota, its bucket is full; a process that
-    /// has just started does not know what was used before.
-    fn bucket(&mut self, key: TeamKey, quota: &TeamQuota, now: Instant) {
+    /// Creates or updates the bucket of a team. A quota added at runtime starts with a full bucket;
+    /// after a restart the bucket starts empty, because earlier usage is unknown.
+    fn update_bucket(&mut self, key: TeamKey, quota: &TeamQuota, now: Instant) {
         let level = if self.is_configured { quota.burst } else { 0.0 };
         let bucket =
             self.buckets.entry(key).or_insert_with(|| QuotaBucket::new(*quota, level, now));
