--- a/crates/admission/src/limiter_conf.rs
+++ b/crates/admission/src/limiter_conf.rs
@@ -1,44 +1,46 @@
-//! Numbers that shape the sharing of team limits.
+//! Configuration of team limit sharing.
 
 use std::time::Duration;
 
 /// How routers share the limits of teams.
 #[derive(Clone, Copy, Debug)]
 pub struct LimiterConf {
-    /// How much of a limit may be saved up.
+    /// Maximum burst, as the time in which it accrues at the limit's rate.
     pub burst: Duration,
-    /// A router whose last report is older than this counts as out of reach.
+    /// A router whose last report is older than this is unreachable.
     pub stale_after: Duration,
-    /// The longest time from one report to the next and on to each router.
+    /// Maximum time between two reports of a router plus their delivery.
     pub delivery: Duration,
-    /// Routers up to which these two times hold; for more they grow in proportion, since each
-    /// router's reports grow rarer.
+    /// Number of routers up to which `stale_after` and `delivery` apply. With more routers both
+    /// grow in proportion, because each router reports less often.
     pub paced_routers: usize,
-    /// Most teams in a report.
+    /// Maximum number of teams in a report.
     pub report_teams: usize,
-    /// A team that asks for nothing is forgotten after this time.
+    /// Time without requests after which a team's state is removed.
     pub forget_after: Duration,
-    /// Most teams kept.
+    /// Maximum number of teams with state.
     pub most_teams: usize,
-    /// The part of each limit that the routers of this exchange share, for example a zone's.
+    /// Fraction of each limit that the routers exchanging reports share, for example those of one
+    /// zone.
     pub part: f64,
 }
 
 impl LimiterConf {
-    /// When a report grows stale among so many routers.
+    /// Age at which a report becomes stale, for the given number of routers.
     pub(crate) fn stale_among(&self, routers: usize) -> Duration {
-        self.stale_after * self.pace(routers)
+        self.stale_after * self.interval_factor(routers)
     }
 
-    /// How long a claim to more must have been told to others before it is used.
+    /// How long increased demand must have been reported before the share is increased.
     ///
-    /// A router that is cut off is noticed after `stale_after`; others hear of that within one
-    /// delivery, and their answers are heard within another; one more is the router's own step.
+    /// An unreachable router is detected after `stale_after`. Reporting this to the others takes up
+    /// to one delivery time, and receiving their reports another. One more covers this router's own
+    /// step.
     pub(crate) fn hold_among(&self, routers: usize) -> Duration {
-        (self.stale_after + 3 * self.delivery) * self.pace(routers)
+        (self.stale_after + 3 * self.delivery) * self.interval_factor(routers)
     }
 
-    fn pace(&self, routers: usize) -> u32 {
+    fn interval_factor(&self, routers: usize) -> u32 {
         routers.div_ceil(self.paced_routers.max(1)).max(1) as u32
     }
 }
--- a/crates/admission/src/team_limit.rs
+++ b/crates/admission/src/team_limit.rs
@@ -1,19 +1,19 @@
-//! What a team may use.
+//! Rate limit of a team.
 
 use std::time::Duration;
 
-/// What a team may use of the whole system.
+/// Rate limit of a team over all routers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TeamLimit {
-    /// Requests a second; infinite for no limit.
+    /// Requests per second; infinite for no limit.
     pub requests_per_s: f64,
-    /// Prompt tokens a second; infinite for no limit.
+    /// Prompt tokens per second; infinite for no limit.
     pub prompt_tokens_per_s: f64,
 }
 
-/// A team is over its limit: `ErrorKind::TeamLimit`.
+/// Refusal of a request whose team exceeds its limit, reported as `ErrorKind::TeamLimit`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LimitRefusal {
-    /// When the same request would be admitted if the team asks for nothing else.
+    /// Time until the request would be admitted if the team sends no other requests.
     pub retry_after: Duration,
 }
--- a/crates/admission/src/team_limiter.rs
+++ b/crates/admission/src/team_limiter.rs
@@ -1,4 +1,4 @@
-//! Team limits, shared among routers.
+//! Enforces team rate limits shared by all routers.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -21,57 +21,59 @@
 use crate::team_state::TeamState;
 use crate::usage_spread::UsageSpread;
 
-/// Locks that the teams are divided among: a step holds each for a small part of all teams.
+/// Number of locks. Each guards a part of the teams, so that a step blocks only few requests at a
+/// time.
 const SHARDS: usize = 32;
-/// A team is told of when it asks this router for more than this part of an equal share.
-const TELL_ABOVE: f64 = 0.5;
+/// A team is reported when its demand exceeds this fraction of an equal share of its limit.
+const REPORT_THRESHOLD: f64 = 0.5;
 
-/// Requests and prompt tokens a second of each team, shared among routers by use.
+/// Enforces request and prompt token rate limits of teams, divided among routers by usage.
 ///
-/// Each router admits at its own share. Shares follow what routers tell each other once a second
-/// (`usage` out, `peer_usage` in). A share grows only after the claim to it has been told for as
-/// long as a cut takes to be noticed, and falls at once; routers out of reach keep their equal
-/// parts. So all routers together admit no more than the limit, save the bursts, also while they
-/// can't talk: over any time t at most `limit * (t + burst)` and, for each router, two requests or
-/// one prompt. `docs/design/admission.md` gives the proof and what it doesn't cover.
+/// Each router enforces its own share of a limit. About once per second the routers exchange their
+/// usage (`usage` and `peer_usage`) and update the shares. A share decreases immediately, but
+/// increases only after the higher demand has been reported for as long as it takes to detect a
+/// network partition. Unreachable routers keep an equal share. All routers together therefore stay
+/// within the limit even while partitioned: over any time `t` they admit at most
+/// `limit * (t + burst)`, plus two requests or one prompt per router. `docs/design/admission.md`
+/// contains the proof and its assumptions.
 #[derive(Debug)]
 pub struct TeamLimiter {
     conf: LimiterConf,
     shards: Vec<Mutex<IndexMap<TeamName, TeamState>>>,
     reach: Mutex<ReachBook>,
-    sharing: Mutex<Sharing>,
+    sharing: Mutex<SharingState>,
 }
 
-/// What the last step found, read by each request.
+/// Result of the last step, read by every request.
 #[derive(Clone, Debug)]
-struct Sharing {
-    /// Routers known, this one included.
-    known: usize,
+struct SharingState {
+    /// Number of known routers, including this one.
+    router_count: usize,
     spread: Arc<UsageSpread>,
-    /// When the last step was; a router whose control stood still relies on nobody.
-    stepped: Option<Instant>,
+    /// Time of the last step. If it is too long ago, the shares by usage are no longer valid.
+    last_step: Option<Instant>,
 }
 
 impl TeamLimiter {
-    /// A limiter of the router `own`, which knows no other yet.
+    /// Creates a limiter for the router `own` without any other routers.
     pub fn new(own: HostName, conf: LimiterConf) -> TeamLimiter {
         let spread = Arc::default();
         TeamLimiter {
             conf,
             shards: (0..SHARDS).map(|_| Mutex::default()).collect(),
             reach: Mutex::new(ReachBook::new(own)),
-            sharing: Mutex::new(Sharing { known: 1, spread, stepped: None }),
+            sharing: Mutex::new(SharingState { router_count: 1, spread, last_step: None }),
         }
     }
 
-    /// Names all routers that may admit for the same teams, heard or not. One that is merely out
-    /// of reach stays named, or each side of a cut would take the whole limit.
+    /// Sets the routers that share the limits. Unreachable routers must be included: otherwise each
+    /// side of a network partition would use the whole limit.
     pub fn set_routers(&self, hosts: &[HostName]) {
-        let known = lock(&self.reach).set_known(hosts);
-        lock(&self.sharing).known = known;
+        let router_count = lock(&self.reach).set_known(hosts);
+        lock(&self.sharing).router_count = router_count;
     }
 
-    /// Admits one request of a team, or says when to come back.
+    /// Admits a request of a team, or returns the time after which to retry.
     pub fn admit(
         &self,
         team: &TeamName,
@@ -82,7 +84,7 @@
         let sharing = lock(&self.sharing).clone();
         let mut teams = lock(self.shard(team));
         if !teams.contains_key(team) {
-            self.make_room(&mut teams);
+            self.evict_if_full(&mut teams);
             let rate = self.rate(&sharing, team, limit, None, now);
             teams.insert(team.clone(), TeamState::new(*limit, rate, &self.conf, now));
         }
@@ -90,33 +92,34 @@
             return Ok(());
         };
         state.limit = *limit;
-        let rate = self.rate(&sharing, team, limit, state.shared_rate(), now);
+        let rate = self.rate(&sharing, team, limit, state.usage_rate(), now);
         state.set_rate(rate, &self.conf, now);
         state.admit(f64::from(prompt_tokens), now)
     }
 
-    /// Gives back what a request took that no server ran after all.
+    /// Refunds a request that no server ran.
     pub fn give_back(&self, team: &TeamName, prompt_tokens: u32) {
         if let Some(state) = lock(self.shard(team)).get_mut(team) {
-            state.give_back(f64::from(prompt_tokens));
+            state.refund(f64::from(prompt_tokens));
         }
     }
 
-    /// Ends a step of about a second: works out the shares and gives back what to tell the others.
+    /// Ends a step of about one second: updates the shares and returns the report for the other
+    /// routers.
     pub fn usage(&self, now: Instant) -> UsageReport {
         let (reach, spread) = {
-            let mut book = lock(&self.reach);
-            (book.renew(&self.conf, now), Arc::new(book.spread()))
+            let mut reach = lock(&self.reach);
+            (reach.renew(&self.conf, now), Arc::new(reach.spread()))
         };
-        let (known, elapsed) = self.begin_step(&spread, now);
-        let teams = self.most_asking(known, elapsed, now);
-        let step = ShareStep { spread, hold: self.conf.hold_among(known), now };
+        let (router_count, elapsed) = self.begin_step(&spread, now);
+        let teams = self.teams_to_report(router_count, elapsed, now);
+        let step = ShareStep { spread, hold: self.conf.hold_among(router_count), now };
         for shard in &self.shards {
             for (name, state) in lock(shard).iter_mut() {
-                self.renew_share(&step, name, state, teams.get(name));
+                self.update_share(&step, name, state, teams.get(name));
             }
         }
-        let usage = |(team, rate): (TeamName, ToldRate)| TeamUsage {
+        let usage = |(team, rate): (TeamName, ReportedRate)| TeamUsage {
             team,
             requests_per_s: rate.requests,
             prompt_tokens_per_s: rate.tokens,
@@ -124,44 +127,47 @@
         UsageReport { reach, teams: teams.into_iter().map(usage).collect() }
     }
 
-    /// Takes in what another router told, and when: now less the time that it was under way. A
-    /// report that counted as new on arrival would outlive the hold, and with it the bound.
-    pub fn peer_usage(&self, host: &HostName, report: &UsageReport, told: Instant) {
-        lock(&self.reach).hear(host, report, told);
+    /// Applies a report that another router sent at `sent`. The limit holds only if delivery time
+    /// counts towards the age of the report.
+    pub fn peer_usage(&self, host: &HostName, report: &UsageReport, sent: Instant) {
+        lock(&self.reach).hear(host, report, sent);
     }
 
-    /// Teams kept at this moment.
+    /// Number of teams with state.
     pub fn team_count(&self) -> usize {
         self.shards.iter().map(|shard| lock(shard).len()).sum()
     }
 
-    /// The rate at this router: by use for a team that is told of, else an equal part.
+    /// Rate limit of a team at this router: by usage if the team was reported, otherwise an equal
+    /// share.
     fn rate(
         &self,
-        sharing: &Sharing,
+        sharing: &SharingState,
         team: &TeamName,
         limit: &TeamLimit,
-        shared: Option<TeamRate>,
+        usage_rate: Option<TeamRate>,
         now: Instant,
     ) -> TeamRate {
-        let equal = TeamRate::part_of(limit, self.conf.part / sharing.known as f64);
-        let Some(stepped) = sharing.stepped else {
-            return equal;
+        let equal_share =
+            TeamRate::fraction_of(limit, self.conf.part / sharing.router_count as f64);
+        let Some(last_step) = sharing.last_step else {
+            return equal_share;
         };
-        // A router that was frozen wakes with shares that the others have long divided anew.
-        if now.saturating_duration_since(stepped) >= self.conf.stale_after {
-            return shared.map_or(equal, |rate| rate.min(equal));
+        // After a long pause of this process, the other routers have already reassigned its share.
+        if now.saturating_duration_since(last_step) >= self.conf.stale_after {
+            return usage_rate.map_or(equal_share, |rate| rate.min(equal_share));
         }
-        match shared {
+        match usage_rate {
             Some(rate) => rate,
-            None if sharing.spread.knows(team) => {
-                sharing.spread.rate(team, &self.own_part(limit), TeamRate::default())
+            None if sharing.spread.is_reported(team) => {
+                sharing.spread.rate(team, &self.group_limit(limit), TeamRate::default())
             }
-            None => equal,
+            None => equal_share,
         }
     }
 
-    fn own_part(&self, limit: &TeamLimit) -> TeamLimit {
+    /// Part of a limit that the routers exchanging reports share.
+    fn group_limit(&self, limit: &TeamLimit) -> TeamLimit {
         TeamLimit {
             requests_per_s: limit.requests_per_s * self.conf.part,
             prompt_tokens_per_s: limit.prompt_tokens_per_s * self.conf.part,
@@ -170,63 +176,66 @@
 
     fn begin_step(&self, spread: &Arc<UsageSpread>, now: Instant) -> (usize, Duration) {
         let mut sharing = lock(&self.sharing);
-        let before = sharing.stepped.replace(now);
+        let previous = sharing.last_step.replace(now);
         sharing.spread = Arc::clone(spread);
-        (sharing.known, before.map_or(Duration::ZERO, |at| now.saturating_duration_since(at)))
+        (
+            sharing.router_count,
+            previous.map_or(Duration::ZERO, |at| now.saturating_duration_since(at)),
+        )
     }
 
-    /// The teams that ask this router for most of their limits; forgets those that ask for nothing.
-    fn most_asking(
+    /// Returns the teams with the highest demand relative to their limits, and removes idle teams.
+    fn teams_to_report(
         &self,
-        known: usize,
+        router_count: usize,
         elapsed: Duration,
         now: Instant,
-    ) -> IndexMap<TeamName, ToldRate> {
-        let least = TELL_ABOVE * self.conf.part / known as f64;
-        let idle =
-            |state: &TeamState| now.saturating_duration_since(state.seen) > self.conf.forget_after;
-        let mut asking = Vec::new();
+    ) -> IndexMap<TeamName, ReportedRate> {
+        let min_load = REPORT_THRESHOLD * self.conf.part / router_count as f64;
+        let idle = |state: &TeamState| {
+            now.saturating_duration_since(state.last_request) > self.conf.forget_after
+        };
+        let mut candidates = Vec::new();
         for shard in &self.shards {
             let mut teams = lock(shard);
             teams.retain(|_, state| !idle(state));
             for (name, state) in teams.iter_mut() {
                 let demand = state.end_step(elapsed);
                 let load = demand.load_of(&state.limit);
-                if load > least {
-                    asking.push((load, name.clone(), ToldRate::new(demand)));
+                if load > min_load {
+                    candidates.push((load, name.clone(), ReportedRate::new(demand)));
                 }
             }
         }
-        asking.sort_by(|(one, ..), (two, ..)| two.total_cmp(one));
-        asking.truncate(self.conf.report_teams);
-        asking.into_iter().map(|(_, name, rate)| (name, rate)).collect()
+        candidates.sort_by(|(a, ..), (b, ..)| b.total_cmp(a));
+        candidates.truncate(self.conf.report_teams);
+        candidates.into_iter().map(|(_, name, rate)| (name, rate)).collect()
     }
 
-    fn renew_share(
+    fn update_share(
         &self,
         step: &ShareStep,
         name: &TeamName,
         state: &mut TeamState,
-        told: Option<&ToldRate>,
+        reported: Option<&ReportedRate>,
     ) {
-        if told.is_none() && !step.spread.knows(name) {
-            state.end_share();
+        if reported.is_none() && !step.spread.is_reported(name) {
+            state.clear_usage_share();
             return;
         }
-        let told = told.copied().map(ToldRate::rate).unwrap_or_default();
-        let own = state.tell(told, step.hold, step.now);
-        let rate = step.spread.rate(name, &self.own_part(&state.limit), own);
-        state.set_share(rate);
+        let reported = reported.copied().map(ReportedRate::rate).unwrap_or_default();
+        let own = state.record_report(reported, step.hold, step.now);
+        let rate = step.spread.rate(name, &self.group_limit(&state.limit), own);
+        state.set_usage_share(rate);
         state.set_rate(rate, &self.conf, step.now);
     }
 
-    /// Forgets the team of a shard that asked least recently when there are too many: only a
-    /// configuration with more teams than are kept gets here.
-    fn make_room(&self, teams: &mut IndexMap<TeamName, TeamState>) {
+    /// Evicts the least recently active team of a full shard.
+    fn evict_if_full(&self, teams: &mut IndexMap<TeamName, TeamState>) {
         if teams.len() < self.conf.most_teams.div_ceil(SHARDS) {
             return;
         }
-        let oldest = teams.values().enumerate().min_by_key(|(_, state)| state.seen);
+        let oldest = teams.values().enumerate().min_by_key(|(_, state)| state.last_request);
         if let Some((index, _)) = oldest {
             teams.swap_remove_index(index);
         }
@@ -238,23 +247,23 @@
     }
 }
 
-/// What one step goes by.
+/// Inputs of a step.
 struct ShareStep {
     spread: Arc<UsageSpread>,
     hold: Duration,
     now: Instant,
 }
 
-/// What the others are told of a team, in the precision in which they hear it.
+/// Demand of a team as reported to other routers, in the precision of the report.
 #[derive(Clone, Copy, Debug)]
-struct ToldRate {
+struct ReportedRate {
     requests: f32,
     tokens: f32,
 }
 
-impl ToldRate {
-    fn new(rate: TeamRate) -> ToldRate {
-        ToldRate { requests: rate.requests as f32, tokens: rate.tokens as f32 }
+impl ReportedRate {
+    fn new(rate: TeamRate) -> ReportedRate {
+        ReportedRate { requests: rate.requests as f32, tokens: rate.tokens as f32 }
     }
 
     fn rate(self) -> TeamRate {
--- a/crates/admission/src/team_quota.rs
+++ b/crates/admission/src/team_quota.rs
@@ -1,13 +1,13 @@
-//! The quota of a team over all routers.
+//! Token quota of a team over all routers.
 
-/// Tokens that a team may use: `rate_per_s` all the time, and `burst` at once after it was idle.
+/// Token quota of a team: a sustained rate and a burst.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TeamQuota {
-    /// Tokens a second; above 0.
+    /// Tokens per second; greater than 0.
     pub rate_per_s: f64,
-    /// Tokens that may be saved up.
+    /// Additional tokens that may be used at once after an idle period.
     pub burst: f64,
-    /// How requests are counted.
+    /// How requests are counted against the quota.
     pub unit: QuotaUnit,
 }
 
@@ -18,13 +18,13 @@
     Requests,
     /// A request counts as its prompt and output tokens.
     Tokens {
-        /// What a request counts as that does not state its tokens.
+        /// Cost of a request that does not state its tokens.
         plain: u64,
     },
 }
 
 impl TeamQuota {
-    /// What a request costs. `tokens` is the sum of its prompt and output tokens, if it states them.
+    /// Cost of a request. `tokens` is the sum of its prompt and output tokens, if stated.
     pub fn cost(&self, tokens: Option<u64>) -> u64 {
         match self.unit {
             QuotaUnit::Requests => 1,
--- a/crates/admission/src/team_rate.rs
+++ b/crates/admission/src/team_rate.rs
@@ -1,46 +1,47 @@
-//! Requests and prompt tokens a second.
+//! Request and prompt token rates.
 
 use crate::TeamLimit;
 
-/// Requests and prompt tokens a second.
+/// Request and prompt token rates of one team.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct TeamRate {
-    /// Requests a second.
+    /// Requests per second.
     pub(crate) requests: f64,
-    /// Prompt tokens a second.
+    /// Prompt tokens per second.
     pub(crate) tokens: f64,
 }
 
 impl TeamRate {
-    /// A part of a limit.
-    pub(crate) fn part_of(limit: &TeamLimit, part: f64) -> TeamRate {
-        TeamRate { requests: limit.requests_per_s * part, tokens: limit.prompt_tokens_per_s * part }
+    /// The given fraction of a limit.
+    pub(crate) fn fraction_of(limit: &TeamLimit, fraction: f64) -> TeamRate {
+        TeamRate {
+            requests: limit.requests_per_s * fraction,
+            tokens: limit.prompt_tokens_per_s * fraction,
+        }
     }
 
-    /// Works out both rates by the same rule.
-    pub(crate) fn zip(self, other: TeamRate, rule: impl Fn(f64, f64) -> f64) -> TeamRate {
+    /// Combines the rates pairwise with `combine`.
+    pub(crate) fn zip(self, other: TeamRate, combine: impl Fn(f64, f64) -> f64) -> TeamRate {
         TeamRate {
-            requests: rule(self.requests, other.requests),
-            tokens: rule(self.tokens, other.tokens),
+            requests: combine(self.requests, other.requests),
+            tokens: combine(self.tokens, other.tokens),
         }
     }
 
-    /// Both together.
     pub(crate) fn plus(self, other: TeamRate) -> TeamRate {
-        self.zip(other, |one, two| one + two)
+        self.zip(other, |a, b| a + b)
     }
 
-    /// The lower of each.
+    /// Pairwise minimum.
     pub(crate) fn min(self, other: TeamRate) -> TeamRate {
         self.zip(other, f64::min)
     }
 
-    /// Each times the factor.
     pub(crate) fn times(self, factor: f64) -> TeamRate {
         TeamRate { requests: self.requests * factor, tokens: self.tokens * factor }
     }
 
-    /// The larger part that this is of a limit.
+    /// The larger of the two rates relative to `limit`.
     pub(crate) fn load_of(self, limit: &TeamLimit) -> f64 {
         let requests = self.requests / limit.requests_per_s;
         let tokens = self.tokens / limit.prompt_tokens_per_s;
--- a/crates/admission/src/team_state.rs
+++ b/crates/admission/src/team_state.rs
@@ -1,4 +1,4 @@
-//! One team at one router.
+//! Rate limiting state of one team at one router.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -11,40 +11,40 @@
 use crate::team_rate::TeamRate;
 use crate::token_bucket::TokenBucket;
 
-/// Requests that may be saved up however small the share is.
-const LEAST_BURST: f64 = 2.0;
-/// How much the last step weighs in what a team asks for.
-const STEP_WEIGHT: f64 = 0.5;
+/// Minimum burst in requests, however small the team's share.
+const MIN_BURST_REQUESTS: f64 = 2.0;
+/// Weight of the last step in the moving average of a team's demand.
+const DEMAND_WEIGHT: f64 = 0.5;
 
-/// One team at one router.
+/// Rate limiting state of one team at one router.
 #[derive(Debug)]
 pub(crate) struct TeamState {
-    /// Its limit when it last asked.
+    /// Limit at the time of the last request.
     pub(crate) limit: TeamLimit,
-    /// When it last asked.
-    pub(crate) seen: Instant,
+    /// Time of the last request.
+    pub(crate) last_request: Instant,
     requests: TokenBucket,
     tokens: TokenBucket,
     rate: TeamRate,
-    /// What it asked for since the last step.
-    asked: TeamRate,
-    /// What it asks for a second.
+    /// Requests and tokens requested since the last step.
+    requested: TeamRate,
+    /// Moving average of the requested rates.
     demand: TeamRate,
-    /// Only for teams that this or another router tells of.
-    share: Option<Box<ToldShare>>,
+    /// Present only for teams that this or another router reports.
+    usage_share: Option<Box<UsageShare>>,
 }
 
-/// What was told of a team, and the rate that follows.
+/// Recently reported rates of a team and the resulting rate limit.
 #[derive(Debug, Default)]
-struct ToldShare {
-    /// What the others were told, and from when on; the first is still in force when the hold
-    /// begins.
-    told: VecDeque<(Instant, TeamRate)>,
+struct UsageShare {
+    /// Reported rates with the times of their reports, oldest first. The first one was current when
+    /// the hold time began.
+    reported: VecDeque<(Instant, TeamRate)>,
     rate: TeamRate,
 }
 
 impl TeamState {
-    /// A team that has not asked for long: its buckets are full.
+    /// State of a team without recent requests: its buckets are full.
     pub(crate) fn new(
         limit: TeamLimit,
         rate: TeamRate,
@@ -54,22 +54,22 @@
         let (requests, tokens) = capacities(rate, conf);
         TeamState {
             limit,
-            seen: now,
+            last_request: now,
             requests: TokenBucket::full(rate.requests, requests, now),
             tokens: TokenBucket::full(rate.tokens, tokens, now),
             rate,
-            asked: TeamRate::default(),
+            requested: TeamRate::default(),
             demand: TeamRate::default(),
-            share: None,
+            usage_share: None,
         }
     }
 
-    /// The rate that sharing gives, if this team is shared by use.
-    pub(crate) fn shared_rate(&self) -> Option<TeamRate> {
-        self.share.as_ref().map(|share| share.rate)
+    /// The rate limit by usage, if the team's limit is shared by usage.
+    pub(crate) fn usage_rate(&self) -> Option<TeamRate> {
+        self.usage_share.as_ref().map(|usage_share| usage_share.rate)
     }
 
-    /// Goes on at this rate; what was saved up until now was saved at the old one.
+    /// Changes the rate limit. Tokens accrued so far are computed at the old rate.
     pub(crate) fn set_rate(&mut self, rate: TeamRate, conf: &LimiterConf, now: Instant) {
         if rate == self.rate {
             return;
@@ -80,10 +80,10 @@
         self.rate = rate;
     }
 
-    /// Admits one request or says when to come back.
+    /// Admits a request, or returns the time after which to retry.
     pub(crate) fn admit(&mut self, prompt_tokens: f64, now: Instant) -> Result<(), LimitRefusal> {
-        self.seen = self.seen.max(now);
-        self.asked = self.asked.plus(TeamRate { requests: 1.0, tokens: prompt_tokens });
+        self.last_request = self.last_request.max(now);
+        self.requested = self.requested.plus(TeamRate { requests: 1.0, tokens: prompt_tokens });
         let has_request = self.requests.has(1.0, now);
         let has_tokens = self.tokens.has(prompt_tokens, now);
         if has_request && has_tokens {
@@ -95,52 +95,58 @@
         Err(LimitRefusal { retry_after })
     }
 
-    /// Gives back what a request took that was not run after all.
-    pub(crate) fn give_back(&mut self, prompt_tokens: f64) {
+    /// Refunds a request that no server ran.
+    pub(crate) fn refund(&mut self, prompt_tokens: f64) {
         self.requests.put(1.0);
         self.tokens.put(prompt_tokens);
     }
 
-    /// Ends a step: what the team asks for a second, newer steps weighing more.
+    /// Ends a step and updates the moving average of the team's demand.
     pub(crate) fn end_step(&mut self, elapsed: Duration) -> TeamRate {
         if elapsed.is_zero() {
             return self.demand;
         }
-        let last = self.asked.times(1.0 / elapsed.as_secs_f64());
-        self.asked = TeamRate::default();
-        self.demand = self.demand.zip(last, |old, new| old + STEP_WEIGHT * (new - old));
+        let last = self.requested.times(1.0 / elapsed.as_secs_f64());
+        self.requested = TeamRate::default();
+        self.demand = self.demand.zip(last, |old, new| old + DEMAND_WEIGHT * (new - old));
         self.demand
     }
 
-    /// The others are told this now; gives back the least they were told over the hold. What
-    /// was not told counts as nothing.
-    pub(crate) fn tell(&mut self, told: TeamRate, hold: Duration, now: Instant) -> TeamRate {
-        let share = self.share.get_or_insert_default();
-        share.told.push_back((now, told));
-        let is_over = |since: Instant| now.saturating_duration_since(since) >= hold;
-        while share.told.get(1).is_some_and(|(since, _)| is_over(*since)) {
-            share.told.pop_front();
+    /// Records a reported rate and returns the minimum of the rates reported during the hold time.
+    /// Times without a report count as zero.
+    pub(crate) fn record_report(
+        &mut self,
+        reported: TeamRate,
+        hold: Duration,
+        now: Instant,
+    ) -> TeamRate {
+        let usage_share = self.usage_share.get_or_insert_default();
+        usage_share.reported.push_back((now, reported));
+        let is_outside_hold = |since: Instant| now.saturating_duration_since(since) >= hold;
+        while usage_share.reported.get(1).is_some_and(|(since, _)| is_outside_hold(*since)) {
+            usage_share.reported.pop_front();
         }
-        if share.told.front().is_none_or(|(since, _)| !is_over(*since)) {
+        if usage_share.reported.front().is_none_or(|(since, _)| !is_outside_hold(*since)) {
             return TeamRate::default();
         }
-        share.told.iter().map(|(_, rate)| *rate).fold(told, TeamRate::min)
+        usage_share.reported.iter().map(|(_, rate)| *rate).fold(reported, TeamRate::min)
     }
 
-    /// Sets the rate that sharing gives.
-    pub(crate) fn set_share(&mut self, rate: TeamRate) {
-        self.share.get_or_insert_default().rate = rate;
+    /// Sets the rate limit by usage.
+    pub(crate) fn set_usage_share(&mut self, rate: TeamRate) {
+        self.usage_share.get_or_insert_default().rate = rate;
     }
 
-    /// Ends sharing by use: an equal part from now on. What was told counts no more, as it would
-    /// not anyway once nothing has been told.
-    pub(crate) fn end_share(&mut self) {
-        self.share = None;
+    /// Stops sharing by usage: the router falls back to an equal share. The recorded reports are
+    /// discarded.
+    pub(crate) fn clear_usage_share(&mut self) {
+        self.usage_share = None;
     }
 }
 
-/// What may be saved up. A prompt above it may run on a full bucket: see `TokenBucket`.
+/// Bucket capacities for requests and tokens. `TokenBucket` describes prompts larger than the
+/// capacity.
 fn capacities(rate: TeamRate, conf: &LimiterConf) -> (f64, f64) {
     let burst = conf.burst.as_secs_f64();
-    ((rate.requests * burst).max(LEAST_BURST), (rate.tokens * burst).max(1.0))
+    ((rate.requests * burst).max(MIN_BURST_REQUESTS), (rate.tokens * burst).max(1.0))
 }
--- a/crates/admission/src/token_bucket.rs
+++ b/crates/admission/src/token_bucket.rs
@@ -1,66 +1,64 @@
-//! A rate limit with a burst.
+//! Token bucket rate limiter.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// The longest wait that a bucket names; an empty bucket without refill has no end.
-const LONGEST_WAIT: Duration = Duration::from_secs(60);
+/// Upper bound of the returned wait, which would be infinite at a rate of zero.
+const MAX_WAIT: Duration = Duration::from_secs(60);
 
-/// A token bucket whose rate may change while it runs.
+/// A token bucket whose rate may change at runtime.
 ///
-/// A single cost above the capacity is let through when the bucket is full and leaves it in debt:
-/// otherwise a prompt longer than the burst could never run. The mean rate still holds.
+/// A request that costs more than the capacity is admitted when the bucket is full and leaves it in
+/// debt. Otherwise a prompt larger than the burst could never run. The mean rate still holds.
 #[derive(Clone, Debug)]
 pub(crate) struct TokenBucket {
     level: f64,
     capacity: f64,
-    per_second: f64,
-    filled: Instant,
+    rate_per_s: f64,
+    refilled: Instant,
 }
 
 impl TokenBucket {
-    /// A full bucket.
-    pub(crate) fn full(per_second: f64, capacity: f64, now: Instant) -> TokenBucket {
-        TokenBucket { level: capacity, capacity, per_second, filled: now }
+    pub(crate) fn full(rate_per_s: f64, capacity: f64, now: Instant) -> TokenBucket {
+        TokenBucket { level: capacity, capacity, rate_per_s, refilled: now }
     }
 
-    /// Changes the rate from now on: the past is credited at the old one.
-    pub(crate) fn set_rate(&mut self, per_second: f64, capacity: f64, now: Instant) {
+    /// Changes rate and capacity. The bucket is first refilled up to `now` at the old rate.
+    pub(crate) fn set_rate(&mut self, rate_per_s: f64, capacity: f64, now: Instant) {
         self.refill(now);
-        self.per_second = per_second;
+        self.rate_per_s = rate_per_s;
         self.capacity = capacity;
     }
 
-    /// Whether `cost` may be taken now; nothing is taken yet.
+    /// Whether `cost` may be taken. Does not take it.
     pub(crate) fn has(&mut self, cost: f64, now: Instant) -> bool {
         self.refill(now);
         self.level >= cost.min(self.capacity)
     }
 
-    /// Takes `cost`, into debt if need be.
+    /// Takes `cost`; the level may become negative.
     pub(crate) fn take(&mut self, cost: f64) {
         self.level -= cost;
     }
 
-    /// Gives back or adds `amount`.
     pub(crate) fn put(&mut self, amount: f64) {
         self.level = (self.level + amount).min(self.capacity);
     }
 
-    /// Time until `cost` may be taken, if nobody else takes anything.
+    /// Time until `cost` may be taken if nothing else is taken.
     pub(crate) fn wait_for(&self, cost: f64) -> Duration {
         let missing = cost.min(self.capacity) - self.level;
         if missing <= 0.0 {
             return Duration::ZERO;
         }
-        let seconds = missing / self.per_second;
-        Duration::try_from_secs_f64(seconds).unwrap_or(LONGEST_WAIT).min(LONGEST_WAIT)
+        let seconds = missing / self.rate_per_s;
+        Duration::try_from_secs_f64(seconds).unwrap_or(MAX_WAIT).min(MAX_WAIT)
     }
 
     fn refill(&mut self, now: Instant) {
-        let elapsed = now.saturating_duration_since(self.filled);
-        self.level = (self.level + self.per_second * elapsed.as_secs_f64()).min(self.capacity);
-        self.filled = self.filled.max(now);
+        let elapsed = now.saturating_duration_since(self.refilled);
+        self.level = (self.level + self.rate_per_s * elapsed.as_secs_f64()).min(self.capacity);
+        self.refilled = self.refilled.max(now);
     }
 }
--- a/crates/admission/src/usage_report.rs
+++ b/crates/admission/src/usage_report.rs
@@ -1,24 +1,24 @@
-//! What routers tell each other of their teams' use.
+//! Team usage reports exchanged between routers.
 
 use fulmargate_names::TeamName;
 
-/// What one router tells the others once a second.
+/// Usage report that a router sends to the others about once per second.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct UsageReport {
-    /// Stands for the routers that the sender knows and hears: routers share a limit only with
-    /// those that see the same ones.
+    /// Digest of the routers that the sender knows and those that are reachable from it. Routers
+    /// share limits only with routers that report the same digest.
     pub reach: u64,
-    /// The teams that ask the sender for most of their limits.
+    /// The teams with the highest demand at the sender relative to their limits.
     pub teams: Vec<TeamUsage>,
 }
 
-/// What one team asks of one router.
+/// Demand of one team at one router.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TeamUsage {
     /// The team.
     pub team: TeamName,
-    /// Requests a second, refused ones included.
+    /// Requests per second, including refused ones.
     pub requests_per_s: f32,
-    /// Prompt tokens a second, refused ones included.
+    /// Prompt tokens per second, including those of refused requests.
     pub prompt_tokens_per_s: f32,
 }
--- a/crates/admission/src/usage_spread.rs
+++ b/crates/admission/src/usage_spread.rs
@@ -1,4 +1,4 @@
-//! A team's share at one router.
+//! Computes a team's share of its limit at one router.
 
 use fulmargate_names::TeamName;
 use indexmap::IndexMap;
@@ -6,44 +6,44 @@
 use crate::TeamLimit;
 use crate::team_rate::TeamRate;
 
-/// The part of a limit that is shared equally whatever the use, so that a team which comes to a
-/// router for the first time isn't refused outright.
-const EQUAL_PART: f64 = 0.05;
+/// Fraction of a limit that is divided equally regardless of usage, so that a router can admit a
+/// team's first requests.
+const EQUAL_FRACTION: f64 = 0.05;
 
-/// What other routers' teams ask for, under each view of the last while.
+/// Demand at the other routers, for each of the recent membership views.
 ///
-/// The share at this router is the lowest that any of those views gives. While a cut spreads,
-/// routers notice it at different times; for a while all of them still have the old view, and
-/// later all have the new one, so at each moment there is a view under which the shares of all
-/// routers add up to no more than the whole.
+/// The share at this router is the minimum over these views. Routers detect a network partition at
+/// different times. Because each of them keeps both the old and the new view for a while, there is
+/// at any time a view that all of them apply, and under a common view the shares add up to at most
+/// the limit.
 #[derive(Debug, Default)]
 pub(crate) struct UsageSpread {
     views: Vec<SpreadView>,
 }
 
-/// What the routers of one view ask for.
+/// Demand at the routers of one membership view.
 #[derive(Debug)]
 pub(crate) struct SpreadView {
-    /// How many share, this router included.
+    /// Number of routers in the view, including this one.
     pub(crate) size: f64,
-    /// The part of each limit that they share.
+    /// Fraction of each limit that the routers of the view share.
     pub(crate) part: f64,
-    /// What the others ask for.
+    /// Demand at the other routers, by team.
     pub(crate) others: IndexMap<TeamName, TeamRate>,
 }
 
 impl UsageSpread {
-    /// Of these views.
     pub(crate) fn new(views: Vec<SpreadView>) -> UsageSpread {
         UsageSpread { views }
     }
 
-    /// Whether another router told of this team.
-    pub(crate) fn knows(&self, team: &TeamName) -> bool {
+    /// Whether another router reported demand for this team.
+    pub(crate) fn is_reported(&self, team: &TeamName) -> bool {
         self.views.iter().any(|view| view.others.contains_key(team))
     }
 
-    /// The rate of a team at this router, which has told the others of `own` for the whole hold.
+    /// Rate limit of a team at this router. `own` is the demand that this router reported
+    /// throughout the hold time.
     pub(crate) fn rate(&self, team: &TeamName, limit: &TeamLimit, own: TeamRate) -> TeamRate {
         let unlimited = TeamRate { requests: f64::INFINITY, tokens: f64::INFINITY };
         let rates = self.views.iter().map(|view| view.rate(team, limit, own));
@@ -53,31 +53,31 @@
 
 impl SpreadView {
     fn rate(&self, team: &TeamName, limit: &TeamLimit, own: TeamRate) -> TeamRate {
-        let whole = TeamRate::part_of(limit, self.part);
+        let total = TeamRate::fraction_of(limit, self.part);
         let others = self.others.get(team).copied().unwrap_or_default();
         TeamRate {
-            requests: self.share(whole.requests, own.requests, others.requests),
-            tokens: self.share(whole.tokens, own.tokens, others.tokens),
+            requests: self.share(total.requests, own.requests, others.requests),
+            tokens: self.share(total.tokens, own.tokens, others.tokens),
         }
     }
 
-    /// One router's share of `whole`: what it asks for and an equal part of what nobody asks for,
-    /// or, when more is asked for than there is, in proportion.
+    /// This router's share of `total`: its demand plus an equal part of what is left over, or a
+    /// share proportional to its demand if the demand exceeds the limit.
     ///
-    /// `own` is the least that this router told over the hold, and `others` what was heard, so
-    /// each router counts itself no higher than anybody else counts it: the shares of all add up
-    /// to at most the whole.
-    fn share(&self, whole: f64, own: f64, others: f64) -> f64 {
-        if whole.is_infinite() {
-            return whole;
+    /// `own` is the minimum that this router reported during the hold time, and `others` the demand
+    /// that it received. No router uses a higher value for itself than others use for it, so the
+    /// shares add up to at most `total`.
+    fn share(&self, total: f64, own: f64, others: f64) -> f64 {
+        if total.is_infinite() {
+            return total;
         }
-        let equal = whole * EQUAL_PART / self.size;
-        let rest = whole * (1.0 - EQUAL_PART);
-        let asked = own + others;
-        if asked < rest {
-            equal + own + (rest - asked) / self.size
+        let equal = total * EQUAL_FRACTION / self.size;
+        let remaining = total * (1.0 - EQUAL_FRACTION);
+        let demand = own + others;
+        if demand < remaining {
+            equal + own + (remaining - demand) / self.size
         } else {
-            equal + rest * own / asked
+            equal + remaining * own / demand
         }
     }
 }
