--- a/crates/admission/src/class_conf.rs
+++ b/crates/admission/src/class_conf.rs
@@ -1,17 +1,17 @@
-//! A class of requests.
+//! Configuration of a request class.
 
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What operators set for one class of requests.
+/// Settings of a request class.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClassConf {
-    /// The class's name, as rules and metrics give it.
+    /// Name used in rules and metrics.
     pub name: Arc<str>,
-    /// 0 is the most urgent; a lower number always leaves a queue first.
+    /// Priority; 0 is the most urgent. Requests with a lower number always leave a queue first.
     pub priority: u8,
-    /// Time until the first token, from arrival, unless the caller asks for another.
+    /// Default time from arrival to the first token. Callers may request another.
     pub deadline: Duration,
-    /// Most requests of this priority that may wait at one backend server's gate.
+    /// Maximum number of requests of this priority queued for one backend server.
     pub queue_limit: usize,
 }
--- a/crates/admission/src/class_queue.rs
+++ b/crates/admission/src/class_queue.rs
@@ -1,4 +1,4 @@
-//! The waiting requests of one priority, fair among teams.
+//! Fair queue of the waiting requests of one priority.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -12,24 +12,25 @@
 use crate::queue_entry::QueueEntry;
 use crate::team_queue::TeamQueue;
 
-/// Deficit round robin over the teams that wait.
+/// Schedules the queues of the teams by deficit round robin.
 ///
 /// Each round a team may send requests worth one quantum. The quantum is the largest cost seen, so
-/// each visit sends at least one request, and taking the next one costs the same for 8 teams
-/// and for 11,000.
+/// that each turn sends at least one request and dequeuing takes constant time regardless of the
+/// number of teams.
 #[derive(Debug, Default)]
 pub(crate) struct ClassQueue {
     teams: IndexMap<TeamName, TeamQueue>,
-    /// The same teams in turn. A team that has become empty stays until its turn comes to an end,
-    /// so that leaving and entering again gains it no second turn, and loses what it had saved.
-    ring: VecDeque<TeamName>,
-    /// Whether the team whose turn it is has had its quantum.
+    /// The teams in round-robin order. A team whose queue is empty is removed only at its next
+    /// turn, so that it cannot gain an extra turn by leaving and reentering. Removal discards its
+    /// deficit.
+    round_robin: VecDeque<TeamName>,
+    /// Whether the current team has received its quantum.
     turn: Turn,
     quantum: u64,
     len: usize,
     cost: u64,
-    /// How fast this priority's requests leave; more urgent ones that overtake make it slower.
-    pace: DrainRate,
+    /// Drain rate of this priority, which falls while more urgent requests are sent first.
+    drain_rate: DrainRate,
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -39,74 +40,72 @@
     Credited,
 }
 
-/// What comes next.
+/// Result of dequeuing.
 #[derive(Debug)]
 pub(crate) enum QueueStep {
-    /// Nobody waits.
+    /// The queue is empty.
     Empty,
-    /// Someone waits, and there is no room.
+    /// Requests are waiting, but there is no capacity.
     Blocked(GateRoom),
-    /// This one waited in vain.
+    /// The request waited too long for its first token to meet the deadline.
     Expired(QueueEntry),
-    /// This one is next, and there is room.
+    /// The next request, for which there is capacity.
     Next(QueueEntry),
 }
 
 impl ClassQueue {
-    /// How many wait.
     pub(crate) fn len(&self) -> usize {
         self.len
     }
 
-    /// How many of this team wait.
     pub(crate) fn team_len(&self, team: &TeamName) -> usize {
         self.teams.get(team).map_or(0, TeamQueue::len)
     }
 
-    /// How long a new request of this team will probably wait; `None` while nothing is known.
+    /// Estimated waiting time of a new request of this team; `None` without enough data.
     ///
-    /// By the team's own pace, for others keep coming and take their turns; for a team of which
-    /// little has left yet, by what waits before it.
+    /// Based on the team's own drain rate, which accounts for requests of other teams that arrive
+    /// later. If it is unknown, based on the requests queued before the new one.
     pub(crate) fn wait_for(&self, team: &TeamName, cost: u64, now: Instant) -> Option<Duration> {
         let own = self.teams.get(team).and_then(|queue| queue.wait_for(cost, now));
-        own.or_else(|| self.pace.time_for(self.cost_before(team, cost) + cost, now))
+        own.or_else(|| self.drain_rate.time_for(self.cost_before(team, cost) + cost, now))
     }
 
-    /// What was learnt of the pace holds no more.
+    /// Discards the measured drain rates.
     pub(crate) fn forget_pace(&mut self) {
-        self.pace = DrainRate::default();
-        self.teams.values_mut().for_each(TeamQueue::forget_pace);
+        self.drain_rate = DrainRate::default();
+        self.teams.values_mut().for_each(TeamQueue::reset_drain_rate);
     }
 
-    /// Adds a request at the end of its team's queue.
+    /// Appends a request to its team's queue.
     pub(crate) fn push(&mut self, entry: QueueEntry, now: Instant) {
         if self.len == 0 {
             self.quantum = 0;
         }
-        self.pace.begin(now);
+        self.drain_rate.begin(now);
         self.quantum = self.quantum.max(entry.cost);
         self.len += 1;
         self.cost += entry.cost;
         if !self.teams.contains_key(&entry.team) {
-            self.ring.push_back(entry.team.clone());
+            self.round_robin.push_back(entry.team.clone());
         }
         self.teams.entry(entry.team.clone()).or_default().push(entry, now);
     }
 
-    /// Takes the next request if it fits.
+    /// Removes and returns the next request if there is capacity for it.
     pub(crate) fn next(
         &mut self,
         now: Instant,
         room: impl Fn(&TeamName, u32) -> GateRoom,
     ) -> QueueStep {
         let mut skipped = 0;
-        while let Some(name) = self.ring.front() {
+        while let Some(name) = self.round_robin.front() {
             let Some(queue) = self.teams.get_mut(name) else {
-                self.ring.pop_front();
+                self.round_robin.pop_front();
                 continue;
             };
             let Some(head) = queue.head() else {
-                self.drop_turn();
+                self.remove_empty_team();
                 continue;
             };
             let cost = head.cost;
@@ -115,9 +114,9 @@
             }
             match room(name, head.prefill_tokens) {
                 GateRoom::Free => {}
-                GateRoom::TeamFull if skipped < self.ring.len() => {
+                GateRoom::TeamFull if skipped < self.round_robin.len() => {
                     skipped += 1;
-                    self.pass_turn();
+                    self.end_turn();
                     continue;
                 }
                 full => return QueueStep::Blocked(full),
@@ -128,24 +127,24 @@
             }
             if cost <= queue.deficit {
                 queue.deficit -= cost;
-                queue.granted(cost, now);
-                self.pace.granted(cost, now);
+                queue.record_sent(cost, now);
+                self.drain_rate.granted(cost, now);
                 return self.pop_head(QueueStep::Next);
             }
-            self.pass_turn();
+            self.end_turn();
         }
         QueueStep::Empty
     }
 
-    /// Takes a request out of the middle.
+    /// Removes a request from any position.
     pub(crate) fn remove(&mut self, team: &TeamName, id: u64) -> Option<QueueEntry> {
         let entry = self.teams.get_mut(team)?.remove(id)?;
-        self.forget(&entry);
+        self.record_removal(&entry);
         Some(entry)
     }
 
-    /// Makes place for a request of `team` at the cost of the team that has most waiting; `None`
-    /// when that is `team` itself.
+    /// Removes the newest request of the team with the longest queue to make room for a request of
+    /// `team`. Returns `None` if no other team would then have a longer queue than `team`.
     pub(crate) fn displace_for(&mut self, team: &TeamName) -> Option<QueueEntry> {
         let own = self.team_len(team) + 1;
         let longest = self.teams.values_mut().max_by_key(|queue| queue.len())?;
@@ -153,11 +152,11 @@
             return None;
         }
         let entry = longest.pop_newest()?;
-        self.forget(&entry);
+        self.record_removal(&entry);
         Some(entry)
     }
 
-    /// Takes all.
+    /// Removes and returns all requests.
     pub(crate) fn drain(&mut self) -> Vec<QueueEntry> {
         let mut entries = Vec::with_capacity(self.len);
         for (_, mut queue) in std::mem::take(self).teams {
@@ -169,36 +168,36 @@
     }
 
     fn pop_head(&mut self, step: fn(QueueEntry) -> QueueStep) -> QueueStep {
-        let queue = self.ring.front().and_then(|name| self.teams.get_mut(name));
+        let queue = self.round_robin.front().and_then(|name| self.teams.get_mut(name));
         let Some(entry) = queue.and_then(TeamQueue::pop_head) else {
             return QueueStep::Empty;
         };
-        self.forget(&entry);
+        self.record_removal(&entry);
         step(entry)
     }
 
-    fn pass_turn(&mut self) {
-        self.ring.rotate_left(1);
+    fn end_turn(&mut self) {
+        self.round_robin.rotate_left(1);
         self.turn = Turn::New;
     }
 
-    fn drop_turn(&mut self) {
-        if let Some(name) = self.ring.pop_front() {
+    fn remove_empty_team(&mut self) {
+        if let Some(name) = self.round_robin.pop_front() {
             self.teams.swap_remove(&name);
         }
         self.turn = Turn::New;
     }
 
-    fn forget(&mut self, entry: &QueueEntry) {
+    fn record_removal(&mut self, entry: &QueueEntry) {
         self.len -= 1;
         self.cost -= entry.cost;
         if self.len == 0 {
-            self.pace.end();
+            self.drain_rate.end();
         }
     }
 
-    /// The cost that probably goes before a new request of this team: each other team sends about
-    /// as much as this one before it is its turn.
+    /// Estimated cost sent before a new request of this team, assuming that until then each other
+    /// team sends as much as this one.
     fn cost_before(&self, team: &TeamName, cost: u64) -> u64 {
         let own = self.teams.get(team).map_or(0, TeamQueue::cost);
         let others = (self.cost - own).min((own + cost) * self.teams.len() as u64);
--- a/crates/admission/src/class_rule.rs
+++ b/crates/admission/src/class_rule.rs
@@ -1,25 +1,25 @@
-//! One line of the operators' rules.
+//! A rule that assigns requests to classes.
 
 use std::sync::Arc;
 
 use fulmargate_names::ModelName;
 use fulmargate_names::TeamName;
 
-/// Puts the requests that match all its given parts into a class.
+/// Assigns a class to requests that match all conditions that are set.
 #[derive(Clone, Debug)]
 pub struct ClassRule {
-    /// Only this team's requests.
+    /// Matches only requests of this team.
     pub team: Option<TeamName>,
-    /// Only requests for this model.
+    /// Matches only requests for this model.
     pub model: Option<ModelName>,
-    /// Only this path and the paths below it.
+    /// Matches only this path and the paths below it.
     pub path: Option<Arc<str>>,
-    /// The class's name.
+    /// Name of the assigned class.
     pub class: Arc<str>,
 }
 
 impl ClassRule {
-    /// Whether model and path match; the team is matched by the table's index.
+    /// Whether model and path match. `ClassTable` matches the team.
     pub(crate) fn matches(&self, model: Option<&ModelName>, path: &str) -> bool {
         if self.model.is_some() && self.model.as_ref() != model {
             return false;
@@ -31,7 +31,7 @@
     }
 }
 
-/// `/services/shop` covers `/services/shop/charge` and not `/services/shopper`.
+/// `/services/shop` matches `/services/shop/charge` but not `/services/shopper`.
 fn is_below(path: &str, prefix: &str) -> bool {
     let Some(rest) = path.strip_prefix(prefix) else {
         return false;
--- a/crates/admission/src/class_table.rs
+++ b/crates/admission/src/class_table.rs
@@ -1,4 +1,4 @@
-//! From a request to its class.
+//! Assigns requests to classes.
 
 use std::sync::Arc;
 
@@ -11,36 +11,36 @@
 use crate::ClassConf;
 use crate::ClassRule;
 
-/// The classes and the operators' rules, indexed by team.
+/// Classification rules, indexed by team.
 ///
-/// The first rule that matches wins. With a rule for each of 11,000 teams a walk over all rules
-/// would cost more than the rest of a request's admission, so each team has its own short list.
+/// The first matching rule applies. The index avoids scanning the rules of all teams for each
+/// request.
 #[derive(Debug)]
 pub struct ClassTable {
-    by_team: IndexMap<TeamName, Vec<TableRow>>,
-    general: Vec<TableRow>,
+    by_team: IndexMap<TeamName, Vec<IndexedRule>>,
+    general: Vec<IndexedRule>,
     fallback: Arc<ClassConf>,
 }
 
 #[derive(Debug)]
-struct TableRow {
-    /// Place among the operators' rules: lower ones go first.
-    place: usize,
+struct IndexedRule {
+    /// Position in the list of rules; lower positions take precedence.
+    position: usize,
     rule: ClassRule,
     class: Arc<ClassConf>,
 }
 
-/// A name that no class has.
+/// Error for a rule or fallback that refers to a class that does not exist.
 #[derive(Clone, Debug, PartialEq, Eq, Display, Error)]
 #[display("no class is named {name:?}")]
 pub struct UnknownClass {
-    /// The name.
+    /// Name of the missing class.
     #[error(not(source))]
     pub name: Arc<str>,
 }
 
 impl ClassTable {
-    /// Indexes the rules; requests that match none get the class `fallback`.
+    /// Builds the table. Requests that match no rule get the class `fallback`.
     pub fn new(
         classes: Vec<ClassConf>,
         rules: Vec<ClassRule>,
@@ -54,34 +54,34 @@
         };
         let mut table =
             ClassTable { by_team: IndexMap::new(), general: Vec::new(), fallback: find(fallback)? };
-        for (place, rule) in rules.into_iter().enumerate() {
+        for (position, rule) in rules.into_iter().enumerate() {
             let class = find(&rule.class)?;
-            table.push(TableRow { place, rule, class });
+            table.push(IndexedRule { position, rule, class });
         }
         Ok(table)
     }
 
-    /// The class of a request: that of the first rule that matches.
+    /// The class assigned by the first matching rule.
     pub fn classify(
         &self,
         team: &TeamName,
         model: Option<&ModelName>,
         path: &str,
     ) -> &Arc<ClassConf> {
-        let matches = |row: &&TableRow| row.rule.matches(model, path);
-        let own = self.by_team.get(team).and_then(|rows| rows.iter().find(matches));
+        let matches = |entry: &&IndexedRule| entry.rule.matches(model, path);
+        let own = self.by_team.get(team).and_then(|entries| entries.iter().find(matches));
         let general = self.general.iter().find(matches);
         match (own, general) {
-            (Some(own), Some(general)) if general.place < own.place => &general.class,
-            (Some(row), _) | (None, Some(row)) => &row.class,
+            (Some(own), Some(general)) if general.position < own.position => &general.class,
+            (Some(entry), _) | (None, Some(entry)) => &entry.class,
             (None, None) => &self.fallback,
         }
     }
 
-    fn push(&mut self, row: TableRow) {
-        match &row.rule.team {
-            Some(team) => self.by_team.entry(team.clone()).or_default().push(row),
-            None => self.general.push(row),
+    fn push(&mut self, entry: IndexedRule) {
+        match &entry.rule.team {
+            Some(team) => self.by_team.entry(team.clone()).or_default().push(entry),
+            None => self.general.push(entry),
         }
     }
 }
--- a/crates/admission/src/queue_entry.rs
+++ b/crates/admission/src/queue_entry.rs
@@ -1,4 +1,4 @@
-//! One waiting request.
+//! A request in a gate's queue.
 
 use fulmargate_names::TeamName;
 use tokio::sync::oneshot;
@@ -6,21 +6,22 @@
 
 use crate::GateOutcome;
 
-/// One waiting request. Whoever takes it out of the queue owns its sender and so its only answer.
+/// A request in a gate's queue. The code that removes the entry from the queue must send the
+/// outcome.
 #[derive(Debug)]
 pub(crate) struct QueueEntry {
-    /// Place and time: rises with each entry of a gate.
+    /// Sequence number at the gate, in order of arrival.
     pub(crate) id: u64,
-    /// Who calls.
+    /// Team of the caller.
     pub(crate) team: TeamName,
-    /// Its priority.
+    /// Priority of the request's class.
     pub(crate) priority: u8,
-    /// Prompt tokens to compute.
+    /// Number of prompt tokens to prefill.
     pub(crate) prefill_tokens: u32,
-    /// What it counts when teams are weighed against each other.
+    /// Cost for fair queueing among teams.
     pub(crate) cost: u64,
-    /// Sent later than this, its first token would be late.
+    /// Latest time to send the request so that its first token meets the deadline.
     pub(crate) give_up: Instant,
-    /// Where the answer goes.
+    /// Receives the outcome.
     pub(crate) sender: oneshot::Sender<GateOutcome>,
 }
--- a/crates/admission/src/request_class.rs
+++ b/crates/admission/src/request_class.rs
@@ -1,4 +1,4 @@
-//! The class of one request.
+//! Class and deadline of a request.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,22 +7,28 @@
 
 use crate::ClassConf;
 
-/// The longest time that a caller may ask to wait; it bounds how long a place in a queue is held.
-const LONGEST_DEADLINE: Duration = Duration::from_secs(600);
+/// Maximum deadline that a caller may request. It limits how long a request can occupy a queue
+/// slot.
+const MAX_DEADLINE: Duration = Duration::from_secs(600);
 
-/// The class of one request with its own deadline.
+/// Class and deadline of a request.
 #[derive(Clone, Debug)]
 pub struct RequestClass {
-    /// The class.
+    /// Settings of the class.
     pub conf: Arc<ClassConf>,
     /// When the first token is due.
     pub deadline: Instant,
 }
 
 impl RequestClass {
-    /// Starts the clock of a request that arrived at `arrived`; `asked` is the caller's `x-deadline-ms`.
-    pub fn begin(conf: &Arc<ClassConf>, arrived: Instant, asked: Option<Duration>) -> RequestClass {
-        let wait = asked.unwrap_or(conf.deadline).min(LONGEST_DEADLINE);
-        RequestClass { conf: Arc::clone(conf), deadline: arrived + wait }
+    /// Computes the deadline of a request that arrived at `arrived`. `requested` is the value of
+    /// the caller's `x-deadline-ms` header.
+    pub fn begin(
+        conf: &Arc<ClassConf>,
+        arrived: Instant,
+        requested: Option<Duration>,
+    ) -> RequestClass {
+        let timeout = requested.unwrap_or(conf.deadline).min(MAX_DEADLINE);
+        RequestClass { conf: Arc::clone(conf), deadline: arrived + timeout }
     }
 }
