--- a/crates/admission/examples/limit_shares.rs
+++ b/crates/admission/examples/limit_shares.rs
@@ -1,4 +1,4 @@
-//! What routers that share a limit admit beyond it, and how fast shares follow use; see
+//! Measures by how much routers exceed a shared limit and how fast their shares follow usage; see
 //! `docs/design/admission.md`.
 
 #[path = "../tests/support/mod.rs"]
@@ -6,62 +6,68 @@
 
 use fulmargate_admission::TeamLimit;
 use support::Dice;
-use support::limit_world::LIMIT;
-use support::limit_world::LimitWorld;
-use support::limit_world::conf;
+use support::limit_simulation::LIMIT;
+use support::limit_simulation::LimitSimulation;
+use support::limit_simulation::conf;
 
 const ROUTERS: usize = 6;
-const HISTORIES: u64 = 300;
+const SEEDS: u64 = 300;
 
 fn main() {
-    let bound = LIMIT * conf().burst.as_secs_f64() + 2.0 * ROUTERS as f64;
-    println!("limit {LIMIT} requests a second, stated bound {bound} beyond it at any time");
-    println!("cuts of 16 s and more: worst {}", worst(cuts));
-    println!("one-way links that change every 1 to 3 s: worst {}", worst(flapping));
+    let allowed_excess = LIMIT * conf().burst.as_secs_f64() + 2.0 * ROUTERS as f64;
+    println!("limit {LIMIT} requests/s, maximum documented excess {allowed_excess} requests");
+    println!("partitions of 16 s and more: maximum excess {}", max_excess(partitions));
+    println!(
+        "one-way links that change every 1 to 3 s: maximum excess {}",
+        max_excess(flapping_links)
+    );
     for seconds in [1, 5, 10, 13, 15, 20] {
-        let mut world = world(1);
-        world.run(20);
-        world.demand[0] = 300.0;
-        world.run(seconds);
-        println!("{seconds} s after all came to one router: {} a second", world.rates(1)[0]);
+        let mut simulation = simulation(1);
+        simulation.run(20);
+        simulation.demand[0] = 300.0;
+        simulation.run(seconds);
+        println!(
+            "{seconds} s after all demand moved to one router: {} requests/s",
+            simulation.rates(1)[0]
+        );
     }
 }
 
-fn world(seed: u64) -> LimitWorld {
+fn simulation(seed: u64) -> LimitSimulation {
     let limit = TeamLimit { requests_per_s: LIMIT, prompt_tokens_per_s: f64::INFINITY };
-    LimitWorld::new(ROUTERS, limit, seed)
+    LimitSimulation::new(ROUTERS, limit, seed)
 }
 
-fn worst(history: impl Fn(&mut LimitWorld, &mut Dice)) -> f64 {
+fn max_excess(scenario: impl Fn(&mut LimitSimulation, &mut Dice)) -> f64 {
     let run = |seed| {
-        let mut world = world(seed);
-        history(&mut world, &mut Dice(seed));
-        world.worst_excess()
+        let mut simulation = simulation(seed);
+        scenario(&mut simulation, &mut Dice(seed));
+        simulation.max_excess()
     };
-    (0..HISTORIES).map(run).fold(0.0, f64::max)
+    (0..SEEDS).map(run).fold(0.0, f64::max)
 }
 
-fn cuts(world: &mut LimitWorld, dice: &mut Dice) {
+fn partitions(simulation: &mut LimitSimulation, dice: &mut Dice) {
     for _ in 0..6 {
-        world.cut(dice.below(ROUTERS));
+        simulation.partition(dice.below(ROUTERS));
         for _ in 0..4 {
-            shift(world, dice);
-            world.run(4 + dice.below(4) as u64);
+            randomize_demand(simulation, dice);
+            simulation.run(4 + dice.below(4) as u64);
         }
     }
 }
 
-fn flapping(world: &mut LimitWorld, dice: &mut Dice) {
+fn flapping_links(simulation: &mut LimitSimulation, dice: &mut Dice) {
     for _ in 0..40 {
         let (to, from) = (dice.below(ROUTERS), dice.below(ROUTERS));
-        world.hears[to][from] = !world.hears[to][from];
-        shift(world, dice);
-        world.run(1 + dice.below(3) as u64);
+        simulation.links[to][from] = !simulation.links[to][from];
+        randomize_demand(simulation, dice);
+        simulation.run(1 + dice.below(3) as u64);
     }
 }
 
-fn shift(world: &mut LimitWorld, dice: &mut Dice) {
-    for demand in &mut world.demand {
+fn randomize_demand(simulation: &mut LimitSimulation, dice: &mut Dice) {
+    for demand in &mut simulation.demand {
         *demand = [0.0, 0.0, 5.0, 40.0, 400.0][dice.below(5)];
     }
 }
--- a/crates/admission/tests/classes.rs
+++ b/crates/admission/tests/classes.rs
@@ -1,4 +1,4 @@
-//! From requests to classes, and how many second attempts they get.
+//! Request classification, deadlines and the retry budget.
 
 mod support;
 
@@ -18,7 +18,7 @@
 use support::ms;
 use tokio::time::Instant;
 
-/// A request and the class that the rules below give it.
+/// A request and its expected class.
 struct ClassCase {
     team: &'static str,
     model: Option<&'static str>,
@@ -37,7 +37,7 @@
 ];
 
 #[test]
-fn the_first_rule_that_matches_gives_the_class() {
+fn first_matching_rule_determines_class() {
     let rule =
         |team: Option<&str>, model: Option<&str>, path: Option<&str>, class: &str| ClassRule {
             team: team.map(TeamName::new),
@@ -64,33 +64,44 @@
 }
 
 #[test]
-fn a_caller_may_ask_for_its_own_deadline() {
+fn caller_may_request_its_own_deadline() {
     let now = Instant::now();
-    let wait = |asked| RequestClass::begin(&class(URGENT, 1_500, 9), now, asked).deadline - now;
-    assert_eq!(wait(None), ms(1_500));
-    assert_eq!(wait(Some(ms(200))), ms(200));
-    assert_eq!(wait(Some(ms(5_000))), ms(5_000));
-    assert_eq!(wait(Some(ms(86_400_000))), ms(600_000));
+    let timeout =
+        |requested| RequestClass::begin(&class(URGENT, 1_500, 9), now, requested).deadline - now;
+    assert_eq!(timeout(None), ms(1_500));
+    assert_eq!(timeout(Some(ms(200))), ms(200));
+    assert_eq!(timeout(Some(ms(5_000))), ms(5_000));
+    assert_eq!(timeout(Some(ms(86_400_000))), ms(600_000));
 }
 
-/// Traffic of a minute, all of whose attempts fail, and the retries that it gets.
+/// One minute of traffic in which all attempts fail, and the expected number of retries.
 struct RetryCase {
     name: &'static str,
     attempts_per_s: u32,
-    least: u32,
-    most: u32,
+    min_retries: u32,
+    max_retries: u32,
 }
 
 const RETRIES: &[RetryCase] = &[
-    RetryCase { name: "no traffic", attempts_per_s: 0, least: 0, most: 0 },
-    RetryCase { name: "low traffic: the floor", attempts_per_s: 1, least: 130, most: 150 },
-    RetryCase { name: "much traffic: a tenth", attempts_per_s: 200, least: 1_300, most: 1_350 },
+    RetryCase { name: "no traffic", attempts_per_s: 0, min_retries: 0, max_retries: 0 },
+    RetryCase {
+        name: "low traffic gets the minimum",
+        attempts_per_s: 1,
+        min_retries: 130,
+        max_retries: 150,
+    },
+    RetryCase {
+        name: "high traffic gets a tenth",
+        attempts_per_s: 200,
+        min_retries: 1_300,
+        max_retries: 1_350,
+    },
 ];
 
-/// All servers of a zone fail. Each request wants to be tried again and again; the load that the
-/// router adds must stay a tenth of its traffic, and the little it allows must not run dry.
+/// When all servers fail, retries must not add more than a tenth to the load, while low traffic
+/// still gets a minimum of retries.
 #[test]
-fn retries_are_a_share_of_the_traffic() {
+fn retries_are_limited_to_a_fraction_of_traffic() {
     for case in RETRIES {
         check_retries(case);
     }
@@ -103,19 +114,23 @@
     for _ in 0..60 {
         for _ in 0..case.attempts_per_s {
             budget.first_attempt(BATCH, now);
-            // Three more tries each, as far as the budget goes.
+            // Up to three retries per request.
             let granted =
                 (0..3).take_while(|_| budget.try_retry(BATCH, now) == RetryGrant::Allowed);
             retries += granted.count() as u32;
         }
         now += ms(1_000);
     }
-    assert!((case.least..=case.most).contains(&retries), "{}: {retries}", case.name);
+    assert!((case.min_retries..=case.max_retries).contains(&retries), "{}: {retries}", case.name);
     if case.attempts_per_s > 10 {
-        assert_eq!(budget.try_retry(URGENT, now), RetryGrant::Allowed, "classes have their own");
+        assert_eq!(
+            budget.try_retry(URGENT, now),
+            RetryGrant::Allowed,
+            "each class has its own budget"
+        );
         while budget.try_retry(BATCH, now) == RetryGrant::Allowed {}
         let RetryGrant::Spent { retry_after } = budget.try_retry(BATCH, now) else {
-            panic!("spent");
+            panic!("retry allowed by an exhausted budget");
         };
         assert_eq!(budget.try_retry(BATCH, now + retry_after + ms(1)), RetryGrant::Allowed);
     }
--- a/crates/admission/tests/limits.rs
+++ b/crates/admission/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Team limits, alone and shared among routers.
+//! Team limits at one router and shared by several routers.
 
 mod support;
 
@@ -10,10 +10,10 @@
 use quickcheck::Gen;
 use quickcheck::QuickCheck;
 use support::Dice;
-use support::limit_world::LIMIT;
-use support::limit_world::LimitWorld;
-use support::limit_world::PROMPT;
-use support::limit_world::conf;
+use support::limit_simulation::LIMIT;
+use support::limit_simulation::LimitSimulation;
+use support::limit_simulation::PROMPT;
+use support::limit_simulation::conf;
 use support::ms;
 use tokio::time::Instant;
 
@@ -22,63 +22,63 @@
 const BY_TOKENS: TeamLimit =
     TeamLimit { requests_per_s: f64::INFINITY, prompt_tokens_per_s: LIMIT * PROMPT as f64 };
 
-/// The bound that the limiter states: the burst, and two requests (or one prompt) a router.
-fn bound(routers: usize) -> f64 {
+/// Maximum excess documented by `TeamLimiter`: the burst and two requests per router.
+fn allowed_excess(routers: usize) -> f64 {
     LIMIT * conf().burst.as_secs_f64() + 2.0 * routers as f64
 }
 
-/// Traffic of one team at several routers, and what the last five seconds of it came to.
+/// Traffic of one team at several routers and the admission rates that it must converge to.
 struct ShareCase {
     name: &'static str,
-    /// Requests a second at each router.
+    /// Requests per second sent to each router.
     demand: &'static [f64],
-    /// Routers below this index are cut from the rest.
-    cut: usize,
-    /// Requests a second that each router admits at the end, within a tenth of the limit.
+    /// Routers below this index are partitioned from the others.
+    partition: usize,
+    /// Expected requests per second admitted by each router, within 5 % of the limit.
     admitted: &'static [f64],
 }
 
 const SHARES: &[ShareCase] = &[
     ShareCase {
-        name: "below the limit all pass",
+        name: "demand below the limit is admitted",
         demand: &[10.0, 10.0, 10.0, 10.0, 10.0, 10.0],
-        cut: 0,
+        partition: 0,
         admitted: &[10.0, 10.0, 10.0, 10.0, 10.0, 10.0],
     },
     ShareCase {
-        name: "equal use, equal shares",
+        name: "equal usage gives equal shares",
         demand: &[60.0, 60.0, 60.0, 60.0, 60.0, 60.0],
-        cut: 0,
+        partition: 0,
         admitted: &[20.0, 20.0, 20.0, 20.0, 20.0, 20.0],
     },
     ShareCase {
-        name: "all at one router",
+        name: "all demand at one router",
         demand: &[300.0, 0.0, 0.0, 0.0, 0.0, 0.0],
-        cut: 0,
+        partition: 0,
         admitted: &[115.0, 0.0, 0.0, 0.0, 0.0, 0.0],
     },
     ShareCase {
-        name: "most at one router, below the limit",
+        name: "most demand at one router, below the limit",
         demand: &[90.0, 5.0, 5.0, 0.0, 0.0, 0.0],
-        cut: 0,
+        partition: 0,
         admitted: &[90.0, 5.0, 5.0, 0.0, 0.0, 0.0],
     },
     ShareCase {
-        name: "in proportion to use",
+        name: "shares are proportional to usage",
         demand: &[180.0, 60.0],
-        cut: 0,
+        partition: 0,
         admitted: &[88.5, 31.5],
     },
     ShareCase {
-        name: "each side of a cut has its part",
+        name: "each side of a partition has its share",
         demand: &[300.0, 0.0, 100.0, 100.0, 100.0, 100.0],
-        cut: 2,
+        partition: 2,
         admitted: &[38.0, 0.0, 20.0, 20.0, 20.0, 20.0],
     },
 ];
 
 #[test]
-fn shares_follow_use() {
+fn shares_follow_usage() {
     for case in SHARES {
         for limit in [BY_REQUESTS, BY_TOKENS] {
             check_share(case, limit);
@@ -87,128 +87,126 @@
 }
 
 fn check_share(case: &ShareCase, limit: TeamLimit) {
-    let mut world = LimitWorld::new(case.demand.len(), limit, 5);
-    world.cut(case.cut);
-    world.demand = case.demand.to_vec();
-    world.run(40);
-    let rates = world.rates(10);
+    let mut simulation = LimitSimulation::new(case.demand.len(), limit, 5);
+    simulation.partition(case.partition);
+    simulation.demand = case.demand.to_vec();
+    simulation.run(40);
+    let rates = simulation.rates(10);
     for (rate, admitted) in rates.iter().zip(case.admitted) {
-        let off = (rate - admitted).abs();
-        assert!(off < 0.05 * LIMIT, "{}: {rates:?}, not {:?}", case.name, case.admitted);
+        let difference = (rate - admitted).abs();
+        assert!(difference < 0.05 * LIMIT, "{}: {rates:?}, not {:?}", case.name, case.admitted);
     }
-    let excess = world.worst_excess();
-    assert!(excess <= bound(case.demand.len()), "{}: excess {excess}", case.name);
+    let excess = simulation.max_excess();
+    assert!(excess <= allowed_excess(case.demand.len()), "{}: excess {excess}", case.name);
 }
 
-/// The team's callers see more answers than its limit allows. Links fail just when its traffic
-/// moves from some routers to others; each router could think that the rest still stand back.
-struct BoundCase {
+/// Guards against exceeding the limit when links fail while traffic moves between routers.
+struct LinkFailureCase {
     name: &'static str,
     phases: &'static [(u64, Links, [f64; 6])],
 }
 
 #[derive(Clone, Copy)]
 enum Links {
-    Whole,
-    /// Routers below the index are cut from the rest.
-    Cut(usize),
-    /// All hear the first router and it hears all; no other hears another.
+    Connected,
+    /// Routers below the index are partitioned from the others.
+    Partitioned(usize),
+    /// Reports are delivered only to and from the first router.
     Star,
-    /// A router hears those before it and is heard by those after it.
-    Downhill,
+    /// Reports are delivered only from lower to higher indexes.
+    LowerToHigher,
 }
 
-const BOUNDS: &[BoundCase] = &[
-    BoundCase {
-        name: "both sides of a cut begin to ask",
+const LINK_FAILURES: &[LinkFailureCase] = &[
+    LinkFailureCase {
+        name: "demand starts on both sides of a partition",
         phases: &[
-            (20, Links::Whole, [0.0; 6]),
-            (20, Links::Cut(3), [400.0, 0.0, 0.0, 400.0, 0.0, 0.0]),
+            (20, Links::Connected, [0.0; 6]),
+            (20, Links::Partitioned(3), [400.0, 0.0, 0.0, 400.0, 0.0, 0.0]),
         ],
     },
-    BoundCase {
-        name: "the others notice before the router that had the whole",
+    LinkFailureCase {
+        name: "the first router has the whole limit and is isolated",
         phases: &[
-            (20, Links::Whole, [400.0, 0.0, 0.0, 0.0, 0.0, 0.0]),
-            (20, Links::Cut(1), [400.0; 6]),
+            (20, Links::Connected, [400.0, 0.0, 0.0, 0.0, 0.0, 0.0]),
+            (20, Links::Partitioned(1), [400.0; 6]),
         ],
     },
-    BoundCase {
-        name: "the router that had the whole is the last in turn",
+    LinkFailureCase {
+        name: "the last router has the whole limit and is isolated",
         phases: &[
-            (20, Links::Whole, [0.0, 0.0, 0.0, 0.0, 0.0, 400.0]),
-            (20, Links::Cut(5), [400.0; 6]),
+            (20, Links::Connected, [0.0, 0.0, 0.0, 0.0, 0.0, 400.0]),
+            (20, Links::Partitioned(5), [400.0; 6]),
         ],
     },
-    BoundCase {
-        name: "a middle that all hear, and ends that don't hear each other",
+    LinkFailureCase {
+        name: "star topology",
         phases: &[
-            (20, Links::Whole, [0.0; 6]),
+            (20, Links::Connected, [0.0; 6]),
             (30, Links::Star, [0.0, 400.0, 400.0, 400.0, 400.0, 400.0]),
         ],
     },
-    BoundCase {
-        name: "links that carry one way only",
+    LinkFailureCase {
+        name: "one-way links",
         phases: &[
-            (20, Links::Whole, [0.0; 6]),
-            (30, Links::Downhill, [1.0, 5.0, 20.0, 80.0, 300.0, 900.0]),
+            (20, Links::Connected, [0.0; 6]),
+            (30, Links::LowerToHigher, [1.0, 5.0, 20.0, 80.0, 300.0, 900.0]),
         ],
     },
-    BoundCase {
-        name: "cut, healed and cut elsewhere",
+    LinkFailureCase {
+        name: "changing partitions",
         phases: &[
-            (20, Links::Cut(2), [0.0, 400.0, 0.0, 0.0, 400.0, 0.0]),
-            (3, Links::Whole, [0.0, 400.0, 0.0, 0.0, 400.0, 0.0]),
-            (20, Links::Cut(4), [400.0, 0.0, 400.0, 400.0, 0.0, 400.0]),
-            (4, Links::Whole, [0.0, 0.0, 0.0, 0.0, 0.0, 400.0]),
-            (20, Links::Cut(5), [400.0; 6]),
+            (20, Links::Partitioned(2), [0.0, 400.0, 0.0, 0.0, 400.0, 0.0]),
+            (3, Links::Connected, [0.0, 400.0, 0.0, 0.0, 400.0, 0.0]),
+            (20, Links::Partitioned(4), [400.0, 0.0, 400.0, 400.0, 0.0, 400.0]),
+            (4, Links::Connected, [0.0, 0.0, 0.0, 0.0, 0.0, 400.0]),
+            (20, Links::Partitioned(5), [400.0; 6]),
         ],
     },
 ];
 
 #[test]
-fn links_that_fail_stay_within_the_bound() {
-    for case in BOUNDS {
+fn link_failures_keep_excess_bounded() {
+    for case in LINK_FAILURES {
         for seed in 0..8 {
-            check_bound(case, seed);
+            check_link_failure(case, seed);
         }
     }
 }
 
-fn check_bound(case: &BoundCase, seed: u64) {
-    let mut world = LimitWorld::new(6, BY_REQUESTS, seed);
+fn check_link_failure(case: &LinkFailureCase, seed: u64) {
+    let mut simulation = LimitSimulation::new(6, BY_REQUESTS, seed);
     for (seconds, links, demand) in case.phases {
         match links {
-            Links::Whole => world.cut(0),
-            Links::Cut(at) => world.cut(*at),
-            Links::Star => world.link(|to, from| to == 0 || from == 0),
-            Links::Downhill => world.link(|to, from| from < to),
+            Links::Connected => simulation.partition(0),
+            Links::Partitioned(at) => simulation.partition(*at),
+            Links::Star => simulation.set_links(|to, from| to == 0 || from == 0),
+            Links::LowerToHigher => simulation.set_links(|to, from| from < to),
         }
-        world.demand = demand.to_vec();
-        world.run(*seconds);
+        simulation.demand = demand.to_vec();
+        simulation.run(*seconds);
     }
-    let excess = world.worst_excess();
-    assert!(excess <= bound(6), "{}: excess {excess}", case.name);
+    let excess = simulation.max_excess();
+    assert!(excess <= allowed_excess(6), "{}: excess {excess}", case.name);
 }
 
-/// The team's callers see more answers than its limit allows. Routers lose each other just when
-/// its traffic moves from one to the next; each could think that the others still stand back.
-/// Claims that no other router could have heard must not count, on either side.
+/// Guards against counting demand that partitioned routers could not have received, when partitions
+/// coincide with moving traffic.
 #[test]
-fn cuts_and_moving_traffic_stay_within_the_bound() {
+fn partitions_with_moving_traffic_keep_excess_bounded() {
     fn check(seed: u64) -> bool {
         let routers = 6;
         let mut dice = Dice(seed);
-        let mut world = LimitWorld::new(routers, BY_REQUESTS, seed);
+        let mut simulation = LimitSimulation::new(routers, BY_REQUESTS, seed);
         for _ in 0..6 {
-            world.cut(dice.below(routers));
-            // A cut lasts longer than the hold, or it is several cuts at once; see below.
+            simulation.partition(dice.below(routers));
+            // The next test covers links that change faster.
             for _ in 0..4 {
-                shift_demand(&mut world, &mut dice);
-                world.run(2 + dice.below(4) as u64);
+                randomize_demand(&mut simulation, &mut dice);
+                simulation.run(2 + dice.below(4) as u64);
             }
         }
-        world.worst_excess() <= bound(routers)
+        simulation.max_excess() <= allowed_excess(routers)
     }
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(100, 43))
@@ -216,22 +214,22 @@
         .quickcheck(check as fn(_) -> _);
 }
 
-/// Links fail one way and come back at any moment, and control of some routers stands still. No
-/// router knows who hears whom; shares must shrink towards equal parts rather than add up.
+/// Guards against exceeding the limit when one-way link failures and pauses change faster than
+/// routers can detect them.
 #[test]
-fn flapping_one_way_cuts_stay_within_the_bound() {
+fn flapping_one_way_links_keep_excess_bounded() {
     fn check(seed: u64) -> bool {
         let routers = 6;
         let mut dice = Dice(seed);
-        let mut world = LimitWorld::new(routers, BY_REQUESTS, seed);
+        let mut simulation = LimitSimulation::new(routers, BY_REQUESTS, seed);
         for _ in 0..40 {
             let (to, from) = (dice.below(routers), dice.below(routers));
-            world.hears[to][from] = !world.hears[to][from];
-            world.frozen[dice.below(routers)] = dice.below(4) == 0;
-            shift_demand(&mut world, &mut dice);
-            world.run(1 + dice.below(3) as u64);
+            simulation.links[to][from] = !simulation.links[to][from];
+            simulation.control_paused[dice.below(routers)] = dice.below(4) == 0;
+            randomize_demand(&mut simulation, &mut dice);
+            simulation.run(1 + dice.below(3) as u64);
         }
-        world.worst_excess() <= bound(routers)
+        simulation.max_excess() <= allowed_excess(routers)
     }
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(100, 44))
@@ -239,50 +237,49 @@
         .quickcheck(check as fn(_) -> _);
 }
 
-fn shift_demand(world: &mut LimitWorld, dice: &mut Dice) {
-    for demand in &mut world.demand {
+fn randomize_demand(simulation: &mut LimitSimulation, dice: &mut Dice) {
+    for demand in &mut simulation.demand {
         *demand = [0.0, 0.0, 5.0, 40.0, 400.0][dice.below(5)];
     }
 }
 
-/// A router's process stands still for a while and wakes. Its last share was nearly the whole
-/// limit; the others have long divided it anew. It must not go on with its share of then.
+/// A router that resumes after a pause must not use its old share, which the others have
+/// reassigned.
 #[test]
-fn a_router_that_was_frozen_wakes_with_an_equal_part() {
-    let mut world = LimitWorld::new(4, BY_REQUESTS, 5);
-    world.demand[0] = 300.0;
-    world.run(30);
-    assert!(world.rates(5)[0] > 100.0);
-    world.frozen[0] = true;
-    world.demand = vec![0.0, 300.0, 300.0, 300.0];
-    world.run(20);
-    world.demand[0] = 300.0;
-    world.run(20);
-    assert!(world.rates(5)[0] < 31.0, "{:?}", world.rates(5));
-    assert!(world.worst_excess() <= bound(4));
+fn resumed_router_starts_with_equal_share() {
+    let mut simulation = LimitSimulation::new(4, BY_REQUESTS, 5);
+    simulation.demand[0] = 300.0;
+    simulation.run(30);
+    assert!(simulation.rates(5)[0] > 100.0);
+    simulation.control_paused[0] = true;
+    simulation.demand = vec![0.0, 300.0, 300.0, 300.0];
+    simulation.run(20);
+    simulation.demand[0] = 300.0;
+    simulation.run(20);
+    assert!(simulation.rates(5)[0] < 31.0, "{:?}", simulation.rates(5));
+    assert!(simulation.max_excess() <= allowed_excess(4));
 }
 
-/// One router, one team: how a request is refused, and when it may come back.
+/// Requests of one team at one router, and the expected `retry_after` of the refused one.
 struct RefusalCase {
     name: &'static str,
     limit: TeamLimit,
-    /// Prompt tokens of requests that come at once.
+    /// Prompt tokens of simultaneous requests.
     prompts: &'static [u32],
     admitted: usize,
-    /// When the refused one may come back.
     retry_after_ms: u64,
 }
 
 const REFUSALS: &[RefusalCase] = &[
     RefusalCase {
-        name: "the third request of one a second",
+        name: "third request at one per second",
         limit: TeamLimit { requests_per_s: 1.0, prompt_tokens_per_s: f64::INFINITY },
         prompts: &[5, 5, 5],
         admitted: 2,
         retry_after_ms: 1_000,
     },
     RefusalCase {
-        name: "a prompt above the burst runs once, and its tokens are owed",
+        name: "a prompt larger than the burst is admitted and leaves a debt",
         limit: TeamLimit { requests_per_s: 100.0, prompt_tokens_per_s: 1_000.0 },
         prompts: &[5_000, 10],
         admitted: 1,
@@ -298,7 +295,7 @@
 ];
 
 #[test]
-fn a_refusal_says_when_to_come_back() {
+fn refusal_states_retry_after() {
     for case in REFUSALS {
         check_refusal(case);
     }
@@ -315,49 +312,57 @@
     let Some(Err(refusal)) = answers.last() else {
         return;
     };
-    let wait = refusal.retry_after;
-    assert!(wait.abs_diff(ms(case.retry_after_ms)) < ms(1), "{}: {wait:?}", case.name);
+    let retry_after = refusal.retry_after;
+    assert!(
+        retry_after.abs_diff(ms(case.retry_after_ms)) < ms(1),
+        "{}: {retry_after:?}",
+        case.name
+    );
     let last = case.prompts[case.prompts.len() - 1];
-    assert!(admit(last, now + wait - ms(5)).is_err(), "{}: not before", case.name);
-    assert!(admit(last, now + wait + ms(5)).is_ok(), "{}: then", case.name);
+    assert!(admit(last, now + retry_after - ms(5)).is_err(), "{}: admitted too early", case.name);
+    assert!(
+        admit(last, now + retry_after + ms(5)).is_ok(),
+        "{}: refused after retry_after",
+        case.name
+    );
 }
 
 #[test]
-fn a_crowded_team_leaves_others_alone_and_idle_teams_are_forgotten() {
+fn busy_team_does_not_affect_others_and_idle_teams_are_removed() {
     let conf = LimiterConf { most_teams: 64, ..LimiterConf::default() };
     let limiter = TeamLimiter::new(HostName::new("entry-0"), conf);
     let limit = TeamLimit { requests_per_s: 1.0, prompt_tokens_per_s: f64::INFINITY };
-    let begun = Instant::now();
+    let start = Instant::now();
     let admit = |team: &str, now| limiter.admit(&TeamName::new(team), &limit, 1, now).is_ok();
-    let crowd = (0..1_000).filter(|_| admit("crowd", begun)).count();
-    assert_eq!(crowd, 2);
-    assert!(admit("other", begun));
+    let admitted = (0..1_000).filter(|_| admit("crowd", start)).count();
+    assert_eq!(admitted, 2);
+    assert!(admit("other", start));
     for index in 0..2_000 {
-        admit(&format!("team-{index}"), begun);
+        admit(&format!("team-{index}"), start);
     }
     assert!(limiter.team_count() <= 64, "{}", limiter.team_count());
-    limiter.usage(begun);
-    limiter.usage(begun + ms(61_000));
+    limiter.usage(start);
+    limiter.usage(start + ms(61_000));
     assert_eq!(limiter.team_count(), 0);
 }
 
-/// Operators change a limit. What was saved up under the old one must not become more than the new
-/// one allows, nor the time before count at the new rate.
+/// Guards against keeping a larger burst from the old limit, and against crediting past time at the
+/// new rate.
 #[test]
-fn a_changed_limit_holds_at_once() {
+fn changed_limit_applies_immediately() {
     let limit = |rate| TeamLimit { requests_per_s: rate, prompt_tokens_per_s: f64::INFINITY };
     for (before, after, admitted) in [(100.0, 1.0, 2), (1.0, 100.0, 2), (10.0, 10.0, 20)] {
         let limiter = TeamLimiter::new(HostName::new("entry-0"), LimiterConf::default());
-        let (team, begun) = (TeamName::new("museum"), Instant::now());
-        assert!(limiter.admit(&team, &limit(before), 1, begun).is_ok());
-        let later = begun + ms(10_000);
-        let again = (0..999).filter(|_| limiter.admit(&team, &limit(after), 1, later).is_ok());
-        assert_eq!(again.count(), admitted, "from {before} to {after} a second");
+        let (team, start) = (TeamName::new("museum"), Instant::now());
+        assert!(limiter.admit(&team, &limit(before), 1, start).is_ok());
+        let later = start + ms(10_000);
+        let retries = (0..999).filter(|_| limiter.admit(&team, &limit(after), 1, later).is_ok());
+        assert_eq!(retries.count(), admitted, "from {before} to {after} per second");
     }
 }
 
 #[test]
-fn what_was_not_run_is_given_back() {
+fn requests_that_did_not_run_are_refunded() {
     let limiter = TeamLimiter::new(HostName::new("entry-0"), LimiterConf::default());
     let limit = TeamLimit { requests_per_s: 1.0, prompt_tokens_per_s: 10.0 };
     let (team, now) = (TeamName::new("museum"), Instant::now());
--- a/crates/admission/tests/quotas.rs
+++ b/crates/admission/tests/quotas.rs
@@ -1,4 +1,4 @@
-//! Quotas of teams over all routers.
+//! Team quotas shared by all routers.
 
 mod support;
 
@@ -13,300 +13,304 @@
 use quickcheck::Gen;
 use quickcheck::QuickCheck;
 use support::Dice;
-use support::quota_world::QuotaWorld;
-use support::quota_world::ZONES;
-use support::quota_world::conf;
-use support::quota_world::quota;
+use support::quota_simulation::QuotaSimulation;
+use support::quota_simulation::ZONES;
+use support::quota_simulation::conf;
+use support::quota_simulation::quota;
 use tokio::time::Instant;
 
-/// A load or failure that a quota must hold under, and what must still be admitted.
+/// A load or failure scenario in which the quota must hold.
 struct QuotaCase {
     name: &'static str,
     rate_per_s: f64,
-    play: fn(&mut QuotaWorld, f64),
-    /// Share of the rate that is admitted in the last four seconds, at least.
-    least_share: f64,
+    run: fn(&mut QuotaSimulation, f64),
+    /// Minimum fraction of the quota's rate that must be admitted during the last four seconds.
+    min_share: f64,
 }
 
-/// What a team asks for usually, as a share of its quota.
-const USUAL: f64 = 0.55;
+/// Normal demand of a team, as a fraction of its quota.
+const NORMAL_DEMAND: f64 = 0.55;
 
 const CASES: &[QuotaCase] = &[
     QuotaCase {
-        name: "a hot team at eight times its quota",
+        name: "demand is eight times the quota",
         rate_per_s: 400_000.0,
-        play: |world, rate| {
-            world.run(6.0);
-            world.spread(8.0 * rate);
-            world.run(12.0);
+        run: |simulation, rate| {
+            simulation.run(6.0);
+            simulation.set_total_demand(8.0 * rate);
+            simulation.run(12.0);
         },
-        least_share: 0.9,
+        min_share: 0.9,
     },
     QuotaCase {
-        name: "a small hot team, whose quota carries a few requests a second",
+        name: "demand is eight times a quota of few requests per second",
         rate_per_s: 29_000.0,
-        play: |world, rate| {
-            world.run(6.0);
-            world.spread(8.0 * rate);
-            world.run(12.0);
+        run: |simulation, rate| {
+            simulation.run(6.0);
+            simulation.set_total_demand(8.0 * rate);
+            simulation.run(12.0);
         },
-        least_share: 0.8,
+        min_share: 0.8,
     },
     QuotaCase {
-        name: "a quota is lowered far below what the team sends, and raised again",
+        name: "the quota is lowered far below the demand and raised again",
         rate_per_s: 400_000.0,
-        play: |world, rate| {
-            world.run(6.0);
-            world.change(Some(quota(0.1 * rate, 0.1 * rate)));
-            world.run(16.0);
-            world.change(Some(quota(rate, rate)));
-            world.run(12.0);
+        run: |simulation, rate| {
+            simulation.run(6.0);
+            simulation.change_quota(Some(quota(0.1 * rate, 0.1 * rate)));
+            simulation.run(16.0);
+            simulation.change_quota(Some(quota(rate, rate)));
+            simulation.run(12.0);
         },
-        least_share: 0.9 * USUAL,
+        min_share: 0.9 * NORMAL_DEMAND,
     },
     QuotaCase {
-        name: "a quota is removed and given again during a cut",
+        name: "the quota is removed and restored during a partition",
         rate_per_s: 400_000.0,
-        play: |world, rate| {
-            world.run(4.0);
-            world.cut[0] = true;
-            world.change(None);
-            world.run(6.0);
-            world.change(Some(quota(rate, rate)));
-            world.spread(2.0 * rate);
-            world.run(14.0);
-            world.cut[0] = false;
-            world.run(10.0);
+        run: |simulation, rate| {
+            simulation.run(4.0);
+            simulation.partitioned[0] = true;
+            simulation.change_quota(None);
+            simulation.run(6.0);
+            simulation.change_quota(Some(quota(rate, rate)));
+            simulation.set_total_demand(2.0 * rate);
+            simulation.run(14.0);
+            simulation.partitioned[0] = false;
+            simulation.run(10.0);
         },
-        least_share: 0.8,
+        min_share: 0.8,
     },
     QuotaCase {
-        name: "a team that meets one host only moves to another",
+        name: "all demand moves from one host to another",
         rate_per_s: 200_000.0,
-        play: |world, rate| {
-            let usual = world.demand.iter().sum::<f64>();
-            world.demand.fill(0.0);
-            world.demand[0] = usual;
-            world.run(8.0);
-            world.demand[0] = 0.0;
-            world.demand[1] = 4.0 * rate;
-            world.run(14.0);
+        run: |simulation, rate| {
+            let total_demand = simulation.demand.iter().sum::<f64>();
+            simulation.demand.fill(0.0);
+            simulation.demand[0] = total_demand;
+            simulation.run(8.0);
+            simulation.demand[0] = 0.0;
+            simulation.demand[1] = 4.0 * rate;
+            simulation.run(14.0);
         },
-        least_share: 0.9,
+        min_share: 0.9,
     },
     QuotaCase {
-        name: "a zone is cut off while the team is hot",
+        name: "a zone is partitioned during high demand",
         rate_per_s: 400_000.0,
-        play: |world, rate| {
-            world.run(6.0);
-            world.cut[1] = true;
-            world.spread(4.0 * rate);
-            world.run(9.0);
-            world.cut[1] = false;
-            world.run(9.0);
+        run: |simulation, rate| {
+            simulation.run(6.0);
+            simulation.partitioned[1] = true;
+            simulation.set_total_demand(4.0 * rate);
+            simulation.run(9.0);
+            simulation.partitioned[1] = false;
+            simulation.run(9.0);
         },
-        least_share: 0.8,
+        min_share: 0.8,
     },
     QuotaCase {
-        name: "all zones are cut from each other",
+        name: "all zones are partitioned from each other",
         rate_per_s: 400_000.0,
-        play: |world, rate| {
-            world.run(6.0);
-            world.cut = [true; ZONES];
-            world.spread(4.0 * rate);
-            world.run(16.0);
+        run: |simulation, rate| {
+            simulation.run(6.0);
+            simulation.partitioned = [true; ZONES];
+            simulation.set_total_demand(4.0 * rate);
+            simulation.run(16.0);
         },
-        least_share: 0.8,
+        min_share: 0.8,
     },
     QuotaCase {
-        name: "all hosts are restarted at once while the team is hot",
+        name: "all hosts restart at once during high demand",
         rate_per_s: 400_000.0,
-        play: |world, rate| {
-            world.spread(4.0 * rate);
-            world.run(6.0);
-            for router in 0..world.demand.len() {
-                world.restart(router);
+        run: |simulation, rate| {
+            simulation.set_total_demand(4.0 * rate);
+            simulation.run(6.0);
+            for router in 0..simulation.demand.len() {
+                simulation.restart(router);
             }
-            world.run(10.0);
+            simulation.run(10.0);
         },
-        least_share: 0.9,
+        min_share: 0.9,
     },
     QuotaCase {
-        name: "hosts are restarted one after the other under their names",
+        name: "hosts restart one after the other with the same names",
         rate_per_s: 400_000.0,
-        play: |world, rate| {
-            world.spread(4.0 * rate);
-            world.run(4.0);
-            for router in 0..world.demand.len() {
-                world.restart(router);
-                world.run(0.3);
+        run: |simulation, rate| {
+            simulation.set_total_demand(4.0 * rate);
+            simulation.run(4.0);
+            for router in 0..simulation.demand.len() {
+                simulation.restart(router);
+                simulation.run(0.3);
             }
-            world.run(6.0);
+            simulation.run(6.0);
         },
-        least_share: 0.9,
+        min_share: 0.9,
     },
     QuotaCase {
         name: "a relay is lost",
         rate_per_s: 400_000.0,
-        play: |world, rate| {
-            world.run(6.0);
-            world.lost_relay = Some(2);
-            world.spread(4.0 * rate);
-            world.run(0.5);
-            world.lost_relay = None;
-            world.run(10.0);
+        run: |simulation, rate| {
+            simulation.run(6.0);
+            simulation.lost_relay = Some(2);
+            simulation.set_total_demand(4.0 * rate);
+            simulation.run(0.5);
+            simulation.lost_relay = None;
+            simulation.run(10.0);
         },
-        least_share: 0.9,
+        min_share: 0.9,
     },
     QuotaCase {
-        name: "a third of the hosts is frozen for five seconds",
+        name: "a third of the hosts is paused for five seconds",
         rate_per_s: 400_000.0,
-        play: |world, rate| {
-            world.spread(4.0 * rate);
-            world.run(6.0);
-            for router in 0..world.demand.len() / 3 {
-                world.frozen[router] = true;
+        run: |simulation, rate| {
+            simulation.set_total_demand(4.0 * rate);
+            simulation.run(6.0);
+            for router in 0..simulation.demand.len() / 3 {
+                simulation.paused[router] = true;
             }
-            world.run(5.0);
-            world.frozen.fill(false);
-            world.run(10.0);
+            simulation.run(5.0);
+            simulation.paused.fill(false);
+            simulation.run(10.0);
         },
-        least_share: 0.9,
+        min_share: 0.9,
     },
     QuotaCase {
-        name: "reports come late, repeated and out of order",
+        name: "reports arrive late, duplicated and out of order",
         rate_per_s: 400_000.0,
-        play: |world, rate| {
-            world.disorder = 10;
-            world.run(6.0);
-            world.spread(4.0 * rate);
-            world.run(12.0);
+        run: |simulation, rate| {
+            simulation.disorder = 10;
+            simulation.run(6.0);
+            simulation.set_total_demand(4.0 * rate);
+            simulation.run(12.0);
         },
-        least_share: 0.8,
+        min_share: 0.8,
     },
 ];
 
-/// What is wrong with a case; nothing if it holds.
+/// Runs a scenario and returns a description of the failure, if any.
 fn check(case: &QuotaCase, routers: usize) -> Option<String> {
     let rate = case.rate_per_s;
-    let mut world = QuotaWorld::new(routers, Some(quota(rate, rate)), 7);
-    world.spread(USUAL * rate);
-    (case.play)(&mut world, rate);
-    let excess = world.worst_excess();
-    let share = world.rate(4) / rate;
+    let mut simulation = QuotaSimulation::new(routers, Some(quota(rate, rate)), 7);
+    simulation.set_total_demand(NORMAL_DEMAND * rate);
+    (case.run)(&mut simulation, rate);
+    let excess = simulation.max_excess();
+    let share = simulation.rate(4) / rate;
     println!("{routers:4} {:70} excess {excess:6.3} share {share:5.2}", case.name);
-    let holds = excess <= 0.0 && case.least_share <= share;
-    let figures = format!("{excess:.3} over the bound, {share:.3} of the rate");
-    (!holds).then(|| format!("{} at {routers}: {figures}", case.name))
+    let holds = excess <= 0.0 && case.min_share <= share;
+    let details = format!("excess {excess:.3}, admitted fraction of the rate {share:.3}");
+    (!holds).then(|| format!("{} at {routers}: {details}", case.name))
 }
 
 #[test]
-fn quotas_hold_over_all_hosts() {
-    let cases = [8, 66].into_iter().flat_map(|routers| CASES.iter().map(move |it| (it, routers)));
-    let faults: Vec<String> = cases.filter_map(|(case, routers)| check(case, routers)).collect();
-    assert!(faults.is_empty(), "{faults:#?}");
+fn quotas_hold_during_load_and_failures() {
+    let cases =
+        [8, 66].into_iter().flat_map(|routers| CASES.iter().map(move |case| (case, routers)));
+    let failures: Vec<String> = cases.filter_map(|(case, routers)| check(case, routers)).collect();
+    assert!(failures.is_empty(), "{failures:#?}");
 }
 
 #[test]
-fn quotas_hold_over_hundreds_of_hosts() {
-    let faults: Vec<String> = CASES[..2].iter().filter_map(|case| check(case, 195)).collect();
-    assert!(faults.is_empty(), "{faults:#?}");
+fn quotas_hold_with_hundreds_of_hosts() {
+    let failures: Vec<String> = CASES[..2].iter().filter_map(|case| check(case, 195)).collect();
+    assert!(failures.is_empty(), "{failures:#?}");
 }
 
-/// A request below the quota that is refused is lost for nothing.
 #[test]
-fn nothing_below_a_quota_is_refused() {
-    let mut faults = Vec::new();
+fn requests_within_quota_are_admitted() {
+    let mut failures = Vec::new();
     for (routers, rate) in [(8, 29_000.0), (66, 29_000.0), (66, 1_000_000.0), (195, 200_000.0)] {
-        let mut world = QuotaWorld::new(routers, Some(quota(rate, rate)), 11);
-        world.run(4.0);
-        world.spread(USUAL * rate);
-        world.run(30.0);
-        let share = world.refused_requests as f64 / world.requests as f64;
-        println!("{routers} {rate} refused {} of {}", world.refused_requests, world.requests);
-        faults.extend((0.001 <= share).then(|| format!("{routers} hosts, {rate}/s: {share:.4}")));
+        let mut simulation = QuotaSimulation::new(routers, Some(quota(rate, rate)), 11);
+        simulation.run(4.0);
+        simulation.set_total_demand(NORMAL_DEMAND * rate);
+        simulation.run(30.0);
+        let share = simulation.refused_requests as f64 / simulation.requests as f64;
+        println!(
+            "{routers} {rate} refused {} of {}",
+            simulation.refused_requests, simulation.requests
+        );
+        failures.extend((0.001 <= share).then(|| format!("{routers} hosts, {rate}/s: {share:.4}")));
     }
-    assert!(faults.is_empty(), "{faults:#?}");
+    assert!(failures.is_empty(), "{failures:#?}");
 }
 
 const SCHEDULES: u64 = 30;
 
-struct PlainCase {
+struct NoMarginCase {
     name: &'static str,
     quota: TeamQuota,
     cost: u64,
-    /// Requests that a lone router admits in a minute of steady demand above the quota.
+    /// Requests that a single router admits in one minute of constant demand above the quota.
     admitted: std::ops::RangeInclusive<usize>,
 }
 
-const PLAIN: &[PlainCase] = &[
-    PlainCase {
+const NO_MARGIN: &[NoMarginCase] = &[
+    NoMarginCase {
         name: "a rate without a burst",
         quota: TeamQuota { rate_per_s: 5.0, burst: 0.0, unit: QuotaUnit::Requests },
         cost: 1,
         admitted: 270..=300,
     },
-    PlainCase {
-        name: "less than a request a second",
+    NoMarginCase {
+        name: "less than one request per second",
         quota: TeamQuota { rate_per_s: 0.5, burst: 0.0, unit: QuotaUnit::Requests },
         cost: 1,
         admitted: 26..=30,
     },
-    PlainCase {
-        name: "a request that is larger than the burst",
+    NoMarginCase {
+        name: "a request larger than the burst",
         quota: TeamQuota { rate_per_s: 1_000.0, burst: 2_000.0, unit: QuotaUnit::Requests },
         cost: 10_000,
         admitted: 5..=8,
     },
 ];
 
-/// A bucket without a margin that holds less than one request would admit none for good.
+/// Guards against a bucket whose capacity is smaller than one request and which therefore never
+/// admits any.
 #[test]
-fn quotas_without_a_margin_admit_their_rate() {
+fn quotas_without_margin_admit_their_rate() {
     let conf = QuotaConf { overage: 0.0, slack: 0.0, ..conf() };
-    for case in PLAIN {
+    for case in NO_MARGIN {
         let start = Instant::now();
         let mut tracker = QuotaTracker::new(HostName::new("entry-0"), 1, conf);
         let team = TeamName::new("museum");
         tracker.set_routers(std::iter::empty(), start);
-        let asks = (0..600).map(|step| start + Duration::from_millis(100 * step));
+        let requests = (0..600).map(|step| start + Duration::from_millis(100 * step));
         let admit = |now: &Instant| tracker.admit(&team, &case.quota, case.cost, *now).is_ok();
-        let admitted = asks.filter(admit).count();
+        let admitted = requests.filter(admit).count();
         assert!(case.admitted.contains(&admitted), "{}: {admitted}", case.name);
     }
 }
 
-/// Random schedules of cuts, starts, freezes, lost relays, hot teams and changes.
-fn play_schedule(seed: u64) -> bool {
+/// Runs a random schedule of partitions, restarts, pauses, lost relays, demand and quota changes.
+fn schedule_keeps_quota(seed: u64) -> bool {
     let mut dice = Dice(seed);
     let routers = [3, 8, 24, 66][dice.below(4)];
     let rate = [29_000.0, 120_000.0, 400_000.0, 1_000_000.0][dice.below(4)];
-    let mut world = QuotaWorld::new(routers, Some(quota(rate, rate)), seed);
-    world.spread(USUAL * rate);
-    world.run(3.0);
+    let mut simulation = QuotaSimulation::new(routers, Some(quota(rate, rate)), seed);
+    simulation.set_total_demand(NORMAL_DEMAND * rate);
+    simulation.run(3.0);
     for _ in 0..12 {
         match dice.below(9) {
-            0 => world.spread([0.3, 0.9, 4.0, 8.0][dice.below(4)] * rate),
-            1 => world.cut[dice.below(ZONES)] = true,
-            2 => world.cut = [false; ZONES],
-            3 => (0..routers).for_each(|router| world.restart(router)),
-            4 => world.restart(dice.below(routers)),
-            5 => world.frozen[dice.below(routers)] = true,
-            6 => world.frozen.fill(false),
-            7 => world.lost_relay = [None, Some(0), Some(1)][dice.below(3)],
+            0 => simulation.set_total_demand([0.3, 0.9, 4.0, 8.0][dice.below(4)] * rate),
+            1 => simulation.partitioned[dice.below(ZONES)] = true,
+            2 => simulation.partitioned = [false; ZONES],
+            3 => (0..routers).for_each(|router| simulation.restart(router)),
+            4 => simulation.restart(dice.below(routers)),
+            5 => simulation.paused[dice.below(routers)] = true,
+            6 => simulation.paused.fill(false),
+            7 => simulation.lost_relay = [None, Some(0), Some(1)][dice.below(3)],
             _ => {
-                let part = [0.1, 0.5, 1.0, 2.0][dice.below(4)];
-                world.change(Some(quota(part * rate, part * rate)));
+                let factor = [0.1, 0.5, 1.0, 2.0][dice.below(4)];
+                simulation.change_quota(Some(quota(factor * rate, factor * rate)));
             }
         }
-        world.run(0.2 + dice.below(40) as f64 / 10.0);
-        if world.lost_relay.is_some() {
-            world.lost_relay = None;
+        simulation.run(0.2 + dice.below(40) as f64 / 10.0);
+        if simulation.lost_relay.is_some() {
+            simulation.lost_relay = None;
         }
     }
-    let excess = world.worst_excess();
+    let excess = simulation.max_excess();
     if 0.0 < excess {
-        println!("seed {seed}: {routers} hosts, {rate}/s: {excess:.3} over the bound");
+        println!("seed {seed}: {routers} hosts, {rate}/s: excess {excess:.3}");
     }
     excess <= 0.0
 }
@@ -316,5 +320,5 @@
     QuickCheck::new()
         .tests(SCHEDULES)
         .rng(Gen::from_size_and_seed(100, 23))
-        .quickcheck(play_schedule as fn(u64) -> bool);
+        .quickcheck(schedule_keeps_quota as fn(u64) -> bool);
 }
--- a/crates/admission/tests/support/limit_world.rs
+++ b/crates/admission/tests/support/limit_simulation.rs
@@ -1,4 +1,4 @@
-//! Several routers that share one team's limit.
+//! Simulation of routers that share one team's limit.
 
 use std::time::Duration;
 
@@ -13,19 +13,20 @@
 use super::Dice;
 use super::ms;
 
-/// Time from one step to the next.
+/// Duration of a simulation step.
 const STEP_MS: u64 = 50;
-/// Steps from one report of a router to its next.
+/// Number of steps between two reports of a router.
 const REPORT_STEPS: usize = 20;
-/// The longest time that a report is under way, in steps.
-const SLOWEST: usize = 28;
+/// Maximum delivery time of a report, in steps.
+const MAX_DELAY_STEPS: usize = 28;
 
-/// The team's limit in requests a second; its prompts have `PROMPT` tokens each.
+/// The team's limit in requests per second.
 pub(crate) const LIMIT: f64 = 120.0;
+/// Tokens of each prompt.
 pub(crate) const PROMPT: u32 = 100;
 
-/// Routers with one team's traffic; time goes in steps, without a clock.
-pub(crate) struct LimitWorld {
+/// Simulated routers that receive one team's traffic, in simulated time.
+pub(crate) struct LimitSimulation {
     limiters: Vec<TeamLimiter>,
     hosts: Vec<HostName>,
     team: TeamName,
@@ -33,33 +34,33 @@
     now: Instant,
     step: usize,
     dice: Dice,
-    under_way: Vec<Letter>,
-    /// Requests that the team sends to each router a second.
+    in_flight: Vec<Message>,
+    /// Requests per second that the team sends to each router.
     pub(crate) demand: Vec<f64>,
-    /// Which routers hear which: `hears[to][from]`.
-    pub(crate) hears: Vec<Vec<bool>>,
-    /// Routers whose control stands still.
-    pub(crate) frozen: Vec<bool>,
-    owed: Vec<f64>,
+    /// Whether reports are delivered from one router to another, indexed as `links[to][from]`.
+    pub(crate) links: Vec<Vec<bool>>,
+    /// Routers that neither send nor receive reports. They still admit requests.
+    pub(crate) control_paused: Vec<bool>,
+    unsent: Vec<f64>,
     /// Requests admitted in each step, by router.
     pub(crate) admitted: Vec<Vec<u32>>,
 }
 
-struct Letter {
+struct Message {
     due: usize,
-    told: Instant,
+    sent: Instant,
     from: usize,
     to: usize,
     report: UsageReport,
 }
 
-/// A short burst, so that an excess of a moment shows.
+/// Configuration with a short burst, so that brief excesses are visible.
 pub(crate) fn conf() -> LimiterConf {
     LimiterConf { burst: ms(100), ..LimiterConf::default() }
 }
 
-impl LimitWorld {
-    pub(crate) fn new(routers: usize, limit: TeamLimit, seed: u64) -> LimitWorld {
+impl LimitSimulation {
+    pub(crate) fn new(routers: usize, limit: TeamLimit, seed: u64) -> LimitSimulation {
         let hosts: Vec<HostName> =
             (0..routers).map(|index| HostName::new(&format!("entry-{index}"))).collect();
         let limiter = |host: &HostName| {
@@ -67,7 +68,7 @@
             limiter.set_routers(&hosts);
             limiter
         };
-        LimitWorld {
+        LimitSimulation {
             limiters: hosts.iter().map(limiter).collect(),
             hosts,
             team: TeamName::new("museum"),
@@ -75,25 +76,25 @@
             now: Instant::now(),
             step: 0,
             dice: Dice(seed),
-            under_way: Vec::new(),
+            in_flight: Vec::new(),
             demand: vec![0.0; routers],
-            hears: vec![vec![true; routers]; routers],
-            frozen: vec![false; routers],
-            owed: vec![0.0; routers],
+            links: vec![vec![true; routers]; routers],
+            control_paused: vec![false; routers],
+            unsent: vec![0.0; routers],
             admitted: Vec::new(),
         }
     }
 
-    /// Cuts the routers below `at` from the rest, both ways.
-    pub(crate) fn cut(&mut self, at: usize) {
-        self.link(|to, from| (to < at) == (from < at));
+    /// Partitions the network into the routers below `at` and the others.
+    pub(crate) fn partition(&mut self, at: usize) {
+        self.set_links(|to, from| (to < at) == (from < at));
     }
 
-    /// Says which routers hear which.
-    pub(crate) fn link(&mut self, hears: impl Fn(usize, usize) -> bool) {
+    /// Sets for which pairs of routers, receiver first, reports are delivered.
+    pub(crate) fn set_links(&mut self, is_connected: impl Fn(usize, usize) -> bool) {
         let routers = self.limiters.len();
-        let row = |to| (0..routers).map(|from| hears(to, from)).collect();
-        self.hears = (0..routers).map(row).collect();
+        let row = |to| (0..routers).map(|from| is_connected(to, from)).collect();
+        self.links = (0..routers).map(row).collect();
     }
 
     pub(crate) fn run(&mut self, seconds: u64) {
@@ -104,18 +105,20 @@
 
     fn advance(&mut self) {
         for router in 0..self.limiters.len() {
-            if (self.step + router * 7).is_multiple_of(REPORT_STEPS) && !self.frozen[router] {
+            if (self.step + router * 7).is_multiple_of(REPORT_STEPS) && !self.control_paused[router]
+            {
                 self.report(router);
             }
         }
-        let (due, later) =
-            std::mem::take(&mut self.under_way).into_iter().partition(|it| it.due <= self.step);
-        self.under_way = later;
-        let due: Vec<Letter> = due;
-        for letter in due {
-            if self.hears[letter.to][letter.from] && !self.frozen[letter.to] {
-                let host = &self.hosts[letter.from];
-                self.limiters[letter.to].peer_usage(host, &letter.report, letter.told);
+        let (due, later) = std::mem::take(&mut self.in_flight)
+            .into_iter()
+            .partition(|message| message.due <= self.step);
+        self.in_flight = later;
+        let due: Vec<Message> = due;
+        for message in due {
+            if self.links[message.to][message.from] && !self.control_paused[message.to] {
+                let host = &self.hosts[message.from];
+                self.limiters[message.to].peer_usage(host, &message.report, message.sent);
             }
         }
         let admitted = (0..self.limiters.len()).map(|router| self.send(router)).collect();
@@ -127,16 +130,16 @@
     fn report(&mut self, from: usize) {
         let report = self.limiters[from].usage(self.now);
         for to in (0..self.limiters.len()).filter(|to| *to != from) {
-            let due = self.step + 1 + self.dice.below(SLOWEST);
-            self.under_way.push(Letter { due, told: self.now, from, to, report: report.clone() });
+            let due = self.step + 1 + self.dice.below(MAX_DELAY_STEPS);
+            self.in_flight.push(Message { due, sent: self.now, from, to, report: report.clone() });
         }
     }
 
     fn send(&mut self, router: usize) -> u32 {
-        self.owed[router] += self.demand[router] * Duration::from_millis(STEP_MS).as_secs_f64();
+        self.unsent[router] += self.demand[router] * Duration::from_millis(STEP_MS).as_secs_f64();
         let mut admitted = 0;
-        while self.owed[router] >= 1.0 {
-            self.owed[router] -= 1.0;
+        while self.unsent[router] >= 1.0 {
+            self.unsent[router] -= 1.0;
             let limiter = &self.limiters[router];
             let answer = limiter.admit(&self.team, &self.limit, PROMPT, self.now);
             admitted += u32::from(answer.is_ok());
@@ -144,7 +147,7 @@
         admitted
     }
 
-    /// Requests a second that each router admitted over the last seconds.
+    /// Requests per second admitted by each router during the last `seconds`.
     pub(crate) fn rates(&self, seconds: usize) -> Vec<f64> {
         let steps = seconds * 1_000 / STEP_MS as usize;
         let last = &self.admitted[self.admitted.len() - steps..];
@@ -152,15 +155,15 @@
         (0..self.limiters.len()).map(|router| f64::from(sum(router)) / seconds as f64).collect()
     }
 
-    /// The most that was admitted beyond the limit over any span of time, in requests.
-    pub(crate) fn worst_excess(&self) -> f64 {
+    /// Maximum number of requests admitted beyond the limit over any time interval.
+    pub(crate) fn max_excess(&self) -> f64 {
         let per_step = LIMIT * Duration::from_millis(STEP_MS).as_secs_f64();
         let mut excess = 0.0_f64;
-        let mut worst = 0.0_f64;
+        let mut max_excess = 0.0_f64;
         for step in &self.admitted {
             excess = (excess + f64::from(step.iter().sum::<u32>()) - per_step).max(0.0);
-            worst = worst.max(excess);
+            max_excess = max_excess.max(excess);
         }
-        worst
+        max_excess
     }
 }
--- a/crates/admission/tests/support/mod.rs
+++ b/crates/admission/tests/support/mod.rs
@@ -1,9 +1,9 @@
-//! Fixtures shared by the tests of this crate.
-#![allow(dead_code, reason = "each test file uses its own part")]
+//! Fixtures shared by this crate's tests.
+#![allow(dead_code, reason = "each test binary uses only some of the fixtures")]
 
 pub(crate) mod crash_world;
-pub(crate) mod limit_world;
-pub(crate) mod quota_world;
+pub(crate) mod limit_simulation;
+pub(crate) mod quota_simulation;
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -39,7 +39,7 @@
     GateRequest { team: TeamName::new(team), class, prefill_tokens }
 }
 
-/// A gate whose limits stay where they are.
+/// A gate with fixed limits.
 pub(crate) fn fixed_gate(requests: u32, tokens: u32) -> Arc<ServerGate> {
     let conf = GateConf {
         first_requests: requests,
@@ -69,7 +69,7 @@
     }
 }
 
-/// Random numbers that are the same in each run.
+/// Deterministic pseudorandom number generator.
 pub(crate) struct Dice(pub(crate) u64);
 
 impl Dice {
