--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -1,16 +1,18 @@
-//! Which request runs when: classes, team limits, queues, server health, retry budget, suspects.
+//! Admission control: request classes, team limits and quotas, server queues, server health, retry
+//! budget and detection of requests that crash servers.
 //!
-//! Nothing here does I/O. All types are shared by the traffic threads of one router; each holds
-//! its locks for one short step.
+//! Nothing here does I/O. All types are shared by the traffic threads of one router and hold their
+//! locks only briefly.
 
 mod adaptive_limit;
-mod case_file;
 mod class_conf;
 mod class_queue;
 mod class_rule;
 mod class_table;
+mod crash_evidence;
 mod crash_id;
 mod crash_record;
+mod decaying_rate;
 mod drain_rate;
 mod engine_report;
 mod fingerprint;
@@ -29,14 +31,13 @@
 mod health_news;
 mod limiter_conf;
 mod lock;
+mod peer_tracker;
 mod queue_entry;
 mod quota_bucket;
 mod quota_conf;
-mod quota_reach;
 mod quota_report;
 mod quota_tracker;
 mod reach_book;
-mod reach_view;
 mod request_class;
 mod retry_budget;
 mod run_table;
@@ -45,6 +46,7 @@
 mod server_result;
 mod server_spot;
 mod server_use;
+mod sharing_view;
 mod suspect_book;
 mod suspect_conf;
 mod suspect_record;
@@ -61,7 +63,6 @@
 mod trial_order;
 mod usage_report;
 mod usage_spread;
-mod use_rate;
 
 pub use class_conf::ClassConf;
 pub use class_rule::ClassRule;
--- a/crates/dispatch/src/local_fault_detector.rs
+++ b/crates/dispatch/src/local_fault_detector.rs
@@ -16,11 +16,11 @@
 const MAX_RETRY_GAP: Duration = Duration::from_secs(3);
 /// Duration of a connection attempt until it times out.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
-/// Minimum number of silent servers for suspecting a local fault.
-const MIN_SILENT_SERVERS: usize = 2;
-/// Minimum ratio of silent to responding servers for suspecting a local fault. A host that is cut
+/// Minimum number of unresponsive servers for suspecting a local fault.
+const MIN_UNRESPONSIVE_SERVERS: usize = 2;
+/// Minimum ratio of unresponsive to responsive servers for suspecting a local fault. A host that is cut
 /// off from two or three other zones of the size of its own stays below it.
-const MIN_SILENT_TO_HEARD: usize = 4;
+const MIN_UNRESPONSIVE_RATIO: usize = 4;
 /// Maximum duration of a suspicion after the first server has responded.
 const MAX_SUSPICION_TIME: Duration = Duration::from_secs(3);
 /// A suspicion that recurs within this time continues the previous one with its upper bound. Being
@@ -143,17 +143,18 @@
     /// median is used because some servers may have been down for long.
     pub(crate) fn count(&self, now: Instant) -> ReachabilityCount {
         let recent = || self.attempts.values().filter(|attempt| attempt.is_recent(now));
-        let silent = || recent().filter(|attempt| attempt.end == ConnectOutcome::TimedOut);
-        let mut silent_since: Vec<Instant> = silent().map(|attempt| attempt.since).collect();
-        silent_since.sort_unstable();
-        let median = silent_since.get(silent_since.len() / 2).copied();
-        let is_heard = |attempt: &&ConnectAttempt| {
+        let unresponsive = || recent().filter(|attempt| attempt.end == ConnectOutcome::TimedOut);
+        let mut unresponsive_since: Vec<Instant> =
+            unresponsive().map(|attempt| attempt.since).collect();
+        unresponsive_since.sort_unstable();
+        let median = unresponsive_since.get(unresponsive_since.len() / 2).copied();
+        let is_responsive = |attempt: &&ConnectAttempt| {
             let is_current = median.is_none_or(|median| median <= attempt.at + CONNECT_TIMEOUT);
             attempt.end != ConnectOutcome::TimedOut && is_current
         };
         ReachabilityCount {
-            unresponsive: silent().count(),
-            responsive: recent().filter(is_heard).count(),
+            unresponsive: unresponsive().count(),
+            responsive: recent().filter(is_responsive).count(),
         }
     }
 
@@ -176,8 +177,8 @@
 
 impl ReachabilityCount {
     fn suggests_local_fault(self) -> bool {
-        MIN_SILENT_SERVERS <= self.unresponsive
-            && MIN_SILENT_TO_HEARD * self.responsive <= self.unresponsive
+        MIN_UNRESPONSIVE_SERVERS <= self.unresponsive
+            && MIN_UNRESPONSIVE_RATIO * self.responsive <= self.unresponsive
     }
 }
 
--- a/crates/dispatch/src/peer_discovery.rs
+++ b/crates/dispatch/src/peer_discovery.rs
@@ -21,13 +21,13 @@
 pub struct PeerDiscovery {
     started_at: Instant,
     joined_at: Option<Instant>,
-    is_over: bool,
+    is_complete: bool,
 }
 
 impl PeerDiscovery {
     /// Starts tracking at process start.
     pub fn new(now: Instant) -> PeerDiscovery {
-        PeerDiscovery { started_at: now, joined_at: None, is_over: false }
+        PeerDiscovery { started_at: now, joined_at: None, is_complete: false }
     }
 
     /// Whether all reachable routers have had time to send a message, so that shared work can be
@@ -38,7 +38,7 @@
             self.joined_at = Some(now);
         }
         let visible_since = self.joined_at.unwrap_or(self.started_at + MAX_JOIN_TIME);
-        self.is_over |= DISCOVERY_TIME <= now.saturating_duration_since(visible_since);
-        self.is_over
+        self.is_complete |= DISCOVERY_TIME <= now.saturating_duration_since(visible_since);
+        self.is_complete
     }
 }
--- a/crates/dispatch/src/peer_load_table.rs
+++ b/crates/dispatch/src/peer_load_table.rs
@@ -113,9 +113,9 @@
     /// Drops the reports of routers that have stopped reporting. Must be called regularly, since
     /// the totals include a report until it is dropped.
     pub fn remove_expired(&mut self, now: Instant) {
-        let failed_recently =
+        let is_expired =
             |report: &PeerReport| MESSAGE_TTL <= now.saturating_duration_since(report.received_at);
-        while let Some(index) = self.reports.values().position(failed_recently) {
+        while let Some(index) = self.reports.values().position(is_expired) {
             if let Some((_, report)) = self.reports.swap_remove_index(index) {
                 self.subtract(&report);
             }
--- a/crates/dispatch/tests/choices.rs
+++ b/crates/dispatch/tests/choices.rs
@@ -119,7 +119,7 @@
         fixture.choose(&call, &[]).expect("an engine is chosen").reason
     });
     let home_count = reasons.filter(|reason| *reason == ChoiceReason::Owner).count();
-    assert!(190 <= home_count, "{home_count} of 200 prompts went to their owner engine");
+    assert!(190 <= home_count, "{home_count} of 200 prompts went to their owner");
 }
 
 /// With a long backlog at its owner engine, a prompt goes elsewhere and fetches the prefix instead
@@ -377,7 +377,7 @@
 
 const HERDING_CASES: &[HerdingCase] = &[
     HerdingCase {
-        name: "a small fleet agrees on the owner engine",
+        name: "a small fleet agrees on the prompt's owner",
         routers: 5,
         min_engines: 1,
         max_engines: 1,
--- a/crates/entry/src/control/cache_watcher.rs
+++ b/crates/entry/src/control/cache_watcher.rs
@@ -55,12 +55,12 @@
         }
         let table = self.state.table.load();
         let Some(table) = table.as_ref() else { return IndexMap::new() };
-        let book = self.state.servers();
-        let peers = book.live_peers(Instant::now());
-        let engines = book.states().filter(|state| table.has_engines(&state.entry().service));
+        let servers = self.state.servers();
+        let peers = servers.live_peers(Instant::now());
+        let engines = servers.states().filter(|state| table.has_engines(&state.entry().service));
         let mut sources: IndexMap<ServerKey, CacheSource> =
             engines.map(|state| (state.key(), cache_source(state.key(), state.entry()))).collect();
-        drop(book);
+        drop(servers);
         if let Some(address) = table.cache_store_address() {
             let store = CacheSource { key: ServerKey::STORE, address, incarnation: None };
             sources.insert(ServerKey::STORE, store);
--- a/crates/entry/src/control/order_scheduler.rs
+++ b/crates/entry/src/control/order_scheduler.rs
@@ -57,7 +57,7 @@
     fleet_state: SharedFleetState,
     reader: FleetReader,
     shared: Rc<SchedulerState>,
-    wave: RolloutPlan,
+    rollout_plan: RolloutPlan,
 }
 
 /// A weights target that some engines have not loaded.
@@ -84,7 +84,7 @@
             fleet_state,
             reader,
             shared: Rc::new(shared),
-            wave: RolloutPlan::default(),
+            rollout_plan: RolloutPlan::default(),
         }
     }
 
@@ -109,11 +109,11 @@
 
     fn rollout_for(&self, model: &ModelName, target: WeightsTarget) -> PendingRollout {
         let in_progress = self.shared.in_progress.borrow();
-        let book = self.state.servers();
+        let servers = self.state.servers();
         let now = Instant::now();
         let table = self.state.table.load();
         let has_engines = |service| table.as_ref().is_some_and(|table| table.has_engines(service));
-        let servers = book
+        let servers = servers
             .states()
             .filter(|state| has_engines(&state.entry().service))
             .filter_map(|state| {
@@ -213,11 +213,11 @@
     }
 
     fn start_orders(&self, rollout: &PendingRollout) {
-        let wave = RolloutTime {
+        let time = RolloutTime {
             age: boot_now().since(rollout.target.learned),
             bound: self.state.settings.bounds.weights(),
         };
-        for key in self.wave.next(&rollout.servers, rollout.target.version, wave) {
+        for key in self.rollout_plan.next(&rollout.servers, rollout.target.version, time) {
             let entry = self.state.servers().state(key).map(|state| state.entry().clone());
             let Some(entry) = entry else { continue };
             self.shared.in_progress.borrow_mut().insert(key);
--- a/crates/entry/src/traffic/request_handler.rs
+++ b/crates/entry/src/traffic/request_handler.rs
@@ -157,7 +157,8 @@
             },
             Err(error) => error,
         };
-        if let Some(charge) = self.decoded.charge.as_mut().filter(|_| !error.end.may_have_run()) {
+        if let Some(charge) = self.decoded.charge.as_mut().filter(|_| !error.outcome.may_have_run())
+        {
             charge.record_not_run();
         }
         self.handle_error(&error, &server, weights).await?;
@@ -254,7 +255,7 @@
         &mut self,
         response: ServerResponse,
     ) -> Result<ServerResponse, SendError> {
-        let reject = |end, reason: &str| Err(SendError { end, reason: reason.to_owned() });
+        let reject = |outcome, reason: &str| Err(SendError { outcome, reason: reason.to_owned() });
         let status = response.parts.status;
         if response.head.is_misdirected {
             return Err(misdirected_error(&response));
@@ -290,7 +291,10 @@
         if !implies_not_run {
             self.failed_response = Some(buffered_response(&parts, body));
         }
-        Err(SendError { end: SendOutcome::Broken, reason: format!("the server answered {status}") })
+        Err(SendError {
+            outcome: SendOutcome::Broken,
+            reason: format!("the server answered {status}"),
+        })
     }
 
     /// Records a failed send, and waits before the next one if a delay applies. Fails if no further send is
@@ -304,7 +308,7 @@
         self.record_error(error, server, weights);
         self.log_retry(error, server);
         self.exclude(server);
-        if self.timing.first_event.is_some() && !error.end.may_have_run() {
+        if self.timing.first_event.is_some() && !error.outcome.may_have_run() {
             // A stream that has begun can only continue or be aborted, so sends that were not executed do not
             // count towards the attempt limit. The request's deadline bounds them, and the retry budget
             // bounds those that reach a server.
@@ -312,11 +316,11 @@
             return Ok(());
         }
         let route = self.decoded.facts.route.clone();
-        let step = self.progress.after(error.end, &route);
+        let step = self.progress.after(error.outcome, &route);
         match step {
             NextStep::GiveUp(kind) => Err(self.failure(kind).with_detail(error.reason.clone())),
             NextStep::SendAgain => {
-                if error.end == SendOutcome::Refused {
+                if error.outcome == SendOutcome::Refused {
                     sleep(REJECTED_RETRY_DELAY * self.progress.sends()).await;
                 }
                 Ok(())
@@ -369,7 +373,7 @@
         reason: &str,
         server: &Arc<ServerEntry>,
     ) -> Result<(), RequestFailure> {
-        let error = SendError { end: SendOutcome::Broken, reason: reason.to_owned() };
+        let error = SendError { outcome: SendOutcome::Broken, reason: reason.to_owned() };
         self.handle_error(&error, server, None).await
     }
 }
@@ -379,11 +383,11 @@
 fn misdirected_error(response: &ServerResponse) -> SendError {
     let is_expected =
         response.head.server.as_ref().is_none_or(|name| *name == response.server.name);
-    let (end, reason) = match is_expected && response.weights.is_some() {
+    let (outcome, reason) = match is_expected && response.weights.is_some() {
         true => (SendOutcome::OtherWeights, "other weights are in use"),
         false => (SendOutcome::OtherServer, "another server is at the address"),
     };
-    SendError { end, reason: reason.to_owned() }
+    SendError { outcome, reason: reason.to_owned() }
 }
 
 fn is_streamed(response: &ServerResponse, facts: &CallFacts) -> bool {
--- a/crates/entry/src/traffic/request_handler/log.rs
+++ b/crates/entry/src/traffic/request_handler/log.rs
@@ -89,7 +89,7 @@
                 name = kind.name(),
                 id = %self.facts().id,
                 server = %server.name,
-                end = ?error.end,
+                end = ?error.outcome,
                 reason = error.reason,
                 took_ms = self.facts().arrived.elapsed().as_millis() as u64,
             );
--- a/crates/entry/src/traffic/request_handler/send_outcome.rs
+++ b/crates/entry/src/traffic/request_handler/send_outcome.rs
@@ -31,7 +31,7 @@
             self.facts().model.as_ref().and_then(|model| {
                 self.state.weights.load().target(model).map(|target| target.version)
             });
-        match error.end {
+        match error.outcome {
             SendOutcome::NotSent | SendOutcome::Unreachable => {
                 self.state.servers().record_unreachable(key, now);
             }
--- a/crates/entry/src/traffic/send_attempt.rs
+++ b/crates/entry/src/traffic/send_attempt.rs
@@ -65,13 +65,13 @@
 /// Why a send produced no usable response.
 #[derive(Debug)]
 pub(crate) struct SendError {
-    pub(crate) end: SendOutcome,
+    pub(crate) outcome: SendOutcome,
     pub(crate) reason: String,
 }
 
 impl SendError {
-    fn new(end: SendOutcome, reason: &dyn ToString) -> SendError {
-        SendError { end, reason: reason.to_string() }
+    fn new(outcome: SendOutcome, reason: &dyn ToString) -> SendError {
+        SendError { outcome, reason: reason.to_string() }
     }
 }
 
