--- a/crates/placement/src/baseline.rs
+++ b/crates/placement/src/baseline.rs
@@ -6,13 +6,13 @@
 use crate::estimate::Estimate;
 
 /// Servers of a list looked at when those before are out of use.
-const LISTED: usize = 8;
+const MAX_CANDIDATES: usize = 8;
 
 impl Chooser<'_> {
     /// Each usable server in turn.
     pub(crate) fn round_robin(&self) -> Option<Choice> {
         let near = self.view.near();
-        let turn = self.placer.next_turn();
+        let turn = self.placer.next_round_robin();
         let index = (0..near.len())
             .map(|step| near[(turn + step) % near.len()])
             .find(|index| self.is_usable(*index));
@@ -35,7 +35,7 @@
     pub(crate) fn prefix_hash(&self) -> Option<Choice> {
         let anchor = self.chain.anchor().map(|anchor| anchor.hash.0);
         let key = anchor.unwrap_or(self.chain.request_hash());
-        let list = self.view.ring().list(key, LISTED);
+        let list = self.view.ring().preference_list(key, MAX_CANDIDATES);
         let near = self.view.near().iter();
         let index =
             list.as_slice().iter().chain(near).copied().find(|index| self.is_usable(*index));
@@ -43,7 +43,7 @@
     }
 
     fn baseline(&self, index: Option<u32>, reason: ChoiceReason) -> Option<Choice> {
-        let Some(index) = index else { return self.far_away() };
+        let Some(index) = index else { return self.far_zone() };
         Some(Estimate::cold(self, index).choice(self, index, reason))
     }
 }
--- a/crates/placement/src/choice.rs
+++ b/crates/placement/src/choice.rs
@@ -59,12 +59,12 @@
     /// Where it may import blocks from.
     pub kv_source: Option<KvSource>,
     /// What the expectation rests on.
-    pub(crate) belief: CacheBelief,
+    pub(crate) prediction: CachePrediction,
 }
 
 /// What an expectation of cached tokens rests on.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) enum CacheBelief {
+pub(crate) enum CachePrediction {
     /// Nothing that could be learned from.
     None,
     /// The server is the prompt's home.
--- a/crates/placement/src/chooser.rs
+++ b/crates/placement/src/chooser.rs
@@ -10,24 +10,24 @@
 use crate::PromptChain;
 use crate::estimate::Estimate;
 use crate::mix::mix;
-use crate::mix::unit;
-use crate::preference::Preference;
+use crate::mix::to_unit_interval;
+use crate::preference_list::PreferenceList;
 use crate::server_list::ServerList;
 use crate::warm_set::WarmSet;
 
 /// A server elsewhere is warm enough to look at if it has so many tokens more.
-const WARM_TOKENS: f64 = 256.0;
+const MIN_WARM_TOKENS: f64 = 256.0;
 /// A shorter wait at home is not worth looking for a detour.
-const DETOUR_WAIT_MS: f64 = 20.0;
+const MIN_DETOUR_WAIT_MS: f64 = 20.0;
 /// Detours differ by up to this much from request to request, so that routers that see the same
 /// report do not all send to the same server.
 const DETOUR_JITTER_MS: f64 = 5.0;
 /// Servers of the group's list looked at besides its members.
-const NEXT_LISTED: usize = 2;
+const EXTRA_RING_SERVERS: usize = 2;
 /// Servers drawn from all for a detour or a prompt without a home.
-const DRAWN: u64 = 2;
+const SAMPLED_SERVERS: u64 = 2;
 /// Servers of a list looked at when those before are out of use.
-const FALLBACKS: usize = 8;
+const MAX_FALLBACK_SERVERS: usize = 8;
 
 /// What one choice looks at.
 pub(crate) struct Chooser<'a> {
@@ -40,16 +40,16 @@
 impl Chooser<'_> {
     /// Home, unless it is out of use, another server is known to be warmer, or waiting there would
     /// cost more than going elsewhere.
-    pub(crate) fn by_cost(&self) -> Option<Choice> {
+    pub(crate) fn lowest_cost(&self) -> Option<Choice> {
         let (Some(anchor), Some(preference)) = (self.chain.anchor(), self.preference()) else {
-            return self.without_home();
+            return self.short_prompt();
         };
         let warm = WarmSet::new(self.placer.hints(), self.view, self.chain, self.request.now_ms);
         let Some((home, reason)) = self.home(&preference, anchor) else {
             return self.fallback(&warm);
         };
         let at_home = Estimate::at_home(self, &warm, home);
-        if let Some(choice) = self.warmer(&warm, home, &at_home) {
+        if let Some(choice) = self.warmer_server(&warm, home, &at_home) {
             return Some(choice);
         }
         if let Some(choice) = self.detour(&preference, &warm, home, &at_home) {
@@ -63,20 +63,20 @@
     }
 
     pub(crate) fn is_usable(&self, index: u32) -> bool {
-        let meter = &self.view.at(index).meter;
+        let meter = &self.view.server_at(index).meter;
         meter.is_usable(self.request.now_ms) && !self.request.excluded.contains(&meter.id())
     }
 
     /// Requests there, told apart by the request's hash where they are equal.
     pub(crate) fn occupancy(&self, index: u32) -> f64 {
-        self.view.at(index).meter.occupancy(self.request.now_ms) + self.jitter(index)
+        self.view.server_at(index).meter.occupancy(self.request.now_ms) + self.jitter(index)
     }
 
     fn jitter(&self, index: u32) -> f64 {
-        unit(mix(self.chain.request_hash(), u64::from(index)))
+        to_unit_interval(mix(self.chain.request_hash(), u64::from(index)))
     }
 
-    fn preference(&self) -> Option<Preference> {
+    fn preference(&self) -> Option<PreferenceList> {
         let placer = self.placer;
         let width = || {
             let group = self.chain.group().map(|level| level.hash).unwrap_or_default();
@@ -84,27 +84,31 @@
             let servers = self.view.near().len() as f64;
             (share * servers * placer.conf().width_factor).max(placer.conf().least_width)
         };
-        Preference::new(self.view, self.chain, width)
+        PreferenceList::new(self.view, self.chain, width)
     }
 
     /// The least occupied of the servers that keep the prefix: one, and more if it is hot.
-    fn home(&self, preference: &Preference, anchor: PrefixLevel) -> Option<(u32, ChoiceReason)> {
+    fn home(
+        &self,
+        preference: &PreferenceList,
+        anchor: PrefixLevel,
+    ) -> Option<(u32, ChoiceReason)> {
         let members = preference.members();
-        let copies = self.copies(anchor).min(members.len());
+        let replicas = self.replica_count(anchor).min(members.len());
         let first = *members.first()?;
-        let kept = members[..copies].iter().copied().filter(|index| self.is_usable(*index));
-        let least = kept.min_by(|a, b| self.occupancy(*a).total_cmp(&self.occupancy(*b)));
-        if let Some(home) = least {
+        let kept = members[..replicas].iter().copied().filter(|index| self.is_usable(*index));
+        let least_loaded = kept.min_by(|a, b| self.occupancy(*a).total_cmp(&self.occupancy(*b)));
+        if let Some(home) = least_loaded {
             let reason = if home == first { ChoiceReason::Home } else { ChoiceReason::Spread };
             return Some((home, reason));
         }
-        let next = members[copies..].iter().copied().find(|index| self.is_usable(*index));
+        let next = members[replicas..].iter().copied().find(|index| self.is_usable(*index));
         next.map(|index| (index, ChoiceReason::Fallback))
     }
 
     /// On how many servers the anchor is kept. A prefix that is a large part of one server's work
     /// costs little to keep twice, and then evens out the load of both.
-    fn copies(&self, anchor: PrefixLevel) -> usize {
+    fn replica_count(&self, anchor: PrefixLevel) -> usize {
         let share = self.placer.anchors().share(anchor.hash, self.request.now_ms);
         let servers = self.view.near().len() as f64;
         (1.0 + share * servers * self.placer.conf().hot_factor) as usize
@@ -113,13 +117,15 @@
     /// A server that has more of the prompt than its anchor, such as the rest of a conversation that
     /// was once sent elsewhere. A hint that the anchor itself is cached elsewhere does not count:
     /// all routers know home, and only this one the hint, and home would never get warm.
-    fn warmer(&self, warm: &WarmSet, home: u32, at_home: &Estimate) -> Option<Choice> {
+    fn warmer_server(&self, warm: &WarmSet, home: u32, at_home: &Estimate) -> Option<Choice> {
         let anchor = self.chain.anchor().map_or(0, |anchor| anchor.tokens);
-        let had = f64::from(anchor).max(at_home.cached);
+        let home_tokens = f64::from(anchor).max(at_home.cached);
         let limit = at_home.cost(self);
         let (index, estimate) = warm
             .iter()
-            .filter(|warm| warm.index != home && had + WARM_TOKENS <= f64::from(warm.tokens))
+            .filter(|warm| {
+                warm.index != home && home_tokens + MIN_WARM_TOKENS <= f64::from(warm.tokens)
+            })
             .filter(|warm| self.is_usable(warm.index))
             .map(|warm| (warm.index, Estimate::at_warm(self, warm)))
             .min_by(|a, b| a.1.cost(self).total_cmp(&b.1.cost(self)))?;
@@ -130,12 +136,12 @@
     /// A server with little to do, where computing the prompt anew costs less than the wait.
     fn detour(
         &self,
-        preference: &Preference,
+        preference: &PreferenceList,
         warm: &WarmSet,
         home: u32,
         at_home: &Estimate,
     ) -> Option<Choice> {
-        if at_home.wait_ms < DETOUR_WAIT_MS {
+        if at_home.wait_ms < MIN_DETOUR_WAIT_MS {
             return None;
         }
         let limit = at_home.cost(self);
@@ -150,7 +156,7 @@
                 (estimate.cost(self) + self.weights().ttft * jitter, *index, estimate)
             })
             .min_by(|a, b| a.0.total_cmp(&b.0))?;
-        if limit <= cost || !self.placer.budget().spend(self.copy_tokens()) {
+        if limit <= cost || !self.placer.budget().try_spend(self.detour_cost_tokens()) {
             return None;
         }
         Some(estimate.imported(self, warm).choice(self, index, ChoiceReason::Detour))
@@ -159,20 +165,20 @@
     /// What a detour costs the fleet. It counts in full even if the other server is believed to
     /// have the prompt: keeping a second copy of it there pushes others out, and detours that look
     /// free would keep all copies they ever made.
-    fn copy_tokens(&self) -> f64 {
+    fn detour_cost_tokens(&self) -> f64 {
         f64::from(self.chain.anchor().map_or(0, |anchor| anchor.tokens))
     }
 
-    fn alternatives(&self, preference: &Preference) -> ServerList {
+    fn alternatives(&self, preference: &PreferenceList) -> ServerList {
         let mut list = ServerList::new();
-        for index in preference.members().iter().take(FALLBACKS) {
+        for index in preference.members().iter().take(MAX_FALLBACK_SERVERS) {
             list.push(*index);
         }
         let group = self.chain.group().map(|level| level.hash.0).unwrap_or_default();
-        for index in self.view.ring().list(group, NEXT_LISTED + 1).as_slice() {
+        for index in self.view.ring().preference_list(group, EXTRA_RING_SERVERS + 1).as_slice() {
             list.push(*index);
         }
-        self.draw(self.view.near(), &mut list);
+        self.sample(self.view.near(), &mut list);
         list
     }
 
@@ -180,10 +186,10 @@
     /// together, then any near one, then any at all.
     fn fallback(&self, warm: &WarmSet) -> Option<Choice> {
         let group = self.chain.group().map(|level| level.hash.0).unwrap_or_default();
-        let list = self.view.ring().list(group, FALLBACKS);
+        let list = self.view.ring().preference_list(group, MAX_FALLBACK_SERVERS);
         let near = self.view.near().iter();
         let index = list.as_slice().iter().chain(near).find(|index| self.is_usable(**index));
-        let Some(index) = index.copied() else { return self.far_away() };
+        let Some(index) = index.copied() else { return self.far_zone() };
         let estimate = match warm.get(index) {
             Some(warm) => Estimate::at_warm(self, warm),
             None => Estimate::cold(self, index).imported(self, warm),
@@ -192,30 +198,30 @@
     }
 
     /// The less occupied of two near servers drawn by the request's hash.
-    fn without_home(&self) -> Option<Choice> {
-        let index = self.least_of_drawn(self.view.near());
-        let Some(index) = index else { return self.far_away() };
+    fn short_prompt(&self) -> Option<Choice> {
+        let index = self.least_loaded_sample(self.view.near());
+        let Some(index) = index else { return self.far_zone() };
         Some(Estimate::cold(self, index).choice(self, index, ChoiceReason::ShortPrompt))
     }
 
-    pub(crate) fn far_away(&self) -> Option<Choice> {
-        let index = self.least_of_drawn(self.view.far())?;
+    pub(crate) fn far_zone(&self) -> Option<Choice> {
+        let index = self.least_loaded_sample(self.view.far())?;
         Some(Estimate::cold(self, index).choice(self, index, ChoiceReason::FarZone))
     }
 
-    fn least_of_drawn(&self, servers: &[u32]) -> Option<u32> {
-        let mut drawn = ServerList::new();
-        self.draw(servers, &mut drawn);
-        let usable = drawn.as_slice().iter().copied().filter(|index| self.is_usable(*index));
-        let least = usable.min_by(|a, b| self.occupancy(*a).total_cmp(&self.occupancy(*b)));
-        least.or_else(|| servers.iter().copied().find(|index| self.is_usable(*index)))
+    fn least_loaded_sample(&self, servers: &[u32]) -> Option<u32> {
+        let mut sampled = ServerList::new();
+        self.sample(servers, &mut sampled);
+        let usable = sampled.as_slice().iter().copied().filter(|index| self.is_usable(*index));
+        let least_loaded = usable.min_by(|a, b| self.occupancy(*a).total_cmp(&self.occupancy(*b)));
+        least_loaded.or_else(|| servers.iter().copied().find(|index| self.is_usable(*index)))
     }
 
-    fn draw(&self, servers: &[u32], list: &mut ServerList) {
+    fn sample(&self, servers: &[u32], list: &mut ServerList) {
         if servers.is_empty() {
             return;
         }
-        for turn in 0..DRAWN {
+        for turn in 0..SAMPLED_SERVERS {
             let hash = mix(self.chain.request_hash(), turn);
             list.push(servers[(hash % servers.len() as u64) as usize]);
         }
--- a/crates/placement/src/decayed_cell.rs
+++ b/crates/placement/src/decaying_value.rs
@@ -6,37 +6,37 @@
 /// A number and the time it was set, in one word. It halves nothing by itself: readers apply the
 /// decay. The time is kept in 32 bits of milliseconds and wraps after 49 days.
 #[derive(Debug, Default)]
-pub(crate) struct DecayedCell(AtomicU64);
+pub(crate) struct DecayingValue(AtomicU64);
 
-impl DecayedCell {
+impl DecayingValue {
     /// The number, faded since it was set.
     pub(crate) fn value(&self, now_ms: u64, window_ms: f64) -> f64 {
-        faded(self.0.load(Ordering::Relaxed), now_ms, window_ms)
+        decayed(self.0.load(Ordering::Relaxed), now_ms, window_ms)
     }
 
     /// Adds to the faded number.
     pub(crate) fn add(&self, amount: f64, now_ms: u64, window_ms: f64) {
-        let change = |word| Some(packed(faded(word, now_ms, window_ms) + amount, now_ms));
+        let change = |word| Some(pack(decayed(word, now_ms, window_ms) + amount, now_ms));
         let _ = self.0.fetch_update(Ordering::Relaxed, Ordering::Relaxed, change);
     }
 
     /// Moves the number, unfaded, towards a sample: the more, the longer ago the last one was.
-    pub(crate) fn blend(&self, sample: f64, now_ms: u64, window_ms: f64, least_weight: f64) {
+    pub(crate) fn update_average(&self, sample: f64, now_ms: u64, window_ms: f64, min_weight: f64) {
         let change = |word| {
             let old = f64::from(f32::from_bits(word as u32));
             let weight = 1.0 - (-f64::from(age_ms(word, now_ms)) / window_ms).exp();
-            Some(packed(old + (sample - old) * weight.max(least_weight), now_ms))
+            Some(pack(old + (sample - old) * weight.max(min_weight), now_ms))
         };
         let _ = self.0.fetch_update(Ordering::Relaxed, Ordering::Relaxed, change);
     }
 
     /// Sets the number.
     pub(crate) fn set(&self, value: f64, now_ms: u64) {
-        self.0.store(packed(value, now_ms), Ordering::Relaxed);
+        self.0.store(pack(value, now_ms), Ordering::Relaxed);
     }
 }
 
-fn packed(value: f64, now_ms: u64) -> u64 {
+fn pack(value: f64, now_ms: u64) -> u64 {
     u64::from((value as f32).to_bits()) | (now_ms << 32)
 }
 
@@ -46,7 +46,7 @@
     if age < u32::MAX / 2 { age } else { 0 }
 }
 
-fn faded(word: u64, now_ms: u64, window_ms: f64) -> f64 {
+fn decayed(word: u64, now_ms: u64, window_ms: f64) -> f64 {
     let value = f64::from(f32::from_bits(word as u32));
     if value == 0.0 {
         return 0.0;
--- a/crates/placement/src/demand_sketch.rs
+++ b/crates/placement/src/demand_sketch.rs
@@ -5,31 +5,31 @@
 
 use fulmargate_names::PromptHash;
 
-use crate::decayed_cell::DecayedCell;
+use crate::decaying_value::DecayingValue;
 
 /// Slots in which a prefix may stand.
 const WAYS: usize = 4;
 /// Below this many recent requests a prefix gives way to another.
-const LEAST_COUNT: f64 = 0.5;
+const MIN_COUNT: f64 = 0.5;
 /// Requests that are pretended to have been seen at first, so that the first few ones do not each
 /// look like a large share of all.
 const PRIOR_REQUESTS: f64 = 50.0;
-const UNCACHED_WEIGHT: f64 = 0.05;
+const MIN_UNCACHED_WEIGHT: f64 = 0.05;
 
 /// Recent requests for each of the most wanted prefixes, without locks and of fixed size. When
 /// two threads take the same slot at once one count is lost, and is made up for by the next ones.
 #[derive(Debug)]
 pub(crate) struct DemandSketch {
     slots: Vec<DemandSlot>,
-    total: DecayedCell,
+    total: DecayingValue,
     window_ms: f64,
 }
 
 #[derive(Debug, Default)]
 struct DemandSlot {
     prefix: AtomicU64,
-    requests: DecayedCell,
-    uncached: DecayedCell,
+    requests: DecayingValue,
+    uncached: DecayingValue,
 }
 
 /// Recent demand for one prefix.
@@ -47,11 +47,11 @@
     /// An empty sketch; the number of slots is a power of two.
     pub(crate) fn new(slots: usize, window_ms: f64) -> DemandSketch {
         let slots = (0..slots.next_power_of_two()).map(|_| DemandSlot::default()).collect();
-        DemandSketch { slots, total: DecayedCell::default(), window_ms }
+        DemandSketch { slots, total: DecayingValue::default(), window_ms }
     }
 
     /// Counts a request.
-    pub(crate) fn add(&self, prefix: PromptHash, now_ms: u64) {
+    pub(crate) fn record_request(&self, prefix: PromptHash, now_ms: u64) {
         self.total.add(1.0, now_ms, self.window_ms);
         let set = self.set(prefix);
         if let Some(slot) = set.iter().find(|slot| slot.holds(prefix)) {
@@ -59,21 +59,21 @@
             return;
         }
         let count = |slot: &DemandSlot| slot.requests.value(now_ms, self.window_ms);
-        let Some(least) = set.iter().min_by(|a, b| count(a).total_cmp(&count(b))) else { return };
-        if LEAST_COUNT < count(least) {
+        let Some(coldest) = set.iter().min_by(|a, b| count(a).total_cmp(&count(b))) else { return };
+        if MIN_COUNT < count(coldest) {
             // Newcomers wear the least wanted prefix down instead of pushing it out at once.
-            least.requests.add(-LEAST_COUNT, now_ms, self.window_ms);
+            coldest.requests.add(-MIN_COUNT, now_ms, self.window_ms);
             return;
         }
-        least.prefix.store(prefix.0, Ordering::Relaxed);
-        least.requests.set(1.0, now_ms);
-        least.uncached.set(0.0, now_ms);
+        coldest.prefix.store(prefix.0, Ordering::Relaxed);
+        coldest.requests.set(1.0, now_ms);
+        coldest.uncached.set(0.0, now_ms);
     }
 
     /// Notes how many tokens of a request were not cached.
-    pub(crate) fn note_uncached(&self, prefix: PromptHash, tokens: f64, now_ms: u64) {
+    pub(crate) fn record_uncached(&self, prefix: PromptHash, tokens: f64, now_ms: u64) {
         if let Some(slot) = self.set(prefix).iter().find(|slot| slot.holds(prefix)) {
-            slot.uncached.blend(tokens, now_ms, self.window_ms, UNCACHED_WEIGHT);
+            slot.uncached.update_average(tokens, now_ms, self.window_ms, MIN_UNCACHED_WEIGHT);
         }
     }
 
@@ -95,18 +95,18 @@
     }
 
     /// The most wanted prefixes, most wanted first.
-    pub(crate) fn top(&self, wanted: usize, now_ms: u64) -> Vec<PrefixDemand> {
+    pub(crate) fn top(&self, limit: usize, now_ms: u64) -> Vec<PrefixDemand> {
         let mut demands: Vec<PrefixDemand> = self
             .slots
             .iter()
             .filter(|slot| slot.prefix.load(Ordering::Relaxed) != 0)
             .map(|slot| slot.demand(now_ms, self.window_ms))
-            .filter(|demand| LEAST_COUNT * 1_000.0 / self.window_ms < demand.requests_per_s)
+            .filter(|demand| MIN_COUNT * 1_000.0 / self.window_ms < demand.requests_per_s)
             .collect();
         demands.sort_by(|a, b| {
             b.requests_per_s.total_cmp(&a.requests_per_s).then(a.prefix.cmp(&b.prefix))
         });
-        demands.truncate(wanted);
+        demands.truncate(limit);
         demands
     }
 
--- a/crates/placement/src/estimate.rs
+++ b/crates/placement/src/estimate.rs
@@ -5,16 +5,16 @@
 use crate::ImportConf;
 use crate::KvSource;
 use crate::StoreUse;
-use crate::choice::CacheBelief;
+use crate::choice::CachePrediction;
 use crate::chooser::Chooser;
-use crate::preference::Preference;
+use crate::preference_list::PreferenceList;
 use crate::warm_set::WarmServer;
 use crate::warm_set::WarmSet;
 
 /// A hint that is not too old is right about this often.
-const HINT_TRUST: f64 = 0.95;
+const HINT_HIT_PROBABILITY: f64 = 0.95;
 /// A group's prefix is cached about this often on the servers that keep the group.
-const GROUP_TRUST: f64 = 0.9;
+const GROUP_HIT_PROBABILITY: f64 = 0.9;
 
 /// The estimated time of a request at one server.
 #[derive(Clone, Copy, Debug)]
@@ -28,7 +28,7 @@
     import_ms: f64,
     zone_ms: f64,
     source: Option<ImportSource>,
-    belief: CacheBelief,
+    prediction: CachePrediction,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -44,21 +44,21 @@
             return Estimate::at_warm(chooser, warm);
         }
         let tokens = chooser.chain.anchor().map_or(0, |anchor| anchor.tokens);
-        let cached = f64::from(tokens) * chooser.view.at(home).meter.home_hit();
-        Estimate::new(chooser, home, cached, CacheBelief::Home { tokens })
+        let cached = f64::from(tokens) * chooser.view.server_at(home).meter.home_hit();
+        Estimate::new(chooser, home, cached, CachePrediction::Home { tokens })
     }
 
     /// At a server that a hint names.
     pub(crate) fn at_warm(chooser: &Chooser<'_>, warm: WarmServer) -> Estimate {
-        let cached = f64::from(warm.tokens) * HINT_TRUST;
-        Estimate::new(chooser, warm.index, cached, warm.belief())
+        let cached = f64::from(warm.tokens) * HINT_HIT_PROBABILITY;
+        Estimate::new(chooser, warm.index, cached, warm.prediction())
     }
 
     /// At a server other than home.
     pub(crate) fn elsewhere(
         chooser: &Chooser<'_>,
         warm: &WarmSet,
-        preference: &Preference,
+        preference: &PreferenceList,
         index: u32,
     ) -> Estimate {
         if let Some(warm) = warm.get(index) {
@@ -69,17 +69,22 @@
         }
         let group = chooser.chain.group().map_or(0, |group| group.tokens);
         let anchor = chooser.chain.anchor().map_or(0, |anchor| anchor.tokens);
-        let cached = if group < anchor { f64::from(group) * GROUP_TRUST } else { 0.0 };
-        Estimate::new(chooser, index, cached, CacheBelief::None)
+        let cached = if group < anchor { f64::from(group) * GROUP_HIT_PROBABILITY } else { 0.0 };
+        Estimate::new(chooser, index, cached, CachePrediction::None)
     }
 
     /// At a server that has nothing of the prompt.
     pub(crate) fn cold(chooser: &Chooser<'_>, index: u32) -> Estimate {
-        Estimate::new(chooser, index, 0.0, CacheBelief::None)
+        Estimate::new(chooser, index, 0.0, CachePrediction::None)
     }
 
-    fn new(chooser: &Chooser<'_>, index: u32, cached: f64, belief: CacheBelief) -> Estimate {
-        let server = chooser.view.at(index);
+    fn new(
+        chooser: &Chooser<'_>,
+        index: u32,
+        cached: f64,
+        prediction: CachePrediction,
+    ) -> Estimate {
+        let server = chooser.view.server_at(index);
         let uncached = (f64::from(chooser.chain.tokens()) - cached).max(0.0);
         let band = chooser.weights().band();
         Estimate {
@@ -90,7 +95,7 @@
             import_ms: 0.0,
             zone_ms: server.zone_ms,
             source: None,
-            belief,
+            prediction,
         }
     }
 
@@ -99,7 +104,7 @@
     /// prompts over servers that compute them anew.
     pub(crate) fn imported(mut self, chooser: &Chooser<'_>, warm: &WarmSet) -> Estimate {
         let Some(import) = chooser.placer.conf().import else { return self };
-        if matches!(self.belief, CacheBelief::Hint { .. }) {
+        if matches!(self.prediction, CachePrediction::Hint { .. }) {
             // The server is believed to have it; asking another would only cost time.
             return self;
         }
@@ -131,16 +136,18 @@
 
     pub(crate) fn choice(&self, chooser: &Chooser<'_>, index: u32, reason: ChoiceReason) -> Choice {
         let kv_source = self.source.map(|source| match source {
-            ImportSource::Server(index) => KvSource::Server(chooser.view.at(index).name().clone()),
+            ImportSource::Server(index) => {
+                KvSource::Server(chooser.view.server_at(index).name().clone())
+            }
             ImportSource::Store => KvSource::Store,
         });
         Choice {
-            server: chooser.view.at(index).clone(),
+            server: chooser.view.server_at(index).clone(),
             reason,
             predicted_cached: chooser.chain.tokens().saturating_sub(self.uncached as u32),
             predicted_ttft_ms: self.ttft_ms(),
             kv_source,
-            belief: self.belief,
+            prediction: self.prediction,
         }
     }
 
--- a/crates/placement/src/fleet_view.rs
+++ b/crates/placement/src/fleet_view.rs
@@ -44,7 +44,7 @@
 struct ServerSet {
     servers: IndexMap<ServerName, Arc<FleetServer>>,
     /// Hashes of the names, by index.
-    keys: Vec<u64>,
+    name_hashes: Vec<u64>,
     by_id: Vec<(ServerId, u32)>,
     near: Vec<u32>,
     far: Vec<u32>,
@@ -70,11 +70,11 @@
         by_id.sort_unstable();
         let is_near = |index: &u32| by_name[*index as usize].zone_ms <= conf.near_ms;
         let (near, far): (Vec<u32>, Vec<u32>) = (0..by_name.len() as u32).partition(is_near);
-        let named: Vec<(u32, &ServerName)> =
+        let ring_servers: Vec<(u32, &ServerName)> =
             near.iter().map(|index| (*index, by_name[*index as usize].name())).collect();
-        let ring = HashRing::new(&named);
-        let keys = by_name.keys().map(|name| xxh3_64(name.as_str().as_bytes())).collect();
-        let servers = Arc::new(ServerSet { servers: by_name, keys, by_id, near, far, ring });
+        let ring = HashRing::new(&ring_servers);
+        let name_hashes = by_name.keys().map(|name| xxh3_64(name.as_str().as_bytes())).collect();
+        let servers = Arc::new(ServerSet { servers: by_name, name_hashes, by_id, near, far, ring });
         FleetView { servers, plan: None }
     }
 
@@ -85,7 +85,7 @@
         for spread in &plan.spreads {
             let start = table.shares.len();
             for share in &spread.shares {
-                if let Some(index) = self.named(&share.server) {
+                if let Some(index) = self.index_of_name(&share.server) {
                     table.shares.push((index, share.share));
                 }
             }
@@ -108,27 +108,27 @@
     }
 
     /// Names of the first servers of a prefix's preference list.
-    pub fn preferred(&self, prefix: PromptHash, wanted: usize) -> Vec<ServerName> {
-        let list = self.ring().list(prefix.0, wanted);
-        list.as_slice().iter().map(|index| self.at(*index).name().clone()).collect()
+    pub fn preferred(&self, prefix: PromptHash, limit: usize) -> Vec<ServerName> {
+        let list = self.ring().preference_list(prefix.0, limit);
+        list.as_slice().iter().map(|index| self.server_at(*index).name().clone()).collect()
     }
 
-    pub(crate) fn at(&self, index: u32) -> &Arc<FleetServer> {
+    pub(crate) fn server_at(&self, index: u32) -> &Arc<FleetServer> {
         &self.servers.servers[index as usize]
     }
 
     /// What is drawn by about the server: the same in all views and routers.
-    pub(crate) fn key(&self, index: u32) -> u64 {
-        self.servers.keys[index as usize]
+    pub(crate) fn name_hash(&self, index: u32) -> u64 {
+        self.servers.name_hashes[index as usize]
     }
 
     pub(crate) fn index_of(&self, id: ServerId) -> Option<u32> {
         let by_id = &self.servers.by_id;
-        let place = by_id.binary_search_by_key(&id, |(id, _)| *id).ok()?;
-        Some(by_id[place].1)
+        let position = by_id.binary_search_by_key(&id, |(id, _)| *id).ok()?;
+        Some(by_id[position].1)
     }
 
-    pub(crate) fn named(&self, name: &ServerName) -> Option<u32> {
+    pub(crate) fn index_of_name(&self, name: &ServerName) -> Option<u32> {
         self.servers.servers.get_index_of(name).map(|index| index as u32)
     }
 
@@ -149,10 +149,10 @@
     }
 
     /// Servers and shares that the plan gives the group.
-    pub(crate) fn planned(&self, group: PromptHash) -> Option<&[(u32, f64)]> {
+    pub(crate) fn planned_shares(&self, group: PromptHash) -> Option<&[(u32, f64)]> {
         let table = self.plan.as_ref()?;
-        let place = table.groups.binary_search_by_key(&group, |(group, ..)| *group).ok()?;
-        let (_, start, end) = table.groups[place];
+        let position = table.groups.binary_search_by_key(&group, |(group, ..)| *group).ok()?;
+        let (_, start, end) = table.groups[position];
         Some(&table.shares[start as usize..end as usize])
     }
 }
--- a/crates/placement/src/hash_ring.rs
+++ b/crates/placement/src/hash_ring.rs
@@ -4,15 +4,15 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::mix::mix;
-use crate::server_list::MAX_LISTED;
+use crate::server_list::MAX_LIST_LEN;
 use crate::server_list::ServerList;
 
 /// Points of a server on the ring at least.
-const LEAST_POINTS: usize = 64;
+const MIN_POINTS_PER_SERVER: usize = 64;
 /// Points of all servers together, if there are few of them.
-const POINTS: usize = 4_096;
+const TARGET_POINTS: usize = 4_096;
 /// Probes for each server wanted before the list is filled from the ring's order.
-const PROBES: usize = 8;
+const PROBES_PER_SERVER: usize = 8;
 
 /// Each server has points on a ring, drawn from its name. A key's list is found by probing the
 /// ring at places drawn from the key. A server that goes takes only its own places with it, and
@@ -22,7 +22,7 @@
     /// Place and server, by place.
     points: Vec<(u64, u32)>,
     /// Where the points of each part of the ring begin; parts are equal and a power of two.
-    starts: Vec<u32>,
+    bucket_starts: Vec<u32>,
     shift: u32,
     servers: usize,
 }
@@ -30,39 +30,39 @@
 impl HashRing {
     /// The ring of servers given by index and name.
     pub(crate) fn new(servers: &[(u32, &ServerName)]) -> HashRing {
-        let each = LEAST_POINTS.max(POINTS / servers.len().max(1));
-        let mut points = Vec::with_capacity(servers.len() * each);
+        let points_per_server = MIN_POINTS_PER_SERVER.max(TARGET_POINTS / servers.len().max(1));
+        let mut points = Vec::with_capacity(servers.len() * points_per_server);
         for (index, name) in servers {
             let hash = xxh3_64(name.as_str().as_bytes());
-            points.extend((0..each as u64).map(|point| (mix(hash, point), *index)));
+            points.extend((0..points_per_server as u64).map(|point| (mix(hash, point), *index)));
         }
         points.sort_unstable();
         let bits = points.len().max(2).ilog2();
         let shift = u64::BITS - bits;
-        let mut starts = vec![0; (1 << bits) + 1];
-        for (place, _) in &points {
-            starts[(place >> shift) as usize + 1] += 1;
+        let mut bucket_starts = vec![0; (1 << bits) + 1];
+        for (position, _) in &points {
+            bucket_starts[(position >> shift) as usize + 1] += 1;
         }
-        for part in 1..starts.len() {
-            starts[part] += starts[part - 1];
+        for bucket in 1..bucket_starts.len() {
+            bucket_starts[bucket] += bucket_starts[bucket - 1];
         }
-        HashRing { points, starts, shift, servers: servers.len() }
+        HashRing { points, bucket_starts, shift, servers: servers.len() }
     }
 
     /// The first servers of the key's preference list.
-    pub(crate) fn list(&self, key: u64, wanted: usize) -> ServerList {
+    pub(crate) fn preference_list(&self, key: u64, limit: usize) -> ServerList {
         let mut list = ServerList::new();
-        let wanted = wanted.min(self.servers).min(MAX_LISTED);
-        for probe in 0..(wanted * PROBES) as u64 {
-            if wanted <= list.len() {
+        let limit = limit.min(self.servers).min(MAX_LIST_LEN);
+        for probe in 0..(limit * PROBES_PER_SERVER) as u64 {
+            if limit <= list.len() {
                 return list;
             }
             list.push(self.points[self.successor(mix(key, probe))].1);
         }
-        let mut place = self.successor(key);
-        while list.len() < wanted {
-            list.push(self.points[place].1);
-            place = (place + 1) % self.points.len();
+        let mut position = self.successor(key);
+        while list.len() < limit {
+            list.push(self.points[position].1);
+            position = (position + 1) % self.points.len();
         }
         list
     }
@@ -75,9 +75,9 @@
         Some(self.points[self.successor(mix(key, 0))].1)
     }
 
-    fn successor(&self, place: u64) -> usize {
-        let mut index = self.starts[(place >> self.shift) as usize] as usize;
-        while index < self.points.len() && self.points[index].0 < place {
+    fn successor(&self, position: u64) -> usize {
+        let mut index = self.bucket_starts[(position >> self.shift) as usize] as usize;
+        while index < self.points.len() && self.points[index].0 < position {
             index += 1;
         }
         if index == self.points.len() { 0 } else { index }
--- a/crates/placement/src/hint_table.rs
+++ b/crates/placement/src/hint_table.rs
@@ -7,7 +7,7 @@
 
 use crate::ServerId;
 
-/// Servers remembered for prefixes that fall into the same set.
+/// Servers remembered for prefixes that fall into the found set.
 const WAYS: usize = 8;
 const TAG_BITS: u32 = 20;
 const ID_BITS: u32 = 20;
@@ -27,7 +27,7 @@
 
 /// A server believed to have a prefix cached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct WarmHint {
+pub(crate) struct CacheHint {
     pub(crate) server: ServerId,
     /// Time since this router last knew of a use.
     pub(crate) age_ms: u64,
@@ -41,22 +41,22 @@
     }
 
     /// The prefix was used at the server.
-    pub(crate) fn touch(&self, prefix: PromptHash, server: ServerId, now_ms: u64) {
-        let word = entry(prefix, server, now_ms);
+    pub(crate) fn record(&self, prefix: PromptHash, server: ServerId, now_ms: u64) {
+        let word = pack(prefix, server, now_ms);
         let set = self.set(prefix);
-        let same =
+        let found =
             set.iter().find(|slot| slot.load(Ordering::Relaxed) >> TIME_BITS == word >> TIME_BITS);
         let age = |slot: &AtomicU64| match slot.load(Ordering::Relaxed) {
             0 => u64::MAX,
             word => age_ms(word, now_ms),
         };
-        let Some(slot) = same.or_else(|| set.iter().max_by_key(|slot| age(slot))) else { return };
+        let Some(slot) = found.or_else(|| set.iter().max_by_key(|slot| age(slot))) else { return };
         slot.store(word, Ordering::Relaxed);
     }
 
     /// The prefix is no longer cached at the server.
-    pub(crate) fn forget(&self, prefix: PromptHash, server: ServerId) {
-        let key = entry(prefix, server, 0) >> TIME_BITS;
+    pub(crate) fn invalidate(&self, prefix: PromptHash, server: ServerId) {
+        let key = pack(prefix, server, 0) >> TIME_BITS;
         for slot in self.set(prefix) {
             if slot.load(Ordering::Relaxed) >> TIME_BITS == key {
                 slot.store(0, Ordering::Relaxed);
@@ -69,7 +69,7 @@
         &self,
         prefix: PromptHash,
         now_ms: u64,
-    ) -> impl Iterator<Item = WarmHint> + '_ {
+    ) -> impl Iterator<Item = CacheHint> + '_ {
         let tag = prefix.0 >> (u64::BITS - TAG_BITS);
         self.set(prefix).iter().filter_map(move |slot| {
             let word = slot.load(Ordering::Relaxed);
@@ -77,7 +77,7 @@
                 return None;
             }
             let server = ServerId(((word >> TIME_BITS) & ID_MASK) as u32);
-            Some(WarmHint { server, age_ms: age_ms(word, now_ms) })
+            Some(CacheHint { server, age_ms: age_ms(word, now_ms) })
         })
     }
 
@@ -88,7 +88,7 @@
     }
 }
 
-fn entry(prefix: PromptHash, server: ServerId, now_ms: u64) -> u64 {
+fn pack(prefix: PromptHash, server: ServerId, now_ms: u64) -> u64 {
     let tag = prefix.0 >> (u64::BITS - TAG_BITS);
     let id = u64::from(server.0) & ID_MASK;
     let time = (now_ms >> TIME_SHIFT) & TIME_MASK;
--- a/crates/placement/src/mix.rs
+++ b/crates/placement/src/mix.rs
@@ -1,16 +1,16 @@
 //! Mixing of 64-bit hashes.
 
-const GOLDEN: u64 = 0x9e37_79b9_7f4a_7c15;
+const GOLDEN_GAMMA: u64 = 0x9e37_79b9_7f4a_7c15;
 
 /// A well mixed function of both.
 pub(crate) fn mix(left: u64, right: u64) -> u64 {
-    let mut word = left ^ right.wrapping_add(1).wrapping_mul(GOLDEN);
+    let mut word = left ^ right.wrapping_add(1).wrapping_mul(GOLDEN_GAMMA);
     word = (word ^ (word >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     word = (word ^ (word >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     word ^ (word >> 31)
 }
 
 /// A hash as a number above 0 and below 1.
-pub(crate) fn unit(hash: u64) -> f64 {
+pub(crate) fn to_unit_interval(hash: u64) -> f64 {
     ((hash >> 12) as f64 + 0.5) / (1_u64 << 52) as f64
 }
--- a/crates/placement/src/learned_cell.rs
+++ b/crates/placement/src/moving_average.rs
@@ -5,11 +5,11 @@
 
 /// A number that moves towards each sample by a given part of the way.
 #[derive(Debug)]
-pub(crate) struct LearnedCell(AtomicU32);
+pub(crate) struct MovingAverage(AtomicU32);
 
-impl LearnedCell {
-    pub(crate) fn new(value: f64) -> LearnedCell {
-        LearnedCell(AtomicU32::new((value as f32).to_bits()))
+impl MovingAverage {
+    pub(crate) fn new(value: f64) -> MovingAverage {
+        MovingAverage(AtomicU32::new((value as f32).to_bits()))
     }
 
     pub(crate) fn value(&self) -> f64 {
@@ -17,9 +17,9 @@
     }
 
     /// Two threads at once may lose one sample, which does no harm to an average.
-    pub(crate) fn learn(&self, sample: f64, part: f64) {
+    pub(crate) fn update(&self, sample: f64, weight: f64) {
         let value = self.value();
-        let bits = ((value + (sample - value) * part) as f32).to_bits();
+        let bits = ((value + (sample - value) * weight) as f32).to_bits();
         self.0.store(bits, Ordering::Relaxed);
     }
 }
--- a/crates/placement/src/open_request.rs
+++ b/crates/placement/src/open_request.rs
@@ -6,11 +6,11 @@
 use crate::PromptChain;
 use crate::ReplyFacts;
 use crate::ServerMeter;
-use crate::choice::CacheBelief;
-use crate::server_meter::IsCached;
+use crate::choice::CachePrediction;
+use crate::server_meter::CacheOutcome;
 
 /// Part of the expected tokens that must be cached for an expectation to have been right.
-const RIGHT_SHARE: f64 = 0.9;
+const MIN_HIT_SHARE: f64 = 0.9;
 
 /// A request that counts as load of its server until this is dropped, however it ends.
 #[derive(Debug)]
@@ -19,12 +19,12 @@
     chain: PromptChain,
     band: usize,
     uncached: u64,
-    state: OpenState,
-    lesson: Lesson,
+    state: RequestState,
+    feedback: CacheFeedback,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum OpenState {
+enum RequestState {
     /// The first token is owed.
     Waiting,
     /// Tokens come.
@@ -33,11 +33,11 @@
 
 /// What the answer's cached tokens teach.
 #[derive(Clone, Copy, Debug)]
-enum Lesson {
+enum CacheFeedback {
     /// Nothing: no expectation, or cached tokens that may have been imported.
     None,
     /// How well home keeps its prompts, or how long a prefix stays cached.
-    Belief(CacheBelief),
+    Prediction(CachePrediction),
 }
 
 /// Whether an answer came from the life of the server that was chosen.
@@ -59,13 +59,13 @@
     ) -> OpenRequest {
         let meter = choice.server.meter.clone();
         let uncached = u64::from(uncached);
-        meter.begin(band, uncached, now_ms);
-        let lesson = match choice.kv_source {
-            Some(_) => Lesson::None,
-            None => Lesson::Belief(choice.belief),
+        meter.begin_request(band, uncached, now_ms);
+        let feedback = match choice.kv_source {
+            Some(_) => CacheFeedback::None,
+            None => CacheFeedback::Prediction(choice.prediction),
         };
-        let state = OpenState::Waiting;
-        OpenRequest { meter, chain: chain.clone(), band, uncached, state, lesson }
+        let state = RequestState::Waiting;
+        OpenRequest { meter, chain: chain.clone(), band, uncached, state, feedback }
     }
 
     /// The meter of the server it went to.
@@ -77,7 +77,7 @@
     /// as owing a first token all that time, its server would look stalled and be passed over.
     pub fn assume_first_token(&mut self, now_ms: u64) {
         self.end_wait();
-        self.meter.note_progress(now_ms);
+        self.meter.record_progress(now_ms);
     }
 
     pub(crate) fn chain(&self) -> &PromptChain {
@@ -85,37 +85,37 @@
     }
 
     pub(crate) fn first_token(&mut self, reply: &ReplyFacts, now_ms: u64) -> ReplyVerdict {
-        if self.state == OpenState::Streaming {
+        if self.state == RequestState::Streaming {
             return ReplyVerdict::Expected;
         }
         self.end_wait();
         if reply.incarnation != self.meter.incarnation() {
             return ReplyVerdict::OtherLife;
         }
-        self.meter.learn_reply(self.band, reply, now_ms);
-        self.learn_cached(reply);
+        self.meter.record_reply(self.band, reply, now_ms);
+        self.record_cache_feedback(reply);
         ReplyVerdict::Expected
     }
 
-    fn learn_cached(&self, reply: &ReplyFacts) {
-        let Lesson::Belief(belief) = self.lesson else { return };
-        match belief {
-            CacheBelief::None => {}
-            CacheBelief::Home { tokens } => {
+    fn record_cache_feedback(&self, reply: &ReplyFacts) {
+        let CacheFeedback::Prediction(prediction) = self.feedback else { return };
+        match prediction {
+            CachePrediction::None => {}
+            CachePrediction::Home { tokens } => {
                 let share = f64::from(reply.cached_tokens) / f64::from(tokens.max(1));
-                self.meter.learn_home_hit(share.min(1.0));
+                self.meter.record_home_hit(share.min(1.0));
             }
-            CacheBelief::Hint { age_ms, tokens } => {
-                let is_right = f64::from(tokens) * RIGHT_SHARE <= f64::from(reply.cached_tokens);
-                let is_cached = if is_right { IsCached::Yes } else { IsCached::No };
-                self.meter.learn_lifetime(age_ms as f64, is_cached);
+            CachePrediction::Hint { age_ms, tokens } => {
+                let is_hit = f64::from(tokens) * MIN_HIT_SHARE <= f64::from(reply.cached_tokens);
+                let outcome = if is_hit { CacheOutcome::Hit } else { CacheOutcome::Miss };
+                self.meter.record_lifetime(age_ms as f64, outcome);
             }
         }
     }
 
     fn end_wait(&mut self) {
-        if self.state == OpenState::Waiting {
-            self.state = OpenState::Streaming;
+        if self.state == RequestState::Waiting {
+            self.state = RequestState::Streaming;
             self.meter.end_wait(self.band, self.uncached);
         }
     }
@@ -126,6 +126,6 @@
     /// that was never given back would make the server look busy for ever.
     fn drop(&mut self) {
         self.end_wait();
-        self.meter.end();
+        self.meter.end_request();
     }
 }
--- a/crates/placement/src/placer.rs
+++ b/crates/placement/src/placer.rs
@@ -31,7 +31,7 @@
 /// Anchors that the demand is kept of.
 const ANCHOR_SLOTS: usize = 8_192;
 /// An anchor with fewer recent requests is not hot, and its cache events are passed over.
-const HOT_REQUESTS: f64 = 2.0;
+const MIN_HOT_REQUESTS: f64 = 2.0;
 
 /// The placement of one model's requests, shared by all traffic threads of a router. Nothing in it
 /// takes a lock, and all of it may be lost: a new one chooses as the old one did, but for the
@@ -43,7 +43,7 @@
     groups: DemandSketch,
     anchors: DemandSketch,
     budget: DetourBudget,
-    turns: AtomicUsize,
+    round_robin: AtomicUsize,
     reasons: ReasonCounts,
 }
 
@@ -64,7 +64,7 @@
             groups: DemandSketch::new(GROUP_SLOTS, conf.demand_window_ms),
             anchors: DemandSketch::new(ANCHOR_SLOTS, conf.demand_window_ms),
             budget: DetourBudget::new(conf.detour_share),
-            turns: AtomicUsize::new(0),
+            round_robin: AtomicUsize::new(0),
             reasons: ReasonCounts::default(),
             conf,
         }
@@ -79,7 +79,7 @@
     ) -> Option<Choice> {
         let chooser = Chooser { placer: self, view, chain, request };
         let choice = match request.policy {
-            PolicyKind::Cost => chooser.by_cost(),
+            PolicyKind::Cost => chooser.lowest_cost(),
             PolicyKind::RoundRobin => chooser.round_robin(),
             PolicyKind::LeastLoad => chooser.least_load(),
             PolicyKind::PrefixHash => chooser.prefix_hash(),
@@ -97,11 +97,11 @@
         now_ms: u64,
     ) -> OpenRequest {
         if let (Some(group), Some(anchor)) = (chain.group(), chain.anchor()) {
-            self.groups.add(group.hash, now_ms);
-            self.anchors.add(anchor.hash, now_ms);
+            self.groups.record_request(group.hash, now_ms);
+            self.anchors.record_request(anchor.hash, now_ms);
         }
         let uncached = chain.tokens().saturating_sub(choice.predicted_cached);
-        self.budget.earn(f64::from(uncached));
+        self.budget.deposit(f64::from(uncached));
         OpenRequest::new(choice, chain, weights.band(), uncached, now_ms)
     }
 
@@ -117,10 +117,10 @@
             let chain = open.chain();
             let uncached = reply.prompt_tokens.saturating_sub(reply.cached_tokens);
             if let Some(group) = chain.group() {
-                self.groups.note_uncached(group.hash, f64::from(uncached), now_ms);
+                self.groups.record_uncached(group.hash, f64::from(uncached), now_ms);
             }
-            for level in chain.belief_levels() {
-                self.hints.touch(level.hash, open.meter().id(), now_ms);
+            for level in chain.hint_levels() {
+                self.hints.record(level.hash, open.meter().id(), now_ms);
             }
         }
         verdict
@@ -132,23 +132,23 @@
             return;
         }
         if news.broken != EventBreak::None {
-            meter.drop_beliefs(now_ms);
+            meter.invalidate_hints(now_ms);
         }
         for event in &news.events {
             match event.kind {
                 CacheEventKind::Stored if self.is_hot(event.hash, now_ms) => {
-                    self.hints.touch(event.hash, meter.id(), now_ms);
+                    self.hints.record(event.hash, meter.id(), now_ms);
                 }
                 CacheEventKind::Stored => {}
-                CacheEventKind::Evicted => self.hints.forget(event.hash, meter.id()),
-                CacheEventKind::Cleared => meter.drop_beliefs(now_ms),
+                CacheEventKind::Evicted => self.hints.invalidate(event.hash, meter.id()),
+                CacheEventKind::Cleared => meter.invalidate_hints(now_ms),
             }
         }
     }
 
     /// Takes in what another router knows of a prefix.
     pub fn learn_hint(&self, prefix: PromptHash, meter: &ServerMeter, now_ms: u64) {
-        self.hints.touch(prefix, meter.id(), now_ms);
+        self.hints.record(prefix, meter.id(), now_ms);
     }
 
     /// The hottest anchors and where they were last seen cached, to be told to other routers.
@@ -164,7 +164,7 @@
             .filter_map(|demand| {
                 let hints = self.hints.lookup(demand.prefix, now_ms);
                 let newest = hints.min_by_key(|hint| hint.age_ms)?;
-                Some((demand.prefix, &*view.at(view.index_of(newest.server)?).meter))
+                Some((demand.prefix, &*view.server_at(view.index_of(newest.server)?).meter))
             })
             .collect()
     }
@@ -203,11 +203,11 @@
         &self.budget
     }
 
-    pub(crate) fn next_turn(&self) -> usize {
-        self.turns.fetch_add(1, Ordering::Relaxed)
+    pub(crate) fn next_round_robin(&self) -> usize {
+        self.round_robin.fetch_add(1, Ordering::Relaxed)
     }
 
     fn is_hot(&self, prefix: PromptHash, now_ms: u64) -> bool {
-        HOT_REQUESTS <= self.anchors.count(prefix, now_ms)
+        MIN_HOT_REQUESTS <= self.anchors.count(prefix, now_ms)
     }
 }
--- a/crates/placement/src/plan_maker.rs
+++ b/crates/placement/src/plan_maker.rs
@@ -12,7 +12,7 @@
 use crate::plan_draft::PlanDraft;
 
 /// A host that has not been heard of for so long no longer counts.
-const REPORT_LIFE_MS: u64 = 5_000;
+const REPORT_TTL_MS: u64 = 5_000;
 
 /// Makes the plan on the control thread of one router: that of the first live entry host by name.
 /// Others keep one too and let it follow, so that any of them can go on. In a network partition
@@ -54,12 +54,12 @@
     /// each other would each make one, and the same prefix would be kept by different servers for
     /// each of them. The old plan, which all have, stays in force.
     pub fn next(&mut self, view: &FleetView, hosts: usize, now_ms: u64) -> Option<SpreadPlan> {
-        self.reports.retain(|_, (_, heard_ms)| now_ms <= *heard_ms + REPORT_LIFE_MS);
+        self.reports.retain(|_, (_, received_ms)| now_ms <= *received_ms + REPORT_TTL_MS);
         if self.reports.len() * 2 <= hosts {
             return None;
         }
-        let (groups, others) = self.loads();
-        let spreads = PlanDraft::new(view, groups, others, &self.plan)?.improved();
+        let (groups, unlisted_load) = self.loads();
+        let spreads = PlanDraft::new(view, groups, unlisted_load, &self.plan)?.rebalanced();
         if spreads == self.plan.spreads && 0 < self.plan.version {
             return None;
         }
@@ -80,8 +80,9 @@
             }
         }
         let listed: f64 = groups.values().sum();
-        let others = (all_requests / f64::max(listed_requests, 1e-9) - 1.0).max(0.0) * listed;
+        let unlisted_load =
+            (all_requests / f64::max(listed_requests, 1e-9) - 1.0).max(0.0) * listed;
         let groups = groups.into_iter().map(|(group, load)| GroupLoad { group, load }).collect();
-        (groups, others)
+        (groups, unlisted_load)
     }
 }
--- a/crates/placement/src/prompt_chain.rs
+++ b/crates/placement/src/prompt_chain.rs
@@ -71,7 +71,7 @@
     }
 
     /// The anchor and the levels below it: what a server that answered has cached of the prompt.
-    pub(crate) fn belief_levels(&self) -> &[PrefixLevel] {
+    pub(crate) fn hint_levels(&self) -> &[PrefixLevel] {
         &self.levels()[self.len.min(ANCHOR_LEVELS).saturating_sub(1)..]
     }
 
@@ -119,7 +119,7 @@
         }
         self.cuts = LevelList::default();
         self.bytes += segment.len();
-        self.take_bytes(segment.as_bytes());
+        self.hash_bytes(segment.as_bytes());
     }
 
     /// The chain of what was added.
@@ -138,7 +138,7 @@
         }
     }
 
-    fn take_bytes(&mut self, mut bytes: &[u8]) {
+    fn hash_bytes(&mut self, mut bytes: &[u8]) {
         if 0 < self.tail_len {
             let wanted = (BLOCK_BYTES - self.tail_len).min(bytes.len());
             self.tail[self.tail_len..self.tail_len + wanted].copy_from_slice(&bytes[..wanted]);
@@ -148,19 +148,19 @@
                 return;
             }
             let block = self.tail;
-            self.take_block(&block);
+            self.hash_block(&block);
             self.tail_len = 0;
         }
         let mut blocks = bytes.chunks_exact(BLOCK_BYTES);
         for block in &mut blocks {
-            self.take_block(block);
+            self.hash_block(block);
         }
         let rest = blocks.remainder();
         self.tail[..rest.len()].copy_from_slice(rest);
         self.tail_len = rest.len();
     }
 
-    fn take_block(&mut self, block: &[u8]) {
+    fn hash_block(&mut self, block: &[u8]) {
         self.hash = xxh3_64_with_seed(block, self.hash);
         self.blocks += 1;
         if self.blocks * BLOCK_TOKENS == self.next_cut {
--- a/crates/placement/src/server_meter.rs
+++ b/crates/placement/src/server_meter.rs
@@ -8,31 +8,31 @@
 use fulmargate_names::Incarnation;
 use fulmargate_names::ServerName;
 
-use crate::decayed_cell::DecayedCell;
-use crate::learned_cell::LearnedCell;
+use crate::decaying_value::DecayingValue;
+use crate::moving_average::MovingAverage;
 
 /// Bands of priority in which own load is counted: the most urgent, and all others.
 pub(crate) const BANDS: usize = 2;
 /// Time over which observed waits are averaged.
 const WAIT_WINDOW_MS: f64 = 100.0;
 /// Time after which an observed wait says little of the present.
-const WAIT_FADE_MS: f64 = 300.0;
+const WAIT_DECAY_MS: f64 = 300.0;
 /// Least weight of a new observed wait.
-const WAIT_WEIGHT: f64 = 0.1;
+const MIN_WAIT_WEIGHT: f64 = 0.1;
 /// Time after which a reported number of requests says little of the present.
-const REPORT_FADE_MS: f64 = 1_000.0;
+const REPORT_DECAY_MS: f64 = 1_000.0;
 /// A server that has owed first tokens for this long, besides what its queue explains, is passed over.
-const STALL_MS: f64 = 500.0;
+const STALL_TIMEOUT_MS: f64 = 500.0;
 /// Prompts shorter than this say nothing of the prefill rate.
-const RATE_TOKENS: f64 = 512.0;
-const RATE_RISE: f64 = 0.1;
-const RATE_FALL: f64 = 0.002;
+const MIN_RATE_SAMPLE_TOKENS: f64 = 512.0;
+const RATE_INCREASE_WEIGHT: f64 = 0.1;
+const RATE_DECREASE_WEIGHT: f64 = 0.002;
 /// Before anything is learned, a prefix is rather not expected to be cached at home.
-const FIRST_HOME_HIT: f64 = 0.3;
-const HOME_HIT_PART: f64 = 0.02;
-const FIRST_LIFETIME_MS: f64 = 2_000.0;
-const LEAST_LIFETIME_MS: f64 = 100.0;
-const LIFETIME_PART: f64 = 0.05;
+const INITIAL_HOME_HIT: f64 = 0.3;
+const HOME_HIT_WEIGHT: f64 = 0.02;
+const INITIAL_LIFETIME_MS: f64 = 2_000.0;
+const MIN_LIFETIME_MS: f64 = 100.0;
+const LIFETIME_WEIGHT: f64 = 0.05;
 
 /// Names one incarnation of one server within a router. A new incarnation gets a new id, so that
 /// no belief about the old one's cache can be mistaken for one about the new.
@@ -83,11 +83,11 @@
     queue_tokens: AtomicU32,
     /// When the server last gave a first token, or began to owe one.
     progress_ms: AtomicU64,
-    waits: [DecayedCell; BANDS],
-    rate: LearnedCell,
-    home_hit: LearnedCell,
-    lifetime_ms: LearnedCell,
-    beliefs_from_ms: AtomicU64,
+    waits: [DecayingValue; BANDS],
+    rate: MovingAverage,
+    home_hit: MovingAverage,
+    lifetime_ms: MovingAverage,
+    hints_valid_from_ms: AtomicU64,
 }
 
 impl ServerMeter {
@@ -110,10 +110,10 @@
             queue_tokens: AtomicU32::new(0),
             progress_ms: AtomicU64::new(0),
             waits: Default::default(),
-            rate: LearnedCell::new(tokens_per_ms),
-            home_hit: LearnedCell::new(FIRST_HOME_HIT),
-            lifetime_ms: LearnedCell::new(FIRST_LIFETIME_MS),
-            beliefs_from_ms: AtomicU64::new(0),
+            rate: MovingAverage::new(tokens_per_ms),
+            home_hit: MovingAverage::new(INITIAL_HOME_HIT),
+            lifetime_ms: MovingAverage::new(INITIAL_LIFETIME_MS),
+            hints_valid_from_ms: AtomicU64::new(0),
         }
     }
 
@@ -171,18 +171,18 @@
     pub fn occupancy(&self, now_ms: u64) -> f64 {
         let word = self.report.load(Ordering::Relaxed);
         let own = f64::from(self.own_requests());
-        let own_then = f64::from((word >> 32) as u32);
-        let others = (f64::from(word as u32) - own_then).max(0.0);
+        let own_at_report = f64::from((word >> 32) as u32);
+        let others = (f64::from(word as u32) - own_at_report).max(0.0);
         let age = now_ms.saturating_sub(self.report_ms.load(Ordering::Relaxed));
-        own + others * (-(age as f64) / REPORT_FADE_MS).exp()
+        own + others * (-(age as f64) / REPORT_DECAY_MS).exp()
     }
 
     /// How long a request of the band would wait before its own prefill.
     pub(crate) fn wait_ms(&self, band: usize, now_ms: u64) -> f64 {
-        let observed = self.waits[band].value(now_ms, WAIT_FADE_MS);
-        let ahead: u64 =
+        let observed = self.waits[band].value(now_ms, WAIT_DECAY_MS);
+        let queued_ahead: u64 =
             self.own_tokens[..=band].iter().map(|tokens| tokens.load(Ordering::Relaxed)).sum();
-        observed.max(ahead as f64 / self.prefill_rate())
+        observed.max(queued_ahead as f64 / self.prefill_rate())
     }
 
     /// Whether the server is in use and answers.
@@ -197,12 +197,12 @@
         if self.own_waiting.load(Ordering::Relaxed) == 0 {
             return false;
         }
-        let owed = now_ms.saturating_sub(self.progress_ms.load(Ordering::Relaxed)) as f64;
+        let waited = now_ms.saturating_sub(self.progress_ms.load(Ordering::Relaxed)) as f64;
         let queued = self.own_tokens() as f64 + f64::from(self.queue_tokens());
-        STALL_MS + 2.0 * queued / self.prefill_rate() < owed
+        STALL_TIMEOUT_MS + 2.0 * queued / self.prefill_rate() < waited
     }
 
-    pub(crate) fn begin(&self, band: usize, tokens: u64, now_ms: u64) {
+    pub(crate) fn begin_request(&self, band: usize, tokens: u64, now_ms: u64) {
         self.own_requests.fetch_add(1, Ordering::Relaxed);
         self.own_tokens[band].fetch_add(tokens, Ordering::Relaxed);
         if self.own_waiting.fetch_add(1, Ordering::Relaxed) == 0 {
@@ -215,62 +215,66 @@
         self.own_waiting.fetch_sub(1, Ordering::Relaxed);
     }
 
-    pub(crate) fn note_progress(&self, now_ms: u64) {
+    pub(crate) fn record_progress(&self, now_ms: u64) {
         self.progress_ms.store(now_ms, Ordering::Relaxed);
     }
 
-    pub(crate) fn end(&self) {
+    pub(crate) fn end_request(&self) {
         self.own_requests.fetch_sub(1, Ordering::Relaxed);
     }
 
     /// Learns load and speed from an answer.
-    pub(crate) fn learn_reply(&self, band: usize, reply: &ReplyFacts, now_ms: u64) {
+    pub(crate) fn record_reply(&self, band: usize, reply: &ReplyFacts, now_ms: u64) {
         let report = u64::from(reply.running) | (u64::from(self.own_requests()) << 32);
         self.report.store(report, Ordering::Relaxed);
         self.report_ms.store(now_ms, Ordering::Relaxed);
         self.queue_tokens.store(reply.queue_tokens, Ordering::Relaxed);
         self.progress_ms.store(now_ms, Ordering::Relaxed);
         let uncached = f64::from(reply.prompt_tokens.saturating_sub(reply.cached_tokens));
-        if RATE_TOKENS <= uncached && 0.0 < reply.ttft_ms {
+        if MIN_RATE_SAMPLE_TOKENS <= uncached && 0.0 < reply.ttft_ms {
             // A wait makes the rate look lower, nothing makes it look higher: follow upwards fast.
             let sample = uncached / reply.ttft_ms;
-            let part = if self.prefill_rate() < sample { RATE_RISE } else { RATE_FALL };
-            self.rate.learn(sample, part);
+            let weight = if self.prefill_rate() < sample {
+                RATE_INCREASE_WEIGHT
+            } else {
+                RATE_DECREASE_WEIGHT
+            };
+            self.rate.update(sample, weight);
         }
         let wait = (reply.ttft_ms - uncached / self.prefill_rate()).max(0.0);
-        self.waits[band].blend(wait, now_ms, WAIT_WINDOW_MS, WAIT_WEIGHT);
+        self.waits[band].update_average(wait, now_ms, WAIT_WINDOW_MS, MIN_WAIT_WEIGHT);
     }
 
     /// Learns how often prompts are found cached at home.
-    pub(crate) fn learn_home_hit(&self, share: f64) {
-        self.home_hit.learn(share, HOME_HIT_PART);
+    pub(crate) fn record_home_hit(&self, share: f64) {
+        self.home_hit.update(share, HOME_HIT_WEIGHT);
     }
 
     /// Learns from a prefix last used here `age_ms` ago that was still cached, or was not.
-    pub(crate) fn learn_lifetime(&self, age_ms: f64, is_cached: IsCached) {
+    pub(crate) fn record_lifetime(&self, age_ms: f64, outcome: CacheOutcome) {
         let lifetime = self.lifetime_ms();
-        let agrees = match is_cached {
-            IsCached::Yes => age_ms <= lifetime,
-            IsCached::No => lifetime <= age_ms,
+        let agrees = match outcome {
+            CacheOutcome::Hit => age_ms <= lifetime,
+            CacheOutcome::Miss => lifetime <= age_ms,
         };
         if !agrees {
-            self.lifetime_ms.learn(age_ms.max(LEAST_LIFETIME_MS), LIFETIME_PART);
+            self.lifetime_ms.update(age_ms.max(MIN_LIFETIME_MS), LIFETIME_WEIGHT);
         }
     }
 
     /// Beliefs about the cache from before are void.
-    pub(crate) fn drop_beliefs(&self, now_ms: u64) {
-        self.beliefs_from_ms.store(now_ms, Ordering::Relaxed);
+    pub(crate) fn invalidate_hints(&self, now_ms: u64) {
+        self.hints_valid_from_ms.store(now_ms, Ordering::Relaxed);
     }
 
-    pub(crate) fn beliefs_from_ms(&self) -> u64 {
-        self.beliefs_from_ms.load(Ordering::Relaxed)
+    pub(crate) fn hints_valid_from_ms(&self) -> u64 {
+        self.hints_valid_from_ms.load(Ordering::Relaxed)
     }
 }
 
 /// Whether a prefix was found in the cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum IsCached {
-    Yes,
-    No,
+pub(crate) enum CacheOutcome {
+    Hit,
+    Miss,
 }
--- a/crates/placement/src/warm_set.rs
+++ b/crates/placement/src/warm_set.rs
@@ -2,11 +2,11 @@
 
 use crate::FleetView;
 use crate::PromptChain;
-use crate::choice::CacheBelief;
+use crate::choice::CachePrediction;
 use crate::hint_table::HintTable;
 
 /// Most servers kept.
-const MOST: usize = 8;
+const MAX_SERVERS: usize = 8;
 
 /// A server of the view and how much of the prompt it is believed to have.
 #[derive(Clone, Copy, Debug)]
@@ -17,15 +17,15 @@
 }
 
 impl WarmServer {
-    pub(crate) fn belief(self) -> CacheBelief {
-        CacheBelief::Hint { age_ms: self.age_ms, tokens: self.tokens }
+    pub(crate) fn prediction(self) -> CachePrediction {
+        CachePrediction::Hint { age_ms: self.age_ms, tokens: self.tokens }
     }
 }
 
 /// What the hints say of a prompt: at most one entry a server, the deepest.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct WarmSet {
-    servers: [Option<WarmServer>; MOST],
+    servers: [Option<WarmServer>; MAX_SERVERS],
 }
 
 impl WarmSet {
@@ -37,13 +37,14 @@
         chain: &PromptChain,
         now_ms: u64,
     ) -> WarmSet {
-        let mut set = WarmSet { servers: [None; MOST] };
-        for level in chain.belief_levels().iter().rev() {
+        let mut set = WarmSet { servers: [None; MAX_SERVERS] };
+        for level in chain.hint_levels().iter().rev() {
             for hint in hints.lookup(level.hash, now_ms) {
                 let Some(index) = view.index_of(hint.server) else { continue };
-                let meter = &view.at(index).meter;
-                let is_void = now_ms.saturating_sub(hint.age_ms) < meter.beliefs_from_ms();
-                if is_void || meter.lifetime_ms() < hint.age_ms as f64 {
+                let meter = &view.server_at(index).meter;
+                let is_invalidated =
+                    now_ms.saturating_sub(hint.age_ms) < meter.hints_valid_from_ms();
+                if is_invalidated || meter.lifetime_ms() < hint.age_ms as f64 {
                     continue;
                 }
                 set.add(WarmServer { index, tokens: level.tokens, age_ms: hint.age_ms });
@@ -64,8 +65,8 @@
         if self.get(warm.index).is_some() {
             return;
         }
-        if let Some(free) = self.servers.iter_mut().find(|slot| slot.is_none()) {
-            *free = Some(warm);
+        if let Some(empty) = self.servers.iter_mut().find(|slot| slot.is_none()) {
+            *empty = Some(warm);
         }
     }
 }
