--- a/crates/placement/src/baseline.rs
+++ b/crates/placement/src/baseline.rs
@@ -1,15 +1,15 @@
-//! The policies that the cost policy is compared with.
+//! Baseline policies for comparison with the cost policy.
 
 use crate::Choice;
 use crate::ChoiceReason;
 use crate::chooser::Chooser;
 use crate::estimate::Estimate;
 
-/// Servers of a list looked at when those before are out of use.
+/// Number of preferred servers to try before all near ones.
 const MAX_CANDIDATES: usize = 8;
 
 impl Chooser<'_> {
-    /// Each usable server in turn.
+    /// Selects usable near servers in rotation.
     pub(crate) fn round_robin(&self) -> Option<Choice> {
         let near = self.view.near();
         let turn = self.placer.next_round_robin();
@@ -19,7 +19,7 @@
         self.baseline(index, ChoiceReason::RoundRobin)
     }
 
-    /// The usable server with the fewest requests.
+    /// Selects the usable near server with the fewest requests.
     pub(crate) fn least_load(&self) -> Option<Choice> {
         let index = self
             .view
@@ -31,7 +31,8 @@
         self.baseline(index, ChoiceReason::LeastLoad)
     }
 
-    /// The first usable server of the anchor's list; of the whole prompt's, if it is short.
+    /// Selects the first usable server of the anchor's preference list. Prompts without an anchor
+    /// are hashed as a whole.
     pub(crate) fn prefix_hash(&self) -> Option<Choice> {
         let anchor = self.chain.anchor().map(|anchor| anchor.hash.0);
         let key = anchor.unwrap_or(self.chain.request_hash());
--- a/crates/placement/src/cache_events.rs
+++ b/crates/placement/src/cache_events.rs
@@ -1,66 +1,67 @@
-//! Following the cache events that a server publishes.
+//! Reader for a server's stream of cache events.
 
 use fulmargate_names::Incarnation;
 use fulmargate_names::PromptHash;
 
-/// What happened to a block.
+/// The kind of a cache event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CacheEventKind {
-    /// It was stored.
+    /// A block was stored.
     Stored,
-    /// It was evicted.
+    /// A block was evicted.
     Evicted,
     /// All blocks were dropped.
     Cleared,
 }
 
-/// One event of a server's cache.
+/// A cache event published by a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CacheEvent {
-    /// Its place in the server's stream.
+    /// Sequence number in the server's event stream.
     pub seq: u64,
-    /// What happened.
+    /// The kind of event.
     pub kind: CacheEventKind,
-    /// The block.
+    /// Hash of the block.
     pub hash: PromptHash,
 }
 
-/// An answer of `GET /control/events`.
+/// A response to `GET /control/events`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EventPage {
-    /// The life of the server that the events belong to.
+    /// The server incarnation that published the events.
     pub incarnation: Incarnation,
-    /// Where to read on.
+    /// Sequence number of the next event to read.
     pub next: u64,
-    /// The events, which may have gaps.
+    /// The events; sequence numbers may have gaps.
     pub events: Vec<CacheEvent>,
 }
 
-/// Whether a page continues what was read before.
+/// Whether a page continues the stream read so far.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EventBreak {
-    /// It does.
+    /// The page continues the stream without a gap.
     None,
-    /// Events are missing: an eviction may be among them, so what was believed is void.
+    /// Events are missing. They may include evictions, so existing hints must be discarded.
     Gap,
-    /// The server has started anew and is empty.
+    /// The server has restarted with an empty cache.
     NewLife,
-    /// The page comes late, from a life that is over, and says nothing of the present one.
+    /// The page is from an earlier incarnation and must be ignored.
     LateLife,
 }
 
-/// What a page tells.
+/// The new events of a page.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EventNews {
-    /// The life it tells of.
+    /// The newest incarnation read so far.
     pub incarnation: Incarnation,
-    /// Whether the page continues what was read before.
+    /// Whether the page continues the stream read so far.
     pub broken: EventBreak,
-    /// Events that were not told before; those before a break in the page's middle left out.
+    /// Events that have not been returned before. Events preceding a gap within the page are
+    /// omitted.
     pub events: Vec<CacheEvent>,
 }
 
-/// Where the reader of one server's events stands: a fold over the pages, without I/O.
+/// Read position in one server's event stream. Pages are passed in by the caller.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CacheEvents {
     incarnation: Incarnation,
@@ -68,17 +69,17 @@
 }
 
 impl CacheEvents {
-    /// Reads from the server's first event.
+    /// Starts at the first event of the incarnation.
     pub fn new(incarnation: Incarnation) -> CacheEvents {
         CacheEvents { incarnation, next: 0 }
     }
 
-    /// Where to read on.
+    /// Sequence number of the next event to read.
     pub fn next(&self) -> u64 {
         self.next
     }
 
-    /// Takes the next page in.
+    /// Advances the position and returns the events that are new.
     pub fn apply(&mut self, page: &EventPage) -> EventNews {
         let incarnation = self.incarnation.max(page.incarnation);
         if page.incarnation < self.incarnation {
--- a/crates/placement/src/choice.rs
+++ b/crates/placement/src/choice.rs
@@ -1,4 +1,4 @@
-//! Where a request goes, and what was expected of it.
+//! The result of a placement decision.
 
 use std::sync::Arc;
 
@@ -10,23 +10,23 @@
 use crate::PolicyKind;
 use crate::ServerId;
 
-/// The header's text for the KV store.
+/// Value of the `x-kv-source` header for the KV store.
 const STORE_TEXT: &str = "kv-store";
 
-/// What is asked besides the prompt.
+/// Placement parameters of a request other than its prompt.
 #[derive(Clone, Copy, Debug)]
 pub struct PlaceRequest<'a> {
-    /// The rule in force.
+    /// The placement policy.
     pub policy: PolicyKind,
-    /// What the request's class cares for.
+    /// Cost weights of the request's class.
     pub weights: ClassWeights,
-    /// Servers that this request must not go to, such as those it failed on.
+    /// Servers that must not be used, such as those on which the request has already failed.
     pub excluded: &'a [ServerId],
-    /// Monotonic time.
+    /// Current monotonic time.
     pub now_ms: u64,
 }
 
-/// Where cached blocks can be imported from.
+/// Where to import cached blocks from.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum KvSource {
     /// Another server.
@@ -36,7 +36,7 @@
 }
 
 impl KvSource {
-    /// The text of the header `x-kv-source`.
+    /// Value of the `x-kv-source` header.
     pub fn as_str(&self) -> &str {
         match self {
             KvSource::Server(name) => name.as_str(),
@@ -45,30 +45,30 @@
     }
 }
 
-/// A server for a request.
+/// The server selected for a request.
 #[derive(Clone, Debug)]
 pub struct Choice {
-    /// The server.
+    /// The selected server.
     pub server: Arc<FleetServer>,
-    /// Why it was chosen.
+    /// Why the server was selected.
     pub reason: ChoiceReason,
-    /// Tokens that it is expected to have cached.
+    /// Prompt tokens predicted to be cached.
     pub predicted_cached: u32,
     /// Estimated time to the first token.
     pub predicted_ttft_ms: f64,
-    /// Where it may import blocks from.
+    /// Where the server may import blocks from.
     pub kv_source: Option<KvSource>,
-    /// What the expectation rests on.
+    /// Basis of the prediction, checked against the reply.
     pub(crate) prediction: CachePrediction,
 }
 
-/// What an expectation of cached tokens rests on.
+/// Basis of a predicted number of cached tokens.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum CachePrediction {
-    /// Nothing that could be learned from.
+    /// No prediction to verify.
     None,
-    /// The server is the prompt's home.
+    /// The server is the prompt's home, and its anchor has this many tokens.
     Home { tokens: u32 },
-    /// A hint of this age says that so many tokens are cached.
+    /// A hint of this age predicts that this many tokens are cached.
     Hint { age_ms: u64, tokens: u32 },
 }
--- a/crates/placement/src/choice_reason.rs
+++ b/crates/placement/src/choice_reason.rs
@@ -1,24 +1,24 @@
-//! Why a prompt went where it went.
+//! Reasons for placement decisions.
 
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
 
-/// Why a server was chosen. The list is closed; each choice has exactly one reason.
+/// Why a server was selected. Each choice has exactly one reason.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum ChoiceReason {
     /// The first server of the prompt's preference list.
     Home,
-    /// Another server of the list: the prefix is hot and kept on several.
+    /// Another server of the list, because the prefix is hot and replicated.
     Spread,
-    /// A server believed to hold more of the prompt than the first of the list.
+    /// A server predicted to have more of the prompt cached than home.
     Warm,
-    /// A less loaded server, where waiting at home would cost more than computing anew.
+    /// A less loaded server, because waiting at home would cost more than recomputing.
     Detour,
-    /// The servers before it on the list are out of use or were excluded.
+    /// All preferred servers are unusable or excluded.
     Fallback,
-    /// The prompt is too short for its place to matter: least loaded of two.
+    /// The prompt is too short to benefit from caching; the less loaded of two sampled servers.
     ShortPrompt,
-    /// No near server can be used.
+    /// No near server is usable.
     FarZone,
     /// Policy `round_robin`.
     RoundRobin,
@@ -29,7 +29,7 @@
 }
 
 impl ChoiceReason {
-    /// All reasons in the order of the list.
+    /// All reasons in declaration order.
     pub const ALL: [ChoiceReason; 10] = [
         ChoiceReason::Home,
         ChoiceReason::Spread,
@@ -60,7 +60,7 @@
     }
 }
 
-/// How often each reason was given.
+/// Number of choices by reason.
 #[derive(Debug, Default)]
 pub struct ReasonCounts {
     counts: [AtomicU64; ChoiceReason::ALL.len()],
@@ -72,7 +72,7 @@
         self.counts[reason as usize].fetch_add(1, Ordering::Relaxed);
     }
 
-    /// How often the reason was given.
+    /// Number of choices made for this reason.
     pub fn count(&self, reason: ChoiceReason) -> u64 {
         self.counts[reason as usize].load(Ordering::Relaxed)
     }
--- a/crates/placement/src/chooser.rs
+++ b/crates/placement/src/chooser.rs
@@ -1,4 +1,4 @@
-//! The choice of one request by least estimated cost.
+//! Server selection by lowest estimated cost.
 
 use crate::Choice;
 use crate::ChoiceReason;
@@ -15,21 +15,21 @@
 use crate::server_list::ServerList;
 use crate::warm_set::WarmSet;
 
-/// A server elsewhere is warm enough to look at if it has so many tokens more.
+/// Minimum additional cached tokens for a server other than home to be considered.
 const MIN_WARM_TOKENS: f64 = 256.0;
-/// A shorter wait at home is not worth looking for a detour.
+/// Minimum wait at home before a detour is considered.
 const MIN_DETOUR_WAIT_MS: f64 = 20.0;
-/// Detours differ by up to this much from request to request, so that routers that see the same
-/// report do not all send to the same server.
+/// Random offset added to detour costs, so that routers with the same view do not all select the
+/// same server.
 const DETOUR_JITTER_MS: f64 = 5.0;
-/// Servers of the group's list looked at besides its members.
+/// Servers from the group's ring list to consider in addition to its members.
 const EXTRA_RING_SERVERS: usize = 2;
-/// Servers drawn from all for a detour or a prompt without a home.
+/// Servers sampled at random for detours and for short prompts.
 const SAMPLED_SERVERS: u64 = 2;
-/// Servers of a list looked at when those before are out of use.
+/// Maximum number of preferred servers to consider as alternatives.
 const MAX_FALLBACK_SERVERS: usize = 8;
 
-/// What one choice looks at.
+/// Inputs of one placement decision.
 pub(crate) struct Chooser<'a> {
     pub(crate) placer: &'a Placer,
     pub(crate) view: &'a FleetView,
@@ -38,8 +38,8 @@
 }
 
 impl Chooser<'_> {
-    /// Home, unless it is out of use, another server is known to be warmer, or waiting there would
-    /// cost more than going elsewhere.
+    /// Selects the home server unless it is unusable, another server has more of the prompt cached,
+    /// or waiting at home costs more than computing the prompt elsewhere.
     pub(crate) fn lowest_cost(&self) -> Option<Choice> {
         let (Some(anchor), Some(preference)) = (self.chain.anchor(), self.preference()) else {
             return self.short_prompt();
@@ -67,7 +67,7 @@
         meter.is_usable(self.request.now_ms) && !self.request.excluded.contains(&meter.id())
     }
 
-    /// Requests there, told apart by the request's hash where they are equal.
+    /// Number of requests at the server, with a tie-breaker derived from the request hash.
     pub(crate) fn occupancy(&self, index: u32) -> f64 {
         self.view.server_at(index).meter.occupancy(self.request.now_ms) + self.jitter(index)
     }
@@ -87,7 +87,8 @@
         PreferenceList::new(self.view, self.chain, width)
     }
 
-    /// The least occupied of the servers that keep the prefix: one, and more if it is hot.
+    /// The least loaded usable server among the replicas of the prefix, or else the next usable
+    /// member.
     fn home(
         &self,
         preference: &PreferenceList,
@@ -106,17 +107,18 @@
         next.map(|index| (index, ChoiceReason::Fallback))
     }
 
-    /// On how many servers the anchor is kept. A prefix that is a large part of one server's work
-    /// costs little to keep twice, and then evens out the load of both.
+    /// Number of servers that keep the anchor cached. Prefixes that make up a large part of a
+    /// server's load are replicated to balance it.
     fn replica_count(&self, anchor: PrefixLevel) -> usize {
         let share = self.placer.anchors().share(anchor.hash, self.request.now_ms);
         let servers = self.view.near().len() as f64;
         (1.0 + share * servers * self.placer.conf().hot_factor) as usize
     }
 
-    /// A server that has more of the prompt than its anchor, such as the rest of a conversation that
-    /// was once sent elsewhere. A hint that the anchor itself is cached elsewhere does not count:
-    /// all routers know home, and only this one the hint, and home would never get warm.
+    /// A server that has more of the prompt cached than the anchor, such as later turns of a
+    /// conversation that was once placed elsewhere. Hints that cover only the anchor are ignored:
+    /// other routers do not have them, and following them would keep the home server from caching
+    /// the prefix.
     fn warmer_server(&self, warm: &WarmSet, home: u32, at_home: &Estimate) -> Option<Choice> {
         let anchor = self.chain.anchor().map_or(0, |anchor| anchor.tokens);
         let home_tokens = f64::from(anchor).max(at_home.cached);
@@ -133,7 +135,7 @@
         is_better.then(|| estimate.choice(self, index, ChoiceReason::Warm))
     }
 
-    /// A server with little to do, where computing the prompt anew costs less than the wait.
+    /// A less loaded server where computing the prompt costs less than waiting at home.
     fn detour(
         &self,
         preference: &PreferenceList,
@@ -162,9 +164,8 @@
         Some(estimate.imported(self, warm).choice(self, index, ChoiceReason::Detour))
     }
 
-    /// What a detour costs the fleet. It counts in full even if the other server is believed to
-    /// have the prompt: keeping a second copy of it there pushes others out, and detours that look
-    /// free would keep all copies they ever made.
+    /// Tokens charged to the detour budget. The full anchor is charged even if the other server
+    /// already has it cached, because keeping the second copy evicts other prefixes.
     fn detour_cost_tokens(&self) -> f64 {
         f64::from(self.chain.anchor().map_or(0, |anchor| anchor.tokens))
     }
@@ -182,8 +183,8 @@
         list
     }
 
-    /// All members are out of use: the next server of the group's list, so that the group stays
-    /// together, then any near one, then any at all.
+    /// If no member is usable, selects the next usable server of the group's ring list, which keeps
+    /// the group together, then any near server, then a far one.
     fn fallback(&self, warm: &WarmSet) -> Option<Choice> {
         let group = self.chain.group().map(|level| level.hash.0).unwrap_or_default();
         let list = self.view.ring().preference_list(group, MAX_FALLBACK_SERVERS);
@@ -197,7 +198,7 @@
         Some(estimate.choice(self, index, ChoiceReason::Fallback))
     }
 
-    /// The less occupied of two near servers drawn by the request's hash.
+    /// The less loaded of two near servers sampled by request hash.
     fn short_prompt(&self) -> Option<Choice> {
         let index = self.least_loaded_sample(self.view.near());
         let Some(index) = index else { return self.far_zone() };
--- a/crates/placement/src/class_weights.rs
+++ b/crates/placement/src/class_weights.rs
@@ -1,18 +1,18 @@
-//! What a class of requests cares for.
+//! Cost weights of a request class.
 
-/// Weights of the cost of a choice, from the configuration of the request's class.
+/// Cost weights, from the configuration of the request's class.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ClassWeights {
-    /// 0 is the most urgent; engines run lower numbers first.
+    /// Scheduling priority in the engine; 0 is the most urgent.
     pub priority: u8,
     /// Weight of the estimated time to the first token.
     pub ttft: f64,
-    /// Weight of the time that computing uncached tokens takes.
+    /// Weight of the time spent computing uncached tokens.
     pub recompute: f64,
 }
 
 impl ClassWeights {
-    /// The band in which own load is counted.
+    /// Index of the priority band that the request's load is counted in.
     pub(crate) fn band(self) -> usize {
         usize::from(0 < self.priority)
     }
--- a/crates/placement/src/decaying_value.rs
+++ b/crates/placement/src/decaying_value.rs
@@ -1,26 +1,27 @@
-//! A number that fades with time, shared by threads.
+//! An atomic value with exponential decay.
 
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
 
-/// A number and the time it was set, in one word. It halves nothing by itself: readers apply the
-/// decay. The time is kept in 32 bits of milliseconds and wraps after 49 days.
+/// A value and the time of its last update, packed into one word. The decay is applied on reading.
+/// Times are stored as 32-bit milliseconds and wrap after 49 days.
 #[derive(Debug, Default)]
 pub(crate) struct DecayingValue(AtomicU64);
 
 impl DecayingValue {
-    /// The number, faded since it was set.
+    /// The value after decay.
     pub(crate) fn value(&self, now_ms: u64, window_ms: f64) -> f64 {
         decayed(self.0.load(Ordering::Relaxed), now_ms, window_ms)
     }
 
-    /// Adds to the faded number.
+    /// Adds to the decayed value.
     pub(crate) fn add(&self, amount: f64, now_ms: u64, window_ms: f64) {
         let change = |word| Some(pack(decayed(word, now_ms, window_ms) + amount, now_ms));
         let _ = self.0.fetch_update(Ordering::Relaxed, Ordering::Relaxed, change);
     }
 
-    /// Moves the number, unfaded, towards a sample: the more, the longer ago the last one was.
+    /// Updates an exponential moving average. The sample's weight grows with the time since the
+    /// last one and is at least `min_weight`.
     pub(crate) fn update_average(&self, sample: f64, now_ms: u64, window_ms: f64, min_weight: f64) {
         let change = |word| {
             let old = f64::from(f32::from_bits(word as u32));
@@ -30,7 +31,6 @@
         let _ = self.0.fetch_update(Ordering::Relaxed, Ordering::Relaxed, change);
     }
 
-    /// Sets the number.
     pub(crate) fn set(&self, value: f64, now_ms: u64) {
         self.0.store(pack(value, now_ms), Ordering::Relaxed);
     }
@@ -40,7 +40,7 @@
     u64::from((value as f32).to_bits()) | (now_ms << 32)
 }
 
-/// Threads may read the clock in another order than they arrive here: a time ahead counts as now.
+/// Threads may arrive out of clock order; a timestamp in the future has age 0.
 fn age_ms(word: u64, now_ms: u64) -> u32 {
     let age = (now_ms as u32).wrapping_sub((word >> 32) as u32);
     if age < u32::MAX / 2 { age } else { 0 }
--- a/crates/placement/src/demand_sketch.rs
+++ b/crates/placement/src/demand_sketch.rs
@@ -1,4 +1,4 @@
-//! How much is asked for which prefix, approximately.
+//! Approximate request rates by prefix.
 
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
@@ -7,17 +7,17 @@
 
 use crate::decaying_value::DecayingValue;
 
-/// Slots in which a prefix may stand.
+/// Associativity: slots that a prefix may occupy.
 const WAYS: usize = 4;
-/// Below this many recent requests a prefix gives way to another.
+/// A prefix with fewer recent requests may be replaced.
 const MIN_COUNT: f64 = 0.5;
-/// Requests that are pretended to have been seen at first, so that the first few ones do not each
-/// look like a large share of all.
+/// Added to the total, so that the first few requests do not each appear to be a large share.
 const PRIOR_REQUESTS: f64 = 50.0;
+/// Minimum weight of a new sample in the average of uncached tokens.
 const MIN_UNCACHED_WEIGHT: f64 = 0.05;
 
-/// Recent requests for each of the most wanted prefixes, without locks and of fixed size. When
-/// two threads take the same slot at once one count is lost, and is made up for by the next ones.
+/// A lock-free, fixed-size sketch of the most requested prefixes. Concurrent replacement of a slot
+/// may lose a count, which is acceptable for an approximation.
 #[derive(Debug)]
 pub(crate) struct DemandSketch {
     slots: Vec<DemandSlot>,
@@ -37,14 +37,14 @@
 pub struct PrefixDemand {
     /// The prefix.
     pub prefix: PromptHash,
-    /// Requests in a second.
+    /// Requests per second.
     pub requests_per_s: f64,
-    /// Uncached tokens of a request on average.
+    /// Average number of uncached tokens per request.
     pub uncached_tokens: f64,
 }
 
 impl DemandSketch {
-    /// An empty sketch; the number of slots is a power of two.
+    /// Creates an empty sketch. `slots` is rounded up to a power of two.
     pub(crate) fn new(slots: usize, window_ms: f64) -> DemandSketch {
         let slots = (0..slots.next_power_of_two()).map(|_| DemandSlot::default()).collect();
         DemandSketch { slots, total: DecayingValue::default(), window_ms }
@@ -61,7 +61,7 @@
         let count = |slot: &DemandSlot| slot.requests.value(now_ms, self.window_ms);
         let Some(coldest) = set.iter().min_by(|a, b| count(a).total_cmp(&count(b))) else { return };
         if MIN_COUNT < count(coldest) {
-            // Newcomers wear the least wanted prefix down instead of pushing it out at once.
+            // Decrement the least requested prefix instead of evicting it at once.
             coldest.requests.add(-MIN_COUNT, now_ms, self.window_ms);
             return;
         }
@@ -70,31 +70,31 @@
         coldest.uncached.set(0.0, now_ms);
     }
 
-    /// Notes how many tokens of a request were not cached.
+    /// Updates the average number of uncached tokens.
     pub(crate) fn record_uncached(&self, prefix: PromptHash, tokens: f64, now_ms: u64) {
         if let Some(slot) = self.set(prefix).iter().find(|slot| slot.holds(prefix)) {
             slot.uncached.update_average(tokens, now_ms, self.window_ms, MIN_UNCACHED_WEIGHT);
         }
     }
 
-    /// The prefix's share of all requests.
+    /// The prefix's share of all recent requests.
     pub(crate) fn share(&self, prefix: PromptHash, now_ms: u64) -> f64 {
         let total = self.total.value(now_ms, self.window_ms) + PRIOR_REQUESTS;
         self.count(prefix, now_ms) / total
     }
 
-    /// Recent requests for the prefix.
+    /// Decayed number of recent requests for the prefix.
     pub(crate) fn count(&self, prefix: PromptHash, now_ms: u64) -> f64 {
         let slot = self.set(prefix).iter().find(|slot| slot.holds(prefix));
         slot.map_or(0.0, |slot| slot.requests.value(now_ms, self.window_ms))
     }
 
-    /// Requests in a second for all prefixes.
+    /// Requests per second over all prefixes.
     pub(crate) fn requests_per_s(&self, now_ms: u64) -> f64 {
         self.total.value(now_ms, self.window_ms) * 1_000.0 / self.window_ms
     }
 
-    /// The most wanted prefixes, most wanted first.
+    /// The most requested prefixes, in descending order of rate.
     pub(crate) fn top(&self, limit: usize, now_ms: u64) -> Vec<PrefixDemand> {
         let mut demands: Vec<PrefixDemand> = self
             .slots
--- a/crates/placement/src/detour_budget.rs
+++ b/crates/placement/src/detour_budget.rs
@@ -1,17 +1,17 @@
-//! How much may be computed anew to save waiting.
+//! Limit on recomputation caused by detours.
 
 use std::sync::atomic::AtomicI64;
 use std::sync::atomic::Ordering;
 
-/// Most tokens that can be saved up.
+/// Maximum accumulated balance.
 const MAX_TOKENS: i64 = 30_000;
+/// Resolution of the fixed-point balance.
 const UNITS_PER_TOKEN: f64 = 16.0;
 
-/// A part of the uncached tokens of all requests, to be spent on detours.
+/// Token budget for detours, replenished with a fraction of all uncached tokens.
 ///
-/// Without a bound a fleet that was pushed over its capacity for a moment stays there: waits grow,
-/// requests leave their warm servers, each detour computes a prompt anew and pushes out another
-/// one, and waits grow further. With it the extra work is a fixed part of the work there is.
+/// Without a limit, a brief overload would sustain itself: longer waits cause detours, each detour
+/// recomputes a prompt and evicts another, and the added work makes waits longer still.
 #[derive(Debug)]
 pub(crate) struct DetourBudget {
     balance: AtomicI64,
@@ -23,7 +23,7 @@
         DetourBudget { balance: AtomicI64::new(0), share }
     }
 
-    /// Earns a part of a request's uncached tokens.
+    /// Credits a fraction of a request's uncached tokens.
     pub(crate) fn deposit(&self, uncached: f64) {
         let deposited = (uncached * self.share * UNITS_PER_TOKEN) as i64;
         let max_units = (MAX_TOKENS as f64 * UNITS_PER_TOKEN) as i64;
@@ -31,7 +31,7 @@
         let _ = self.balance.fetch_update(Ordering::Relaxed, Ordering::Relaxed, change);
     }
 
-    /// Spends tokens if so many are saved.
+    /// Deducts the tokens if the balance is sufficient.
     pub(crate) fn try_spend(&self, tokens: f64) -> bool {
         let cost = (tokens * UNITS_PER_TOKEN) as i64;
         let change = |balance: i64| (cost <= balance).then_some(balance - cost);
--- a/crates/placement/src/estimate.rs
+++ b/crates/placement/src/estimate.rs
@@ -1,4 +1,4 @@
-//! What sending a request to one server would take.
+//! Latency and cost estimates for sending a request to a server.
 
 use crate::Choice;
 use crate::ChoiceReason;
@@ -11,18 +11,18 @@
 use crate::warm_set::WarmServer;
 use crate::warm_set::WarmSet;
 
-/// A hint that is not too old is right about this often.
+/// Probability that an unexpired hint is correct.
 const HINT_HIT_PROBABILITY: f64 = 0.95;
-/// A group's prefix is cached about this often on the servers that keep the group.
+/// Probability that a group's prefix is cached on a member of the group.
 const GROUP_HIT_PROBABILITY: f64 = 0.9;
 
-/// The estimated time of a request at one server.
+/// The estimated latency of a request at one server.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Estimate {
     pub(crate) wait_ms: f64,
-    /// Tokens expected in the server's cache.
+    /// Tokens predicted to be in the server's cache.
     pub(crate) cached: f64,
-    /// Tokens expected to be computed.
+    /// Tokens that remain to be computed.
     pub(crate) uncached: f64,
     compute_ms: f64,
     import_ms: f64,
@@ -38,7 +38,7 @@
 }
 
 impl Estimate {
-    /// At the server that keeps the prompt.
+    /// Estimate for the prompt's home server.
     pub(crate) fn at_home(chooser: &Chooser<'_>, warm: &WarmSet, home: u32) -> Estimate {
         if let Some(warm) = warm.get(home) {
             return Estimate::at_warm(chooser, warm);
@@ -48,13 +48,13 @@
         Estimate::new(chooser, home, cached, CachePrediction::Home { tokens })
     }
 
-    /// At a server that a hint names.
+    /// Estimate for a server named by a hint.
     pub(crate) fn at_warm(chooser: &Chooser<'_>, warm: WarmServer) -> Estimate {
         let cached = f64::from(warm.tokens) * HINT_HIT_PROBABILITY;
         Estimate::new(chooser, warm.index, cached, warm.prediction())
     }
 
-    /// At a server other than home.
+    /// Estimate for a server other than home.
     pub(crate) fn elsewhere(
         chooser: &Chooser<'_>,
         warm: &WarmSet,
@@ -73,7 +73,7 @@
         Estimate::new(chooser, index, cached, CachePrediction::None)
     }
 
-    /// At a server that has nothing of the prompt.
+    /// Estimate for a server that has none of the prompt cached.
     pub(crate) fn cold(chooser: &Chooser<'_>, index: u32) -> Estimate {
         Estimate::new(chooser, index, 0.0, CachePrediction::None)
     }
@@ -99,13 +99,13 @@
         }
     }
 
-    /// With what is missing imported, if that takes less time than computing it. Only for a server
-    /// that is chosen already: an import may fail, and choices that counted on it would then scatter
-    /// prompts over servers that compute them anew.
+    /// Plans an import of the missing blocks if that is faster than computing them. Applied only
+    /// after the server has been selected: an import may fail, and selecting servers on the
+    /// assumption that it succeeds would scatter prompts over servers that then recompute them.
     pub(crate) fn imported(mut self, chooser: &Chooser<'_>, warm: &WarmSet) -> Estimate {
         let Some(import) = chooser.placer.conf().import else { return self };
         if matches!(self.prediction, CachePrediction::Hint { .. }) {
-            // The server is believed to have it; asking another would only cost time.
+            // The server is predicted to have the blocks, so a lookup elsewhere only adds latency.
             return self;
         }
         let deepest = chooser.chain.levels().last().map_or(0, |level| level.tokens);
@@ -127,7 +127,7 @@
         self
     }
 
-    /// The cost in the class's weights.
+    /// The estimated cost, weighted by request class.
     pub(crate) fn cost(&self, chooser: &Chooser<'_>) -> f64 {
         let weights = chooser.weights();
         let price = chooser.placer.conf().recompute_price;
--- a/crates/placement/src/fleet_view.rs
+++ b/crates/placement/src/fleet_view.rs
@@ -1,4 +1,4 @@
-//! The servers that serve one model with one weights version, at one moment.
+//! Snapshot of the servers for one model and weights version.
 
 use std::sync::Arc;
 
@@ -14,14 +14,14 @@
 use crate::SpreadPlan;
 use crate::hash_ring::HashRing;
 
-/// One server in a view.
+/// A server in a view.
 #[derive(Clone, Debug)]
 pub struct FleetServer {
-    /// Its availability zone.
+    /// The server's availability zone.
     pub zone: ZoneName,
-    /// Time to the server and back.
+    /// Round-trip time to the server.
     pub zone_ms: f64,
-    /// Its live data.
+    /// Live load and cache statistics.
     pub meter: Arc<ServerMeter>,
 }
 
@@ -32,8 +32,8 @@
     }
 }
 
-/// An immutable snapshot. Control makes a new one on each change of members or of the plan and
-/// swaps it in; what is measured lives in the meters, which snapshots share.
+/// An immutable snapshot. The control thread publishes a new one whenever the members or the plan
+/// change. Measurements are kept in the server meters, which snapshots share.
 #[derive(Clone, Debug)]
 pub struct FleetView {
     servers: Arc<ServerSet>,
@@ -43,7 +43,7 @@
 #[derive(Debug)]
 struct ServerSet {
     servers: IndexMap<ServerName, Arc<FleetServer>>,
-    /// Hashes of the names, by index.
+    /// Hashes of the server names, by index.
     name_hashes: Vec<u64>,
     by_id: Vec<(ServerId, u32)>,
     near: Vec<u32>,
@@ -51,7 +51,7 @@
     ring: HashRing,
 }
 
-/// The plan with servers as indexes of the view.
+/// The plan, resolved to server indexes of the view.
 #[derive(Debug, Default)]
 struct PlanTable {
     groups: Vec<(PromptHash, u32, u32)>,
@@ -59,11 +59,11 @@
 }
 
 impl FleetView {
-    /// The view of these servers, without a plan.
+    /// Creates a view of these servers, without a plan.
     pub fn new(conf: &PlacementConf, servers: Vec<FleetServer>) -> FleetView {
         let mut by_name: IndexMap<ServerName, Arc<FleetServer>> =
             servers.into_iter().map(|server| (server.name().clone(), Arc::new(server))).collect();
-        // The order of the names makes the views of all routers equal.
+        // Sort by name, so that all routers use the same indexes.
         by_name.sort_unstable_keys();
         let mut by_id: Vec<(ServerId, u32)> =
             by_name.values().zip(0..).map(|(server, index)| (server.meter.id(), index)).collect();
@@ -78,8 +78,8 @@
         FleetView { servers, plan: None }
     }
 
-    /// The same servers under another plan. Servers that the view does not have lose their shares
-    /// to the others of the group.
+    /// The same servers with another plan. Shares of servers that are not in the view go to the
+    /// other servers of the group.
     pub fn with_plan(&self, plan: &SpreadPlan) -> FleetView {
         let mut table = PlanTable::default();
         for spread in &plan.spreads {
@@ -97,17 +97,17 @@
         FleetView { servers: self.servers.clone(), plan: Some(Arc::new(table)) }
     }
 
-    /// All servers, by name.
+    /// All servers, in order of name.
     pub fn servers(&self) -> impl Iterator<Item = &Arc<FleetServer>> {
         self.servers.servers.values()
     }
 
-    /// The server of this name.
+    /// Looks up a server by name.
     pub fn server(&self, name: &ServerName) -> Option<&Arc<FleetServer>> {
         self.servers.servers.get(name)
     }
 
-    /// Names of the first servers of a prefix's preference list.
+    /// Names of the first `limit` servers of a prefix's preference list.
     pub fn preferred(&self, prefix: PromptHash, limit: usize) -> Vec<ServerName> {
         let list = self.ring().preference_list(prefix.0, limit);
         list.as_slice().iter().map(|index| self.server_at(*index).name().clone()).collect()
@@ -117,7 +117,7 @@
         &self.servers.servers[index as usize]
     }
 
-    /// What is drawn by about the server: the same in all views and routers.
+    /// Hash of the server's name, equal on all routers.
     pub(crate) fn name_hash(&self, index: u32) -> u64 {
         self.servers.name_hashes[index as usize]
     }
@@ -148,7 +148,7 @@
         self.plan.is_some()
     }
 
-    /// Servers and shares that the plan gives the group.
+    /// The servers and shares that the plan assigns to the group.
     pub(crate) fn planned_shares(&self, group: PromptHash) -> Option<&[(u32, f64)]> {
         let table = self.plan.as_ref()?;
         let position = table.groups.binary_search_by_key(&group, |(group, ..)| *group).ok()?;
--- a/crates/placement/src/hash_ring.rs
+++ b/crates/placement/src/hash_ring.rs
@@ -1,4 +1,4 @@
-//! Preference lists without state: a hash ring.
+//! Consistent hashing of keys to preference lists of servers.
 
 use fulmargate_names::ServerName;
 use xxhash_rust::xxh3::xxh3_64;
@@ -7,28 +7,30 @@
 use crate::server_list::MAX_LIST_LEN;
 use crate::server_list::ServerList;
 
-/// Points of a server on the ring at least.
+/// Minimum number of points per server.
 const MIN_POINTS_PER_SERVER: usize = 64;
-/// Points of all servers together, if there are few of them.
+/// Target number of points in small rings.
 const TARGET_POINTS: usize = 4_096;
-/// Probes for each server wanted before the list is filled from the ring's order.
+/// Probes per requested server before the list is filled in ring order.
 const PROBES_PER_SERVER: usize = 8;
 
-/// Each server has points on a ring, drawn from its name. A key's list is found by probing the
-/// ring at places drawn from the key. A server that goes takes only its own places with it, and
-/// the cost of a list does not depend on the number of servers.
+/// A consistent hash ring with several points per server. Preference lists are built by multi-probe
+/// hashing: each probe hashes the key to a position and takes the next server on the ring. Removing
+/// a server affects only the keys that it held, and the cost of a lookup does not depend on the
+/// number of servers.
 #[derive(Debug)]
 pub(crate) struct HashRing {
-    /// Place and server, by place.
+    /// Position and server index, sorted by position.
     points: Vec<(u64, u32)>,
-    /// Where the points of each part of the ring begin; parts are equal and a power of two.
+    /// Index of the first point of each bucket. Buckets are equal parts of the ring; their number
+    /// is a power of two.
     bucket_starts: Vec<u32>,
     shift: u32,
     servers: usize,
 }
 
 impl HashRing {
-    /// The ring of servers given by index and name.
+    /// Builds the ring from server indexes and names.
     pub(crate) fn new(servers: &[(u32, &ServerName)]) -> HashRing {
         let points_per_server = MIN_POINTS_PER_SERVER.max(TARGET_POINTS / servers.len().max(1));
         let mut points = Vec::with_capacity(servers.len() * points_per_server);
@@ -49,7 +51,7 @@
         HashRing { points, bucket_starts, shift, servers: servers.len() }
     }
 
-    /// The first servers of the key's preference list.
+    /// The first `limit` servers of the key's preference list.
     pub(crate) fn preference_list(&self, key: u64, limit: usize) -> ServerList {
         let mut list = ServerList::new();
         let limit = limit.min(self.servers).min(MAX_LIST_LEN);
--- a/crates/placement/src/hint_table.rs
+++ b/crates/placement/src/hint_table.rs
@@ -1,4 +1,4 @@
-//! Which servers are believed to have a prefix cached.
+//! Hints about which servers have a prefix cached.
 
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
@@ -7,40 +7,40 @@
 
 use crate::ServerId;
 
-/// Servers remembered for prefixes that fall into the found set.
+/// Associativity: hints kept for all prefixes of one set.
 const WAYS: usize = 8;
 const TAG_BITS: u32 = 20;
 const ID_BITS: u32 = 20;
 const TIME_BITS: u32 = 24;
 const ID_MASK: u64 = (1 << ID_BITS) - 1;
 const TIME_MASK: u64 = (1 << TIME_BITS) - 1;
-/// Time is kept in units of 16 ms and wraps after three days.
+/// Times are stored in units of 16 ms and wrap after three days.
 const TIME_SHIFT: u32 = 4;
 
-/// A bounded table of beliefs, each one word, without locks. It may be wrong at any time: it only
-/// says where to ask first. An entry names one life of one server, so that a new incarnation
-/// starts without any, and what comes late about the old one is never read again.
+/// A lock-free, fixed-size table of cache hints, one word each. Hints may be outdated. Each refers
+/// to one incarnation of a server, so hints about an earlier incarnation never match a restarted
+/// server.
 #[derive(Debug)]
 pub(crate) struct HintTable {
     slots: Vec<AtomicU64>,
 }
 
-/// A server believed to have a prefix cached.
+/// A hint that a server has a prefix cached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct CacheHint {
     pub(crate) server: ServerId,
-    /// Time since this router last knew of a use.
+    /// Time since the last use known to this router.
     pub(crate) age_ms: u64,
 }
 
 impl HintTable {
-    /// An empty table; the number of slots is a power of two.
+    /// Creates an empty table. `slots` is rounded up to a power of two.
     pub(crate) fn new(slots: usize) -> HintTable {
         let slots = slots.next_power_of_two().max(WAYS);
         HintTable { slots: (0..slots).map(|_| AtomicU64::new(0)).collect() }
     }
 
-    /// The prefix was used at the server.
+    /// Records that the prefix was used on the server.
     pub(crate) fn record(&self, prefix: PromptHash, server: ServerId, now_ms: u64) {
         let word = pack(prefix, server, now_ms);
         let set = self.set(prefix);
@@ -54,7 +54,7 @@
         slot.store(word, Ordering::Relaxed);
     }
 
-    /// The prefix is no longer cached at the server.
+    /// Removes the hint that the server has the prefix cached.
     pub(crate) fn invalidate(&self, prefix: PromptHash, server: ServerId) {
         let key = pack(prefix, server, 0) >> TIME_BITS;
         for slot in self.set(prefix) {
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Servers believed to have the prefix cached.
+    /// Returns the hints for the prefix.
     pub(crate) fn lookup(
         &self,
         prefix: PromptHash,
@@ -95,7 +95,7 @@
     (tag << (u64::BITS - TAG_BITS)) | (id << TIME_BITS) | time
 }
 
-/// A time that lies a little ahead, since threads read the clock in turns, counts as now.
+/// Threads may read the clock out of order; a timestamp in the future has age 0.
 fn age_ms(word: u64, now_ms: u64) -> u64 {
     let age = (now_ms >> TIME_SHIFT).wrapping_sub(word & TIME_MASK) & TIME_MASK;
     if age < TIME_MASK / 2 { age << TIME_SHIFT } else { 0 }
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -1,8 +1,10 @@
-//! Where a prompt goes: hash chain, preference lists, cache hints, cost, choice.
+//! Request placement: selects the backend server for each prompt from prefix hashes, cache hints
+//! and estimated cost.
 //!
-//! No I/O and no clock: callers pass monotonic milliseconds. [`Placer::choose`] is the decision,
-//! [`Placer::begin`] and [`Placer::first_token`] the feedback; [`PlanMaker`] runs on the control
-//! thread of one router. `docs/design/placement.md` says why it is built in this way.
+//! The crate does no I/O and reads no clock; callers pass monotonic milliseconds.
+//! [`Placer::choose`] selects a server, [`Placer::begin`] and [`Placer::first_token`] report the
+//! outcome back. [`PlanMaker`] runs on the control thread of a router and assigns hot prefix groups
+//! to servers. See `docs/design/placement.md` for the design.
 
 mod baseline;
 mod cache_events;
--- a/crates/placement/src/meter_book.rs
+++ b/crates/placement/src/meter_book.rs
@@ -1,4 +1,4 @@
-//! The meters of all servers, by name.
+//! Registry of server meters.
 
 use std::sync::Arc;
 
@@ -10,8 +10,8 @@
 use crate::ServerId;
 use crate::ServerMeter;
 
-/// Keeps the meter of each server's present life, on the control thread. A snapshot of the fleet
-/// takes its meters from here, so that what was measured outlives the snapshot but not the life.
+/// Owns the meter of each server's current incarnation, on the control thread. Measurements persist
+/// across fleet snapshots and are reset when a server restarts.
 #[derive(Debug)]
 pub struct MeterBook {
     meters: IndexMap<ServerName, Arc<ServerMeter>>,
@@ -20,14 +20,14 @@
 }
 
 impl MeterBook {
-    /// No servers yet.
+    /// Creates an empty registry.
     pub fn new(conf: &PlacementConf) -> MeterBook {
         let tokens_per_ms = conf.prefill_tokens_per_ms;
         MeterBook { meters: IndexMap::new(), next_id: 1, tokens_per_ms }
     }
 
-    /// The meter of a server's life; a new one if the incarnation is newer than any seen. The
-    /// word of a late message about an older life gets the present life's meter.
+    /// Returns the meter of a server. A newer incarnation gets a new meter; for an older one, such
+    /// as from a delayed message, the current meter is returned.
     pub fn meter(&mut self, name: &ServerName, incarnation: Incarnation) -> Arc<ServerMeter> {
         let known = self.meters.get(name);
         if let Some(meter) = known.filter(|meter| incarnation <= meter.incarnation()) {
@@ -41,7 +41,7 @@
         meter
     }
 
-    /// Forgets servers that are no longer configured.
+    /// Removes servers that are no longer configured.
     pub fn retain(&mut self, mut is_kept: impl FnMut(&ServerName) -> bool) {
         self.meters.retain(|name, _| is_kept(name));
     }
--- a/crates/placement/src/moving_average.rs
+++ b/crates/placement/src/moving_average.rs
@@ -1,9 +1,9 @@
-//! A number learned from samples, shared by threads.
+//! An atomic exponential moving average.
 
 use std::sync::atomic::AtomicU32;
 use std::sync::atomic::Ordering;
 
-/// A number that moves towards each sample by a given part of the way.
+/// An exponential moving average with a weight given for each sample.
 #[derive(Debug)]
 pub(crate) struct MovingAverage(AtomicU32);
 
@@ -16,7 +16,7 @@
         f64::from(f32::from_bits(self.0.load(Ordering::Relaxed)))
     }
 
-    /// Two threads at once may lose one sample, which does no harm to an average.
+    /// Concurrent updates may lose a sample, which an average tolerates.
     pub(crate) fn update(&self, sample: f64, weight: f64) {
         let value = self.value();
         let bits = ((value + (sample - value) * weight) as f32).to_bits();
--- a/crates/placement/src/open_request.rs
+++ b/crates/placement/src/open_request.rs
@@ -1,4 +1,4 @@
-//! A request on its way.
+//! Load accounting and feedback for an open request.
 
 use std::sync::Arc;
 
@@ -9,10 +9,10 @@
 use crate::choice::CachePrediction;
 use crate::server_meter::CacheOutcome;
 
-/// Part of the expected tokens that must be cached for an expectation to have been right.
+/// Minimum fraction of the predicted tokens that must be cached for the prediction to be correct.
 const MIN_HIT_SHARE: f64 = 0.9;
 
-/// A request that counts as load of its server until this is dropped, however it ends.
+/// A request in progress. It counts towards its server's load until it is dropped.
 #[derive(Debug)]
 pub struct OpenRequest {
     meter: Arc<ServerMeter>,
@@ -25,27 +25,27 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RequestState {
-    /// The first token is owed.
+    /// Waiting for the first token.
     Waiting,
-    /// Tokens come.
+    /// The first token has been received.
     Streaming,
 }
 
-/// What the answer's cached tokens teach.
+/// How to use the number of cached tokens in the reply.
 #[derive(Clone, Copy, Debug)]
 enum CacheFeedback {
-    /// Nothing: no expectation, or cached tokens that may have been imported.
+    /// Not used, because the tokens may have been imported.
     None,
-    /// How well home keeps its prompts, or how long a prefix stays cached.
+    /// Compare it with the prediction.
     Prediction(CachePrediction),
 }
 
-/// Whether an answer came from the life of the server that was chosen.
+/// Whether a reply came from the server incarnation that was selected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplyVerdict {
-    /// It did.
+    /// The reply came from the selected incarnation.
     Expected,
-    /// Another life answered; the control thread has to be told.
+    /// Another incarnation replied; the control thread must be notified.
     OtherLife,
 }
 
@@ -68,13 +68,13 @@
         OpenRequest { meter, chain: chain.clone(), band, uncached, state, feedback }
     }
 
-    /// The meter of the server it went to.
+    /// The meter of the request's server.
     pub fn meter(&self) -> &ServerMeter {
         &self.meter
     }
 
-    /// Takes the first token for given. An answer in one piece shows nothing before its end; counted
-    /// as owing a first token all that time, its server would look stalled and be passed over.
+    /// Marks the first token as received without a reply. Used for non-streamed responses, which
+    /// send nothing before they are complete; the server would otherwise appear stalled.
     pub fn assume_first_token(&mut self, now_ms: u64) {
         self.end_wait();
         self.meter.record_progress(now_ms);
@@ -122,8 +122,7 @@
 }
 
 impl Drop for OpenRequest {
-    /// A request that fails, is cancelled or whose caller hangs up takes this path as well. Load
-    /// that was never given back would make the server look busy for ever.
+    /// Releases the load however the request ends, including on failure and cancellation.
     fn drop(&mut self) {
         self.end_wait();
         self.meter.end_request();
--- a/crates/placement/src/placement_conf.rs
+++ b/crates/placement/src/placement_conf.rs
@@ -1,29 +1,29 @@
-//! Constants of the placement that a deployment may set.
+//! Placement configuration.
 
-/// Constants of the placement; `docs/design/placement.md` says how the defaults were found.
+/// Placement parameters. See `docs/design/placement.md` for the choice of defaults.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlacementConf {
-    /// Tokens of prefill that a server computes in a millisecond, until it has been learned.
+    /// Initial estimate of a server's prefill rate, in tokens per millisecond.
     pub prefill_tokens_per_ms: f64,
-    /// What a request costs a server besides prefill, in tokens of prefill.
+    /// Fixed cost of a request, expressed in prefill tokens.
     pub request_tokens: f64,
-    /// Time over which demand is averaged.
+    /// Time constant of the demand averages.
     pub demand_window_ms: f64,
-    /// Servers of a group without a plan, as a multiple of its share of the fleet.
+    /// Number of servers for a group that has no plan, as a multiple of its share of the fleet.
     pub width_factor: f64,
-    /// Servers of such a group at least; more than there are means all.
+    /// Minimum number of servers for a group that has no plan; limited by the size of the fleet.
     pub least_width: f64,
-    /// Servers of a hot prefix besides the first, as a multiple of its share of the fleet.
+    /// Additional servers for a hot prefix, as a multiple of its share of the fleet.
     pub hot_factor: f64,
-    /// Weight of recomputation against time, before the weights of the class.
+    /// Weight of recomputation relative to latency, before the class weights are applied.
     pub recompute_price: f64,
-    /// Part of the uncached tokens that detours may add.
+    /// Maximum tokens recomputed by detours, as a fraction of all uncached tokens.
     pub detour_share: f64,
-    /// Servers farther off than this serve only if no nearer one can.
+    /// Servers with a higher round-trip time are used only if no nearer server is usable.
     pub near_ms: f64,
-    /// Slots of the hint table, a power of two.
+    /// Number of hint table slots, a power of two.
     pub hint_slots: usize,
-    /// Import of cached blocks; none if the engines cannot.
+    /// Settings for importing cached blocks; `None` if the engines do not support it.
     pub import: Option<ImportConf>,
 }
 
@@ -45,22 +45,22 @@
     }
 }
 
-/// What import of cached blocks costs.
+/// Cost model for importing cached blocks.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ImportConf {
-    /// Time to ask the source, also when it has nothing.
+    /// Round-trip time of a lookup at the source, whether or not it has the blocks.
     pub ask_ms: f64,
-    /// Tokens that are taken in in a millisecond.
+    /// Import throughput, in tokens per millisecond.
     pub tokens_per_ms: f64,
-    /// Whether there is a store beside the servers.
+    /// Whether to query the KV store.
     pub store: StoreUse,
 }
 
-/// Whether the KV store is asked.
+/// Whether to query the KV store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreUse {
-    /// There is none.
+    /// There is no KV store.
     None,
-    /// It is asked where a miss is likely enough.
+    /// Query the store when a local cache miss is likely.
     Ask,
 }
--- a/crates/placement/src/placer.rs
+++ b/crates/placement/src/placer.rs
@@ -1,4 +1,4 @@
-//! Chooses servers and learns from what became of it.
+//! Server selection and feedback for one model.
 
 use std::sync::atomic::AtomicUsize;
 use std::sync::atomic::Ordering;
@@ -26,16 +26,16 @@
 use crate::hint_table::HintTable;
 use crate::open_request::ReplyVerdict;
 
-/// Groups that the demand is kept of.
+/// Capacity of the group demand sketch.
 const GROUP_SLOTS: usize = 4_096;
-/// Anchors that the demand is kept of.
+/// Capacity of the anchor demand sketch.
 const ANCHOR_SLOTS: usize = 8_192;
-/// An anchor with fewer recent requests is not hot, and its cache events are passed over.
+/// Minimum recent requests for an anchor to be hot. Cache events for colder anchors are ignored.
 const MIN_HOT_REQUESTS: f64 = 2.0;
 
-/// The placement of one model's requests, shared by all traffic threads of a router. Nothing in it
-/// takes a lock, and all of it may be lost: a new one chooses as the old one did, but for the
-/// copies of hot prefixes and for detours.
+/// Placement state of one model, shared lock-free by all traffic threads of a router. All of it is
+/// soft state: after a restart, choices are the same except for replicas of hot prefixes and
+/// detours.
 #[derive(Debug)]
 pub struct Placer {
     conf: PlacementConf,
@@ -47,17 +47,17 @@
     reasons: ReasonCounts,
 }
 
-/// What one router sees asked for; all routers' reports together make the plan.
+/// Request rates observed by one router. The plan is computed from the reports of all routers.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct DemandReport {
-    /// Requests in a second, whatever their prefix.
+    /// Requests per second over all prefixes.
     pub requests_per_s: f64,
-    /// The most wanted groups, most wanted first.
+    /// The most requested groups, in descending order of rate.
     pub groups: Vec<PrefixDemand>,
 }
 
 impl Placer {
-    /// Knows nothing yet.
+    /// Creates a placer without hints or demand history.
     pub fn new(conf: PlacementConf) -> Placer {
         Placer {
             hints: HintTable::new(conf.hint_slots),
@@ -70,7 +70,7 @@
         }
     }
 
-    /// The server for a request; none if no server can be used.
+    /// Selects a server for a request, or `None` if no server is usable.
     pub fn choose(
         &self,
         view: &FleetView,
@@ -88,7 +88,8 @@
         Some(choice)
     }
 
-    /// The request goes to the chosen server. The load counts until the value is dropped.
+    /// Records that the request is sent to the chosen server. It counts towards the server's load
+    /// until the returned value is dropped.
     pub fn begin(
         &self,
         choice: &Choice,
@@ -105,7 +106,8 @@
         OpenRequest::new(choice, chain, weights.band(), uncached, now_ms)
     }
 
-    /// The first token came. An answer by another life of the server teaches nothing.
+    /// Records the first token. Replies from another incarnation of the server are not used to
+    /// update estimates.
     pub fn first_token(
         &self,
         open: &mut OpenRequest,
@@ -126,7 +128,8 @@
         verdict
     }
 
-    /// Takes in what a server's cache events say of prefixes that are hot here.
+    /// Applies a server's cache events to the hints. Only prefixes that are hot on this router are
+    /// added.
     pub fn learn_events(&self, meter: &ServerMeter, news: &EventNews, now_ms: u64) {
         if news.incarnation != meter.incarnation() || news.broken == EventBreak::LateLife {
             return;
@@ -146,12 +149,13 @@
         }
     }
 
-    /// Takes in what another router knows of a prefix.
+    /// Records a hint received from another router.
     pub fn learn_hint(&self, prefix: PromptHash, meter: &ServerMeter, now_ms: u64) {
         self.hints.record(prefix, meter.id(), now_ms);
     }
 
-    /// The hottest anchors and where they were last seen cached, to be told to other routers.
+    /// The hottest anchors, each with the server that most recently had it cached, for sharing with
+    /// other routers.
     pub fn hot_hints<'a>(
         &self,
         view: &'a FleetView,
@@ -169,7 +173,7 @@
             .collect()
     }
 
-    /// What is asked for here, for the maker of the plan.
+    /// The demand observed by this router, as input to the plan.
     pub fn demand(&self, groups: usize, now_ms: u64) -> DemandReport {
         DemandReport {
             requests_per_s: self.groups.requests_per_s(now_ms),
@@ -177,12 +181,12 @@
         }
     }
 
-    /// How often each reason was given.
+    /// Number of choices by reason.
     pub fn reasons(&self) -> &ReasonCounts {
         &self.reasons
     }
 
-    /// The constants in force.
+    /// The placement configuration.
     pub fn conf(&self) -> &PlacementConf {
         &self.conf
     }
--- a/crates/placement/src/plan_draft.rs
+++ b/crates/placement/src/plan_draft.rs
@@ -1,4 +1,4 @@
-//! One step from a plan to a better one.
+//! Incremental rebalancing of a placement plan.
 
 use fulmargate_names::PromptHash;
 use indexmap::IndexMap;
@@ -9,36 +9,40 @@
 use crate::SpreadPlan;
 use crate::server_list::MAX_LIST_LEN;
 
-/// A group is planned from this part of a server's mean load on, and left out again below a fifth
-/// of it. Smaller ones lie where the hash puts them.
+/// Minimum load for a group to be added to the plan, as a fraction of the mean server load. Smaller
+/// groups are placed by hash.
 const MIN_PLANNED_LOAD: f64 = 0.01;
+/// Minimum load for a group to remain in the plan, as a fraction of the mean server load.
 const MIN_RETAINED_LOAD: f64 = 0.002;
-/// Above this multiple of the mean load a plan is packed anew, at once and with all its cost.
+/// If a server's load exceeds this multiple of the mean, all groups are placed anew.
 const REPACK_THRESHOLD: f64 = 1.3;
-/// How full a server is packed.
+/// Maximum load of a server when packing, as a multiple of the mean.
 const PACK_TARGET: f64 = 1.02;
-/// Above this multiple of the mean load something is moved away.
+/// Minimum load of a server to move groups from, as a multiple of the mean.
 const MOVE_SOURCE_THRESHOLD: f64 = 1.1;
-/// Up to this multiple of the mean load something is moved to a server.
+/// Maximum load of a server to move groups to, as a multiple of the mean.
 const MOVE_TARGET_LIMIT: f64 = 1.03;
-/// Least load worth a move, in parts of the mean.
+/// Minimum load to move, as a fraction of the mean.
 const MIN_MOVE: f64 = 0.02;
-/// Least part of a group, or of a server, that is worth another copy of the group's prefix.
+/// Minimum fraction of a group's load for an additional replica; when packing, `MIN_REPLICA_LOAD`
+/// of a server's capacity also suffices.
 const MIN_REPLICA_SHARE: f64 = 0.1;
 const MIN_REPLICA_LOAD: f64 = 0.25;
-/// A share smaller than this is given up.
+/// Smaller shares are removed.
 const MIN_SHARE: f64 = 0.02;
-/// Servers of the group's preference list, and servers with little load, that are looked at.
+/// Candidates from the group's preference list and from the least loaded servers.
 const LIST_CANDIDATES: usize = 4;
 const IDLE_CANDIDATES: usize = 4;
-/// What a move must be worth, in parts of the mean, for another copy of the group's prefix; for
-/// moving a group as a whole; less, if a server loses a copy; and for each place down the list.
+/// Score penalty, as a fraction of the mean load, for adding a replica of a group.
 const REPLICA_PENALTY: f64 = 0.3;
+/// Score penalty for moving all of a server's share to a server without one.
 const RELOCATION_PENALTY: f64 = 0.02;
+/// Score bonus for merging two shares of a group.
 const MERGE_BONUS: f64 = 0.05;
+/// Score penalty for each rank in the preference list.
 const RANK_PENALTY: f64 = 0.02;
 
-/// The work that a group's requests are, in tokens of prefill a second.
+/// A group's load, in prefill tokens per second.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct GroupLoad {
     pub(crate) group: PromptHash,
@@ -51,13 +55,13 @@
     shares: Vec<(u32, f64)>,
 }
 
-/// The plan while it is worked on. Everything goes in a fixed order, so that two routers that
-/// know the same come to the same plan.
+/// A plan being rebalanced. Groups and servers are processed in a fixed order, so that routers with
+/// the same inputs compute the same plan.
 #[derive(Debug)]
 pub(crate) struct PlanDraft<'a> {
     view: &'a FleetView,
     groups: IndexMap<PromptHash, GroupDraft>,
-    /// Load of each server of the view; that of far servers is left at infinity.
+    /// Load by server index; infinite for far servers.
     loads: Vec<f64>,
     mean: f64,
 }
@@ -71,7 +75,7 @@
 }
 
 impl<'a> PlanDraft<'a> {
-    /// The plan so far under the present load; none without servers or load.
+    /// Applies the current loads to a plan. Returns `None` without near servers or load.
     pub(crate) fn new(
         view: &'a FleetView,
         loads: Vec<GroupLoad>,
@@ -103,7 +107,7 @@
         Some(draft)
     }
 
-    /// A move that evens out the load, or a new packing if it is far from even.
+    /// Moves one group share, or repacks all groups if the imbalance is large.
     pub(crate) fn rebalanced(mut self) -> Vec<PrefixSpread> {
         if REPACK_THRESHOLD * self.mean < self.loads[self.most_loaded() as usize] {
             self.pack();
@@ -114,7 +118,7 @@
         planned.map(|(group, draft)| to_spread(self.view, *group, draft)).collect()
     }
 
-    /// Groups that lie where the hash puts them need no place in the plan.
+    /// Groups placed entirely on their hash-ring server are omitted from the plan.
     fn needs_plan(&self, group: PromptHash, draft: &GroupDraft) -> bool {
         let first = self.view.ring().first(group.0);
         !matches!(draft.shares[..], [(index, _)] if Some(index) == first)
@@ -143,7 +147,7 @@
         self.loads[index as usize]
     }
 
-    /// So many servers with the least load, least first.
+    /// The least loaded near servers, in ascending order of load.
     fn least_loaded(&self, limit: usize) -> Vec<u32> {
         let mut near = self.view.near().to_vec();
         let order = |a: &u32, b: &u32| self.load(*a).total_cmp(&self.load(*b)).then(a.cmp(b));
@@ -155,8 +159,8 @@
         near
     }
 
-    /// Places the groups anew, large ones first: each as a whole on a server that has room, if
-    /// there is one among those that have it and those of its list, and else in parts.
+    /// Places all groups anew in descending order of load. A group is placed on one server if a
+    /// current or preferred server has room, and is split otherwise.
     fn pack(&mut self) {
         for draft in self.groups.values() {
             for (index, share) in &draft.shares {
@@ -210,7 +214,8 @@
         shares
     }
 
-    /// One move a step: what moves is computed once more, and its effect has to be seen first.
+    /// Makes at most one move per step, because the moved prompts are recomputed and the effect
+    /// must be measured first.
     fn move_one(&mut self) {
         let from = self.most_loaded();
         if self.load(from) <= MOVE_SOURCE_THRESHOLD * self.mean {
@@ -243,7 +248,7 @@
         best
     }
 
-    /// What moving a part of the group from one server to another is worth; none if it is not.
+    /// Scores a move between two servers. Returns `None` if it is not beneficial.
     fn evaluate_move(
         &self,
         group: PromptHash,
--- a/crates/placement/src/plan_maker.rs
+++ b/crates/placement/src/plan_maker.rs
@@ -1,4 +1,4 @@
-//! Makes the plan from all routers' demand.
+//! Computes the placement plan from all routers' demand reports.
 
 use fulmargate_names::HostName;
 use fulmargate_names::PromptHash;
@@ -11,12 +11,12 @@
 use crate::plan_draft::GroupLoad;
 use crate::plan_draft::PlanDraft;
 
-/// A host that has not been heard of for so long no longer counts.
+/// Demand reports expire after this time.
 const REPORT_TTL_MS: u64 = 5_000;
 
-/// Makes the plan on the control thread of one router: that of the first live entry host by name.
-/// Others keep one too and let it follow, so that any of them can go on. In a network partition
-/// the side with most of the hosts makes the plan, and the other keeps the last one.
+/// Computes the placement plan on the control thread of one router, the live entry host with the
+/// lowest name. The other routers follow its plan, so that any of them can take over. In a network
+/// partition, only the side with the majority of hosts updates the plan.
 #[derive(Debug)]
 pub struct PlanMaker {
     request_tokens: f64,
@@ -25,34 +25,34 @@
 }
 
 impl PlanMaker {
-    /// No plan yet.
+    /// Creates a maker without a plan.
     pub fn new(conf: &PlacementConf) -> PlanMaker {
         let request_tokens = conf.request_tokens;
         PlanMaker { request_tokens, reports: IndexMap::new(), plan: SpreadPlan::default() }
     }
 
-    /// Takes in what a router sees asked for, the own one included.
+    /// Records a router's demand report, including the router's own.
     pub fn hear(&mut self, host: &HostName, report: DemandReport, now_ms: u64) {
         self.reports.insert(host.clone(), (report, now_ms));
     }
 
-    /// Goes on from a plan that another router made.
+    /// Replaces the plan with one received from another router.
     pub fn follow(&mut self, plan: SpreadPlan) {
         self.plan = plan;
     }
 
-    /// The plan in force.
+    /// The current plan.
     pub fn plan(&self) -> &SpreadPlan {
         &self.plan
     }
 
-    /// A better plan, if there is one; the first one may be empty, which says that the hash alone
-    /// spreads the load evenly. To be called about twice a second with the number of entry
-    /// hosts that are believed to be live.
+    /// Returns an improved plan, or `None` if it is unchanged. The first plan may be empty, in
+    /// which case all groups are placed by hash. Call this about twice a second with the number of
+    /// entry hosts that are considered live.
     ///
-    /// No plan is made while half of them or more have not been heard: routers that cannot hear
-    /// each other would each make one, and the same prefix would be kept by different servers for
-    /// each of them. The old plan, which all have, stays in force.
+    /// The plan changes only with reports from a majority of the hosts. Otherwise routers in
+    /// separate partitions would compute different plans and place the same prefix on different
+    /// servers.
     pub fn next(&mut self, view: &FleetView, hosts: usize, now_ms: u64) -> Option<SpreadPlan> {
         self.reports.retain(|_, (_, received_ms)| now_ms <= *received_ms + REPORT_TTL_MS);
         if self.reports.len() * 2 <= hosts {
@@ -67,7 +67,8 @@
         Some(self.plan.clone())
     }
 
-    /// Work of each group a second, and of all that is in no report's list, in tokens of prefill.
+    /// Load of each group, and the estimated load of all unlisted groups, in prefill tokens per
+    /// second.
     fn loads(&self) -> (Vec<GroupLoad>, f64) {
         let mut groups: IndexMap<PromptHash, f64> = IndexMap::new();
         let (mut all_requests, mut listed_requests) = (0.0, 0.0);
--- a/crates/placement/src/policy_kind.rs
+++ b/crates/placement/src/policy_kind.rs
@@ -1,18 +1,18 @@
-//! Which rule places prompts.
+//! Placement policies.
 
 use std::str::FromStr;
 
-/// The rule that places prompts; all but the first are kept to be compared with.
+/// A placement policy. All but [`PolicyKind::Cost`] are baselines for comparison.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub enum PolicyKind {
-    /// Least estimated cost, weighed by class.
+    /// Lowest estimated cost, weighted by request class.
     #[default]
     Cost,
-    /// Each server in turn.
+    /// Servers in rotation.
     RoundRobin,
     /// The server with the fewest requests.
     LeastLoad,
-    /// The server that the hash of the prompt's anchor names.
+    /// The server selected by the hash of the prompt's anchor.
     PrefixHash,
 }
 
@@ -21,7 +21,7 @@
     pub const ALL: [PolicyKind; 4] =
         [PolicyKind::Cost, PolicyKind::RoundRobin, PolicyKind::LeastLoad, PolicyKind::PrefixHash];
 
-    /// The name in the configuration.
+    /// The policy's name in the configuration.
     pub fn name(self) -> &'static str {
         match self {
             PolicyKind::Cost => "cost",
@@ -32,7 +32,7 @@
     }
 }
 
-/// The text names no policy.
+/// The text is not the name of a policy.
 #[derive(Clone, Debug, PartialEq, Eq, derive_more::Display, derive_more::Error)]
 #[display("unknown policy `{text}`; known are cost, round_robin, least_load, prefix_hash")]
 pub struct PolicyError {
--- a/crates/placement/src/preference_list.rs
+++ b/crates/placement/src/preference_list.rs
@@ -1,4 +1,4 @@
-//! The servers that a prompt belongs to.
+//! Preference lists of prompts.
 
 use crate::FleetView;
 use crate::PromptChain;
@@ -7,18 +7,18 @@
 use crate::server_list::MAX_LIST_LEN;
 use crate::server_list::ServerList;
 
-/// The group's servers in the order of the prompt's preference.
+/// The servers of the prompt's group, in the prompt's order of preference.
 ///
-/// The group's hash picks the servers and the anchor's hash the order among them, so that what the
-/// group's prompts have in common is kept on few servers, and each prompt on one.
+/// The group hash selects the servers and the anchor hash their order. A prefix common to a group
+/// is thus cached on few servers, and each prompt on one.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PreferenceList {
     members: ServerList,
 }
 
 impl PreferenceList {
-    /// From the plan; a group that the plan leaves out belongs to the first server of its list.
-    /// Without a plan the group's share of the demand gives the width.
+    /// Uses the servers of the plan. A group that is not in the plan has only its hash-ring server.
+    /// Without a plan, `width` gives the number of servers.
     pub(crate) fn new(
         view: &FleetView,
         chain: &PromptChain,
@@ -51,8 +51,8 @@
     }
 }
 
-/// Weighted rendezvous hashing: a server's chance to be first is its weight, and a change of one
-/// weight moves prompts only to or from that server.
+/// Orders servers by weighted rendezvous hashing: the probability of being first is proportional to
+/// the weight, and changing one weight moves prompts only to or from that server.
 fn rendezvous_order(
     view: &FleetView,
     anchor: u64,
--- a/crates/placement/src/prompt_chain.rs
+++ b/crates/placement/src/prompt_chain.rs
@@ -1,36 +1,39 @@
-//! The chain of hashes of a prompt at its level boundaries.
+//! Prefix hashes of a prompt at its level boundaries.
 
 use fulmargate_names::PromptHash;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use crate::PromptScope;
 
-/// Bytes of prompt text in a token.
+/// Assumed bytes of prompt text per token.
 const TOKEN_BYTES: usize = 4;
-/// Tokens in a cached block.
+/// Tokens per cache block.
 const BLOCK_TOKENS: usize = 16;
 const BLOCK_BYTES: usize = TOKEN_BYTES * BLOCK_TOKENS;
-/// Levels kept of a prompt.
+/// Maximum number of levels per prompt.
 pub const MAX_LEVELS: usize = 8;
-/// Only so many levels from the start decide where a prompt belongs, so that a conversation stays
-/// where it is while it grows.
+/// Number of leading levels that determine placement. Later levels do not, so that a conversation
+/// stays on its server as it grows.
 pub const ANCHOR_LEVELS: usize = 3;
-/// A boundary nearer to the one before is none: its tokens are not worth a place of their own.
+/// Minimum distance between boundaries; closer ones are ignored.
 const MIN_LEVEL_TOKENS: usize = 64;
-/// Where the last segment is cut into levels: at this many tokens from the prompt's start, at
-/// twice as many, and so on. A prompt that comes as one text gets its levels in this way.
+/// Position of the first boundary within the last segment, in tokens from the start of the prompt.
+/// Further boundaries are at each doubling. This provides levels for prompts that consist of one
+/// text.
 const FIRST_CUT_TOKENS: usize = 512;
 
-/// The beginning of a prompt up to a boundary, in whole blocks.
+/// A prefix of the prompt up to a level boundary, rounded down to whole blocks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PrefixLevel {
-    /// Hash of the last whole block before the boundary, which covers all before it and the scope.
+    /// Hash of the last whole block before the boundary. It covers the scope and all preceding
+    /// blocks.
     pub hash: PromptHash,
-    /// Tokens up to there.
+    /// Number of tokens in the prefix.
     pub tokens: u32,
 }
 
-/// The levels of a prompt, outermost first. The hashes are those of the engines' blocks.
+/// The levels of a prompt, shortest prefix first. The hashes are equal to the engines' block
+/// hashes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PromptChain {
     levels: [PrefixLevel; MAX_LEVELS],
@@ -40,8 +43,8 @@
 }
 
 impl PromptChain {
-    /// The chain of a prompt that comes in segments, such as the messages of a chat. The end of
-    /// each segment but the last is a level boundary; the last is what is new in this request.
+    /// Builds the chain of a prompt given as segments, such as chat messages. The end of each
+    /// segment except the last, which is specific to the request, is a level boundary.
     pub fn new(scope: &PromptScope, segments: &[&str]) -> PromptChain {
         let mut builder = ChainBuilder::new(scope);
         for segment in segments {
@@ -50,40 +53,41 @@
         builder.finish()
     }
 
-    /// The levels, outermost first.
+    /// The levels, shortest prefix first.
     pub fn levels(&self) -> &[PrefixLevel] {
         &self.levels[..self.len]
     }
 
-    /// Tokens of the whole prompt.
+    /// Number of tokens in the prompt.
     pub fn tokens(&self) -> u32 {
         self.tokens
     }
 
-    /// Hash of the whole prompt within its scope.
+    /// Hash of the scope and the whole prompt.
     pub fn request_hash(&self) -> u64 {
         self.request_hash
     }
 
-    /// The level that decides where the prompt goes; none if the prompt is too short to matter.
+    /// The level that determines placement; `None` if the prompt is too short.
     pub fn anchor(&self) -> Option<PrefixLevel> {
         self.levels().get(..self.len.min(ANCHOR_LEVELS))?.last().copied()
     }
 
-    /// The anchor and the levels below it: what a server that answered has cached of the prompt.
+    /// The anchor and all longer prefixes: those known to be cached on a server after it has
+    /// replied.
     pub(crate) fn hint_levels(&self) -> &[PrefixLevel] {
         &self.levels()[self.len.min(ANCHOR_LEVELS).saturating_sub(1)..]
     }
 
-    /// The level around the anchor, whose prompts are kept on few servers; the anchor itself if
-    /// there is none.
+    /// The level before the anchor, whose prompts share a small set of servers. Returns the anchor
+    /// if it is the only level.
     pub fn group(&self) -> Option<PrefixLevel> {
         let anchors = self.len.min(ANCHOR_LEVELS);
         self.levels().get(anchors.saturating_sub(2)).copied()
     }
 }
 
-/// Takes a prompt's segments one after the other.
+/// Builds a [`PromptChain`] one segment at a time.
 #[derive(Clone, Debug)]
 pub struct ChainBuilder {
     hash: u64,
@@ -97,7 +101,7 @@
 }
 
 impl ChainBuilder {
-    /// No text yet.
+    /// Creates an empty builder.
     pub fn new(scope: &PromptScope) -> ChainBuilder {
         ChainBuilder {
             hash: scope.seed(),
@@ -122,7 +126,7 @@
         self.hash_bytes(segment.as_bytes());
     }
 
-    /// The chain of what was added.
+    /// Builds the chain of all added segments.
     pub fn finish(mut self) -> PromptChain {
         let tokens = self.bytes.div_ceil(TOKEN_BYTES);
         for cut in self.cuts.as_slice() {
@@ -175,7 +179,8 @@
     }
 }
 
-/// Levels far enough apart; of too many, the outermost and the innermost stay.
+/// A bounded list of levels that are at least `MIN_LEVEL_TOKENS` apart. On overflow, the oldest
+/// level after the first [`ANCHOR_LEVELS`] is removed.
 #[derive(Clone, Debug, Default)]
 struct LevelList {
     items: [PrefixLevel; MAX_LEVELS],
--- a/crates/placement/src/prompt_scope.rs
+++ b/crates/placement/src/prompt_scope.rs
@@ -1,4 +1,4 @@
-//! What a prompt's cached blocks belong to.
+//! Cache isolation scope of a prompt.
 
 use fulmargate_names::AdapterName;
 use fulmargate_names::ModelName;
@@ -6,8 +6,8 @@
 use fulmargate_names::WeightsVersion;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Team, model, adapter and weights version. Chains of two scopes have no hash in common, so a
-/// belief about one team's or one version's blocks is never found by another's prompt.
+/// Team, model, adapter and weights version. Equal prefixes in different scopes have different
+/// hashes, so that cache hints are never shared between teams or weights versions.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PromptScope {
     text: String,
@@ -15,7 +15,7 @@
 }
 
 impl PromptScope {
-    /// The scope of a team's prompts to a model, or to one of its adapters.
+    /// The scope of a team's requests to a model or adapter.
     pub fn new(
         team: &TeamName,
         model: &ModelName,
@@ -26,18 +26,18 @@
         PromptScope::from_text(format!("{team}/{model}/{adapter}"), weights)
     }
 
-    /// The scope as the header `x-cache-scope` names it.
+    /// Creates a scope from the value of the `x-cache-scope` header.
     pub fn from_text(text: String, weights: WeightsVersion) -> PromptScope {
         let seed = xxh3_64_with_seed(text.as_bytes(), weights.0);
         PromptScope { text, seed }
     }
 
-    /// The text of the header `x-cache-scope`.
+    /// The value of the `x-cache-scope` header.
     pub fn as_str(&self) -> &str {
         &self.text
     }
 
-    /// The hash that the chain starts from.
+    /// Initial hash of the chain.
     pub(crate) fn seed(&self) -> u64 {
         self.seed
     }
--- a/crates/placement/src/server_list.rs
+++ b/crates/placement/src/server_list.rs
@@ -1,9 +1,9 @@
-//! A short list of servers of a view.
+//! Fixed-capacity list of server indexes.
 
-/// Longest list.
+/// Maximum length of a server list.
 pub(crate) const MAX_LIST_LEN: usize = 48;
 
-/// Indexes of servers of a view, each at most once, without allocation.
+/// A list of distinct server indexes, stored without allocation.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ServerList {
     items: [u32; MAX_LIST_LEN],
@@ -23,7 +23,7 @@
         self.len
     }
 
-    /// Adds a server that is not in the list yet, if there is room.
+    /// Appends a server if it is not in the list and there is room.
     pub(crate) fn push(&mut self, index: u32) {
         if self.len < MAX_LIST_LEN && !self.as_slice().contains(&index) {
             self.items[self.len] = index;
--- a/crates/placement/src/server_meter.rs
+++ b/crates/placement/src/server_meter.rs
@@ -1,4 +1,4 @@
-//! What a router knows at this moment of one life of a backend server.
+//! Live statistics of one server incarnation.
 
 use std::sync::atomic::AtomicU8;
 use std::sync::atomic::AtomicU32;
@@ -11,63 +11,64 @@
 use crate::decaying_value::DecayingValue;
 use crate::moving_average::MovingAverage;
 
-/// Bands of priority in which own load is counted: the most urgent, and all others.
+/// Priority bands for this router's load: the most urgent class, and all others.
 pub(crate) const BANDS: usize = 2;
-/// Time over which observed waits are averaged.
+/// Time constant of the average of observed waits.
 const WAIT_WINDOW_MS: f64 = 100.0;
-/// Time after which an observed wait says little of the present.
+/// Decay time of observed waits.
 const WAIT_DECAY_MS: f64 = 300.0;
-/// Least weight of a new observed wait.
+/// Minimum weight of a new wait sample.
 const MIN_WAIT_WEIGHT: f64 = 0.1;
-/// Time after which a reported number of requests says little of the present.
+/// Decay time of the reported number of requests.
 const REPORT_DECAY_MS: f64 = 1_000.0;
-/// A server that has owed first tokens for this long, besides what its queue explains, is passed over.
+/// A server is stalled if it has not produced a first token for this time in addition to its
+/// estimated queueing time.
 const STALL_TIMEOUT_MS: f64 = 500.0;
-/// Prompts shorter than this say nothing of the prefill rate.
+/// Minimum uncached tokens for a reply to update the prefill rate.
 const MIN_RATE_SAMPLE_TOKENS: f64 = 512.0;
 const RATE_INCREASE_WEIGHT: f64 = 0.1;
 const RATE_DECREASE_WEIGHT: f64 = 0.002;
-/// Before anything is learned, a prefix is rather not expected to be cached at home.
+/// Initial estimate of the fraction of anchor tokens cached at home.
 const INITIAL_HOME_HIT: f64 = 0.3;
 const HOME_HIT_WEIGHT: f64 = 0.02;
 const INITIAL_LIFETIME_MS: f64 = 2_000.0;
 const MIN_LIFETIME_MS: f64 = 100.0;
 const LIFETIME_WEIGHT: f64 = 0.05;
 
-/// Names one incarnation of one server within a router. A new incarnation gets a new id, so that
-/// no belief about the old one's cache can be mistaken for one about the new.
+/// Identifies one incarnation of a server within a router. Hints about an earlier incarnation never
+/// match a later one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ServerId(pub(crate) u32);
 
-/// Whether a server gets new requests.
+/// Whether a server accepts new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum ServerStanding {
-    /// It does.
+    /// The server accepts new requests.
     InUse = 0,
-    /// It does not: ejected, leaving or drained.
+    /// The server is ejected, leaving or drained.
     OutOfUse = 1,
 }
 
-/// What an answer says of the server that gave it.
+/// Server statistics from a reply.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ReplyFacts {
-    /// The life of the server that answered.
+    /// The server incarnation that replied.
     pub incarnation: Incarnation,
     /// Length of the prompt.
     pub prompt_tokens: u32,
-    /// How many of the prompt's tokens were cached.
+    /// Prompt tokens found in the cache.
     pub cached_tokens: u32,
-    /// Uncached tokens that wait for prefill there.
+    /// Uncached tokens queued for prefill at the server.
     pub queue_tokens: u32,
-    /// Requests there that have not ended.
+    /// Requests in progress at the server.
     pub running: u32,
-    /// Time from the sending of the request to its first token.
+    /// Time from sending the request to its first token.
     pub ttft_ms: f64,
 }
 
-/// Live data of one incarnation of a server, shared by all snapshots of the fleet and all threads.
-/// Each number stands for itself: readers may see one new and another old.
+/// Live statistics of one server incarnation, shared by all fleet snapshots and threads. Fields are
+/// updated independently; readers may see a mix of old and new values.
 #[derive(Debug)]
 pub struct ServerMeter {
     id: ServerId,
@@ -77,11 +78,11 @@
     own_requests: AtomicU32,
     own_waiting: AtomicU32,
     own_tokens: [AtomicU64; BANDS],
-    /// Reported requests, and own requests at the time of the report.
+    /// Reported number of requests in the low half, own requests at that time in the high half.
     report: AtomicU64,
     report_ms: AtomicU64,
     queue_tokens: AtomicU32,
-    /// When the server last gave a first token, or began to owe one.
+    /// Time of the last first token, or of the first request sent while none was waiting.
     progress_ms: AtomicU64,
     waits: [DecayingValue; BANDS],
     rate: MovingAverage,
@@ -117,7 +118,7 @@
         }
     }
 
-    /// The id of this life of the server.
+    /// The id of this incarnation.
     pub fn id(&self) -> ServerId {
         self.id
     }
@@ -127,47 +128,49 @@
         &self.name
     }
 
-    /// The life that is measured.
+    /// The server incarnation being measured.
     pub fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
 
-    /// Puts the server in use or out of it; in force at the next choice of any thread.
+    /// Enables or disables the server for new requests. Takes effect with the next choice on any
+    /// thread.
     pub fn set_standing(&self, standing: ServerStanding) {
         self.standing.store(standing as u8, Ordering::Relaxed);
     }
 
-    /// Own requests that have not ended.
+    /// This router's requests in progress.
     pub fn own_requests(&self) -> u32 {
         self.own_requests.load(Ordering::Relaxed)
     }
 
-    /// Uncached tokens of own requests that wait for their first token.
+    /// Uncached tokens of this router's requests that wait for their first token.
     pub fn own_tokens(&self) -> u64 {
         self.own_tokens.iter().map(|tokens| tokens.load(Ordering::Relaxed)).sum()
     }
 
-    /// Uncached tokens that waited at the server when it last answered.
+    /// Uncached tokens queued at the server, from its last reply.
     pub fn queue_tokens(&self) -> u32 {
         self.queue_tokens.load(Ordering::Relaxed)
     }
 
-    /// Learned tokens of prefill in a millisecond.
+    /// Estimated prefill rate, in tokens per millisecond.
     pub fn prefill_rate(&self) -> f64 {
         self.rate.value()
     }
 
-    /// Learned share of an anchor's tokens that is cached when the prompt comes home.
+    /// Estimated fraction of an anchor's tokens that is cached on its home server.
     pub fn home_hit(&self) -> f64 {
         self.home_hit.value()
     }
 
-    /// Learned time that a prefix stays cached after its last use by this router.
+    /// Estimated time that a prefix stays cached after its last use by this router.
     pub fn lifetime_ms(&self) -> f64 {
         self.lifetime_ms.value()
     }
 
-    /// Requests there, as far as known: the last report, and what this router did since.
+    /// Estimated number of requests at the server: this router's own, and other routers' from the
+    /// last report, with decay.
     pub fn occupancy(&self, now_ms: u64) -> f64 {
         let word = self.report.load(Ordering::Relaxed);
         let own = f64::from(self.own_requests());
@@ -177,7 +180,7 @@
         own + others * (-(age as f64) / REPORT_DECAY_MS).exp()
     }
 
-    /// How long a request of the band would wait before its own prefill.
+    /// Estimated time that a request of the band waits for its prefill to start.
     pub(crate) fn wait_ms(&self, band: usize, now_ms: u64) -> f64 {
         let observed = self.waits[band].value(now_ms, WAIT_DECAY_MS);
         let queued_ahead: u64 =
@@ -185,14 +188,14 @@
         observed.max(queued_ahead as f64 / self.prefill_rate())
     }
 
-    /// Whether the server is in use and answers.
+    /// Whether the server is enabled and not stalled.
     pub(crate) fn is_usable(&self, now_ms: u64) -> bool {
         let is_in_use = self.standing.load(Ordering::Relaxed) == ServerStanding::InUse as u8;
         is_in_use && !self.is_stalled(now_ms)
     }
 
-    /// A frozen server owes first tokens and gives none. Its reports stay as they were, so that
-    /// it would look idle for ever; passing it over until it gives one token ends that.
+    /// Detects a frozen server, which would otherwise look idle because its reports no longer
+    /// change. It is excluded until it produces a token.
     fn is_stalled(&self, now_ms: u64) -> bool {
         if self.own_waiting.load(Ordering::Relaxed) == 0 {
             return false;
@@ -223,7 +226,7 @@
         self.own_requests.fetch_sub(1, Ordering::Relaxed);
     }
 
-    /// Learns load and speed from an answer.
+    /// Updates load and prefill rate from a reply.
     pub(crate) fn record_reply(&self, band: usize, reply: &ReplyFacts, now_ms: u64) {
         let report = u64::from(reply.running) | (u64::from(self.own_requests()) << 32);
         self.report.store(report, Ordering::Relaxed);
@@ -232,7 +235,7 @@
         self.progress_ms.store(now_ms, Ordering::Relaxed);
         let uncached = f64::from(reply.prompt_tokens.saturating_sub(reply.cached_tokens));
         if MIN_RATE_SAMPLE_TOKENS <= uncached && 0.0 < reply.ttft_ms {
-            // A wait makes the rate look lower, nothing makes it look higher: follow upwards fast.
+            // Queueing only lowers the measured rate, so increases are followed quickly.
             let sample = uncached / reply.ttft_ms;
             let weight = if self.prefill_rate() < sample {
                 RATE_INCREASE_WEIGHT
@@ -245,12 +248,13 @@
         self.waits[band].update_average(wait, now_ms, WAIT_WINDOW_MS, MIN_WAIT_WEIGHT);
     }
 
-    /// Learns how often prompts are found cached at home.
+    /// Updates the estimated cache hit ratio of prompts sent to their home server.
     pub(crate) fn record_home_hit(&self, share: f64) {
         self.home_hit.update(share, HOME_HIT_WEIGHT);
     }
 
-    /// Learns from a prefix last used here `age_ms` ago that was still cached, or was not.
+    /// Updates the estimated lifetime of cached prefixes from a hint of this age that proved right
+    /// or wrong.
     pub(crate) fn record_lifetime(&self, age_ms: f64, outcome: CacheOutcome) {
         let lifetime = self.lifetime_ms();
         let agrees = match outcome {
@@ -262,7 +266,7 @@
         }
     }
 
-    /// Beliefs about the cache from before are void.
+    /// Invalidates all hints recorded before this time.
     pub(crate) fn invalidate_hints(&self, now_ms: u64) {
         self.hints_valid_from_ms.store(now_ms, Ordering::Relaxed);
     }
@@ -272,7 +276,7 @@
     }
 }
 
-/// Whether a prefix was found in the cache.
+/// Whether a predicted prefix was cached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CacheOutcome {
     Hit,
--- a/crates/placement/src/spread_plan.rs
+++ b/crates/placement/src/spread_plan.rs
@@ -1,39 +1,39 @@
-//! Which servers keep the groups that are much asked for.
+//! Placement plan for hot prefix groups.
 
 use fulmargate_names::PromptHash;
 use fulmargate_names::ServerName;
 
-/// The share of a group's prompts that a server gets.
+/// A server's share of a group's prompts.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServerShare {
-    /// The server, by name: its share outlives its incarnation.
+    /// The server's name. A share remains valid when the server restarts.
     pub server: ServerName,
-    /// Its part; the parts of a group add up to 1.
+    /// Fraction of the group's prompts; the fractions of a group add up to 1.
     pub share: f64,
 }
 
-/// Where one group's prompts go.
+/// The servers assigned to one group.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PrefixSpread {
     /// The group's prefix.
     pub group: PromptHash,
-    /// Its servers.
+    /// The servers and their shares.
     pub shares: Vec<ServerShare>,
 }
 
-/// Servers of the groups that are much asked for; all others are kept by the first server of their
-/// preference list. One router makes it and all use it: routers that each made their own from what
-/// they see would send the same prefix to different servers.
+/// Assignment of hot groups to servers. All other groups are placed on the first server of their
+/// preference list. One router computes the plan for all routers, so that they send the same prefix
+/// to the same servers.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SpreadPlan {
-    /// Grows with each change by its maker.
+    /// Increases with each change.
     pub version: u64,
-    /// The groups, by prefix.
+    /// The groups, sorted by prefix.
     pub spreads: Vec<PrefixSpread>,
 }
 
 impl SpreadPlan {
-    /// The group's servers, if the plan has it.
+    /// The servers assigned to the group, or `None` if it is not in the plan.
     pub fn spread(&self, group: PromptHash) -> Option<&PrefixSpread> {
         let place = self.spreads.binary_search_by_key(&group, |spread| spread.group).ok()?;
         Some(&self.spreads[place])
--- a/crates/placement/src/warm_set.rs
+++ b/crates/placement/src/warm_set.rs
@@ -1,14 +1,14 @@
-//! Servers believed to have parts of one prompt cached.
+//! Servers predicted to have parts of a prompt cached.
 
 use crate::FleetView;
 use crate::PromptChain;
 use crate::choice::CachePrediction;
 use crate::hint_table::HintTable;
 
-/// Most servers kept.
+/// Maximum number of servers in the set.
 const MAX_SERVERS: usize = 8;
 
-/// A server of the view and how much of the prompt it is believed to have.
+/// A server and the number of prompt tokens it is predicted to have cached.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct WarmServer {
     pub(crate) index: u32,
@@ -22,15 +22,15 @@
     }
 }
 
-/// What the hints say of a prompt: at most one entry a server, the deepest.
+/// The hints for a prompt: the longest cached prefix of each server.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct WarmSet {
     servers: [Option<WarmServer>; MAX_SERVERS],
 }
 
 impl WarmSet {
-    /// Looks the anchor and all deeper levels up, deepest first. Hints older than the server's
-    /// blocks usually live, or from before its beliefs were dropped, are left out.
+    /// Looks up the anchor and all longer prefixes, longest first. Skips hints that are older than
+    /// the server's estimated cache lifetime or have been invalidated.
     pub(crate) fn new(
         hints: &HintTable,
         view: &FleetView,
