--- a/crates/placement/src/cache_events.rs
+++ b/crates/placement/src/cache_events.rs
@@ -38,24 +38,24 @@
 
 /// Whether a page continues the stream read so far.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum EventBreak {
+pub enum StreamContinuity {
     /// The page continues the stream without a gap.
-    None,
+    Continuous,
     /// Events are missing. They may include evictions, so existing hints must be discarded.
     Gap,
     /// The server has restarted with an empty cache.
-    NewLife,
+    NewIncarnation,
     /// The page is from an earlier incarnation and must be ignored.
-    LateLife,
+    StaleIncarnation,
 }
 
 /// The new events of a page.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct EventNews {
+pub struct NewEvents {
     /// The newest incarnation read so far.
     pub incarnation: Incarnation,
     /// Whether the page continues the stream read so far.
-    pub broken: EventBreak,
+    pub continuity: StreamContinuity,
     /// Events that have not been returned before. Events preceding a gap within the page are
     /// omitted.
     pub events: Vec<CacheEvent>,
@@ -80,15 +80,19 @@
     }
 
     /// Advances the position and returns the events that are new.
-    pub fn apply(&mut self, page: &EventPage) -> EventNews {
+    pub fn apply(&mut self, page: &EventPage) -> NewEvents {
         let incarnation = self.incarnation.max(page.incarnation);
         if page.incarnation < self.incarnation {
-            return EventNews { incarnation, broken: EventBreak::LateLife, events: Vec::new() };
+            return NewEvents {
+                incarnation,
+                continuity: StreamContinuity::StaleIncarnation,
+                events: Vec::new(),
+            };
         }
-        let mut broken = EventBreak::None;
+        let mut continuity = StreamContinuity::Continuous;
         if self.incarnation < page.incarnation {
             *self = CacheEvents::new(page.incarnation);
-            broken = EventBreak::NewLife;
+            continuity = StreamContinuity::NewIncarnation;
         }
         let mut events = Vec::new();
         for event in &page.events {
@@ -97,24 +101,24 @@
             }
             if self.next < event.seq {
                 events.clear();
-                broken = broken.or_gap();
+                continuity = continuity.or_gap();
             }
             events.push(*event);
             self.next = event.seq + 1;
         }
         if self.next < page.next {
             events.clear();
-            broken = broken.or_gap();
+            continuity = continuity.or_gap();
             self.next = page.next;
         }
-        EventNews { incarnation, broken, events }
+        NewEvents { incarnation, continuity, events }
     }
 }
 
-impl EventBreak {
-    fn or_gap(self) -> EventBreak {
+impl StreamContinuity {
+    fn or_gap(self) -> StreamContinuity {
         match self {
-            EventBreak::None => EventBreak::Gap,
+            StreamContinuity::Continuous => StreamContinuity::Gap,
             other => other,
         }
     }
--- a/crates/placement/src/chooser.rs
+++ b/crates/placement/src/chooser.rs
@@ -97,8 +97,8 @@
         let members = preference.members();
         let replicas = self.replica_count(anchor).min(members.len());
         let first = *members.first()?;
-        let kept = members[..replicas].iter().copied().filter(|index| self.is_usable(*index));
-        let least_loaded = kept.min_by(|a, b| self.occupancy(*a).total_cmp(&self.occupancy(*b)));
+        let usable = members[..replicas].iter().copied().filter(|index| self.is_usable(*index));
+        let least_loaded = usable.min_by(|a, b| self.occupancy(*a).total_cmp(&self.occupancy(*b)));
         if let Some(home) = least_loaded {
             let reason = if home == first { ChoiceReason::Home } else { ChoiceReason::Spread };
             return Some((home, reason));
--- a/crates/placement/src/estimate.rs
+++ b/crates/placement/src/estimate.rs
@@ -44,7 +44,7 @@
             return Estimate::at_warm(chooser, warm);
         }
         let tokens = chooser.chain.anchor().map_or(0, |anchor| anchor.tokens);
-        let cached = f64::from(tokens) * chooser.view.server_at(home).meter.home_hit();
+        let cached = f64::from(tokens) * chooser.view.server_at(home).meter.home_hit_ratio();
         Estimate::new(chooser, home, cached, CachePrediction::Home { tokens })
     }
 
--- a/crates/placement/src/meter_book.rs
+++ b/crates/placement/src/meter_book.rs
@@ -42,7 +42,7 @@
     }
 
     /// Removes servers that are no longer configured.
-    pub fn retain(&mut self, mut is_kept: impl FnMut(&ServerName) -> bool) {
-        self.meters.retain(|name, _| is_kept(name));
+    pub fn retain(&mut self, mut is_configured: impl FnMut(&ServerName) -> bool) {
+        self.meters.retain(|name, _| is_configured(name));
     }
 }
--- a/crates/placement/src/open_request.rs
+++ b/crates/placement/src/open_request.rs
@@ -42,11 +42,11 @@
 
 /// Whether a reply came from the server incarnation that was selected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ReplyVerdict {
+pub enum ReplySource {
     /// The reply came from the selected incarnation.
-    Expected,
+    SelectedIncarnation,
     /// Another incarnation replied; the control thread must be notified.
-    OtherLife,
+    IncarnationMismatch,
 }
 
 impl OpenRequest {
@@ -84,17 +84,17 @@
         &self.chain
     }
 
-    pub(crate) fn first_token(&mut self, reply: &ReplyFacts, now_ms: u64) -> ReplyVerdict {
+    pub(crate) fn first_token(&mut self, reply: &ReplyFacts, now_ms: u64) -> ReplySource {
         if self.state == RequestState::Streaming {
-            return ReplyVerdict::Expected;
+            return ReplySource::SelectedIncarnation;
         }
         self.end_wait();
         if reply.incarnation != self.meter.incarnation() {
-            return ReplyVerdict::OtherLife;
+            return ReplySource::IncarnationMismatch;
         }
         self.meter.record_reply(self.band, reply, now_ms);
         self.record_cache_feedback(reply);
-        ReplyVerdict::Expected
+        ReplySource::SelectedIncarnation
     }
 
     fn record_cache_feedback(&self, reply: &ReplyFacts) {
--- a/crates/placement/src/placer.rs
+++ b/crates/placement/src/placer.rs
@@ -8,9 +8,8 @@
 use crate::CacheEventKind;
 use crate::Choice;
 use crate::ClassWeights;
-use crate::EventBreak;
-use crate::EventNews;
 use crate::FleetView;
+use crate::NewEvents;
 use crate::OpenRequest;
 use crate::PlaceRequest;
 use crate::PlacementConf;
@@ -20,11 +19,12 @@
 use crate::ReasonCounts;
 use crate::ReplyFacts;
 use crate::ServerMeter;
+use crate::StreamContinuity;
 use crate::chooser::Chooser;
 use crate::demand_sketch::DemandSketch;
 use crate::detour_budget::DetourBudget;
 use crate::hint_table::HintTable;
-use crate::open_request::ReplyVerdict;
+use crate::open_request::ReplySource;
 
 /// Capacity of the group demand sketch.
 const GROUP_SLOTS: usize = 4_096;
@@ -113,9 +113,9 @@
         open: &mut OpenRequest,
         reply: &ReplyFacts,
         now_ms: u64,
-    ) -> ReplyVerdict {
-        let verdict = open.first_token(reply, now_ms);
-        if verdict == ReplyVerdict::Expected {
+    ) -> ReplySource {
+        let source = open.first_token(reply, now_ms);
+        if source == ReplySource::SelectedIncarnation {
             let chain = open.chain();
             let uncached = reply.prompt_tokens.saturating_sub(reply.cached_tokens);
             if let Some(group) = chain.group() {
@@ -125,19 +125,21 @@
                 self.hints.record(level.hash, open.meter().id(), now_ms);
             }
         }
-        verdict
+        source
     }
 
-    /// Applies a server's cache events to the hints. Only prefixes that are hot on this router are
-    /// added.
-    pub fn learn_events(&self, meter: &ServerMeter, news: &EventNews, now_ms: u64) {
-        if news.incarnation != meter.incarnation() || news.broken == EventBreak::LateLife {
+    /// Applies a server's cache events to the hints. Stored events are applied only for prefixes
+    /// that are hot on this router.
+    pub fn apply_events(&self, meter: &ServerMeter, new_events: &NewEvents, now_ms: u64) {
+        if new_events.incarnation != meter.incarnation()
+            || new_events.continuity == StreamContinuity::StaleIncarnation
+        {
             return;
         }
-        if news.broken != EventBreak::None {
+        if new_events.continuity != StreamContinuity::Continuous {
             meter.invalidate_hints(now_ms);
         }
-        for event in &news.events {
+        for event in &new_events.events {
             match event.kind {
                 CacheEventKind::Stored if self.is_hot(event.hash, now_ms) => {
                     self.hints.record(event.hash, meter.id(), now_ms);
@@ -150,7 +152,7 @@
     }
 
     /// Records a hint received from another router.
-    pub fn learn_hint(&self, prefix: PromptHash, meter: &ServerMeter, now_ms: u64) {
+    pub fn record_hint(&self, prefix: PromptHash, meter: &ServerMeter, now_ms: u64) {
         self.hints.record(prefix, meter.id(), now_ms);
     }
 
@@ -159,10 +161,10 @@
     pub fn hot_hints<'a>(
         &self,
         view: &'a FleetView,
-        wanted: usize,
+        limit: usize,
         now_ms: u64,
     ) -> Vec<(PromptHash, &'a ServerMeter)> {
-        let hottest = self.anchors.top(wanted, now_ms);
+        let hottest = self.anchors.top(limit, now_ms);
         hottest
             .iter()
             .filter_map(|demand| {
--- a/crates/placement/src/policy_kind.rs
+++ b/crates/placement/src/policy_kind.rs
@@ -34,7 +34,7 @@
 
 /// The text is not the name of a policy.
 #[derive(Clone, Debug, PartialEq, Eq, derive_more::Display, derive_more::Error)]
-#[display("unknown policy `{text}`; known are cost, round_robin, least_load, prefix_hash")]
+#[display("unknown policy `{text}`; expected one of cost, round_robin, least_load, prefix_hash")]
 pub struct PolicyError {
     text: String,
 }
--- a/crates/placement/src/prompt_chain.rs
+++ b/crates/placement/src/prompt_chain.rs
@@ -144,10 +144,10 @@
 
     fn hash_bytes(&mut self, mut bytes: &[u8]) {
         if 0 < self.tail_len {
-            let wanted = (BLOCK_BYTES - self.tail_len).min(bytes.len());
-            self.tail[self.tail_len..self.tail_len + wanted].copy_from_slice(&bytes[..wanted]);
-            self.tail_len += wanted;
-            bytes = &bytes[wanted..];
+            let len = (BLOCK_BYTES - self.tail_len).min(bytes.len());
+            self.tail[self.tail_len..self.tail_len + len].copy_from_slice(&bytes[..len]);
+            self.tail_len += len;
+            bytes = &bytes[len..];
             if self.tail_len < BLOCK_BYTES {
                 return;
             }
--- a/crates/placement/src/server_meter.rs
+++ b/crates/placement/src/server_meter.rs
@@ -86,7 +86,7 @@
     progress_ms: AtomicU64,
     waits: [DecayingValue; BANDS],
     rate: MovingAverage,
-    home_hit: MovingAverage,
+    home_hit_ratio: MovingAverage,
     lifetime_ms: MovingAverage,
     hints_valid_from_ms: AtomicU64,
 }
@@ -112,7 +112,7 @@
             progress_ms: AtomicU64::new(0),
             waits: Default::default(),
             rate: MovingAverage::new(tokens_per_ms),
-            home_hit: MovingAverage::new(INITIAL_HOME_HIT),
+            home_hit_ratio: MovingAverage::new(INITIAL_HOME_HIT),
             lifetime_ms: MovingAverage::new(INITIAL_LIFETIME_MS),
             hints_valid_from_ms: AtomicU64::new(0),
         }
@@ -160,8 +160,8 @@
     }
 
     /// Estimated fraction of an anchor's tokens that is cached on its home server.
-    pub fn home_hit(&self) -> f64 {
-        self.home_hit.value()
+    pub fn home_hit_ratio(&self) -> f64 {
+        self.home_hit_ratio.value()
     }
 
     /// Estimated time that a prefix stays cached after its last use by this router.
@@ -173,11 +173,11 @@
     /// last report, with decay.
     pub fn occupancy(&self, now_ms: u64) -> f64 {
         let word = self.report.load(Ordering::Relaxed);
-        let own = f64::from(self.own_requests());
+        let own_requests = f64::from(self.own_requests());
         let own_at_report = f64::from((word >> 32) as u32);
-        let others = (f64::from(word as u32) - own_at_report).max(0.0);
+        let other_requests = (f64::from(word as u32) - own_at_report).max(0.0);
         let age = now_ms.saturating_sub(self.report_ms.load(Ordering::Relaxed));
-        own + others * (-(age as f64) / REPORT_DECAY_MS).exp()
+        own_requests + other_requests * (-(age as f64) / REPORT_DECAY_MS).exp()
     }
 
     /// Estimated time that a request of the band waits for its prefill to start.
@@ -250,7 +250,7 @@
 
     /// Updates the estimated cache hit ratio of prompts sent to their home server.
     pub(crate) fn record_home_hit(&self, share: f64) {
-        self.home_hit.update(share, HOME_HIT_WEIGHT);
+        self.home_hit_ratio.update(share, HOME_HIT_WEIGHT);
     }
 
     /// Updates the estimated lifetime of cached prefixes from a hint of this age that proved right
--- a/crates/placement/tests/choices.rs
+++ b/crates/placement/tests/choices.rs
@@ -1,4 +1,4 @@
-//! Which server a prompt goes to, and why.
+//! Server selection and its reasons.
 
 mod support;
 
@@ -29,46 +29,45 @@
     (0..PROMPTS).map(|record| name_of(&router.choose(&prompt(0, 0, record, 0), 0))).collect()
 }
 
-/// A router that restarts must serve at once: with no memory at all it sends a prompt where a
-/// router that has served thousands sends it.
+/// Placement must not depend on router state, so that a restarted router can serve at once.
 #[test]
-fn a_router_without_memory_chooses_as_a_warm_one() {
-    let (warm, fresh) = (TestRouter::new(12), TestRouter::new(12));
+fn a_restarted_router_chooses_the_same_servers() {
+    let (warm, restarted) = (TestRouter::new(12), TestRouter::new(12));
     for request in 0..3_000 {
         warm.serve(&prompt(request % 7, request % 3, request % PROMPTS, request), request as u64);
     }
     let homes = (0..PROMPTS).map(|record| prompt(record % 7, record % 3, record, 1));
     let same = homes.filter(|chain| {
-        name_of(&warm.choose(chain, 3_000)) == name_of(&fresh.choose(chain, 3_000))
+        name_of(&warm.choose(chain, 3_000)) == name_of(&restarted.choose(chain, 3_000))
     });
     assert_eq!(same.count(), PROMPTS);
 }
 
-/// A server that goes takes only its own prompts with it, and they spread over the others.
+/// Prompts of a removed server must spread over the others, and no other prompt may move.
 #[test]
-fn a_lost_server_moves_only_its_own_prompts() {
+fn removing_a_server_moves_only_its_own_prompts() {
     let mut router = TestRouter::new(12);
     let before = homes(&router);
-    let mut lives = [1; 12];
-    lives[3] = 0;
-    router.renew(&lives);
+    let mut incarnations = [1; 12];
+    incarnations[3] = 0;
+    router.set_incarnations(&incarnations);
     let after = homes(&router);
-    let mut heirs: Vec<&String> = Vec::new();
+    let mut new_homes: Vec<&String> = Vec::new();
     for (old, new) in before.iter().zip(&after) {
         match old.as_str() {
-            "server3" => heirs.push(new),
+            "server3" => new_homes.push(new),
             _ => assert_eq!(old, new),
         }
     }
-    heirs.sort_unstable();
-    heirs.dedup();
-    assert!(4 <= heirs.len(), "{heirs:?}");
+    new_homes.sort_unstable();
+    new_homes.dedup();
+    assert!(4 <= new_homes.len(), "{new_homes:?}");
 }
 
 #[test]
-fn a_planned_group_stays_on_its_servers_in_its_shares() {
+fn a_planned_group_is_split_by_its_shares() {
     let mut router = TestRouter::new(12);
-    let group = prompt(0, 0, 0, 0).group().expect("a group").hash;
+    let group = prompt(0, 0, 0, 0).group().expect("prompt has a group").hash;
     let share = |server, share| ServerShare { server: server_name(server), share };
     let shares = vec![share(2, 0.75), share(7, 0.25)];
     let spreads = vec![PrefixSpread { group, shares }];
@@ -78,14 +77,14 @@
         |router: &TestRouter, name| homes(router).iter().filter(|home| *home == name).count();
     assert_eq!(count(&router, "server2") + count(&router, "server7"), PROMPTS);
     assert!((50..=100).contains(&count(&router, "server7")), "{}", count(&router, "server7"));
-    router.renew(&[1, 1, 1, 1, 1, 1, 1, 0, 1, 1, 1, 1]);
+    router.set_incarnations(&[1, 1, 1, 1, 1, 1, 1, 0, 1, 1, 1, 1]);
     router.view = router.view.with_plan(&plan);
     assert_eq!(count(&router, "server2"), PROMPTS);
 }
 
 struct PolicyCase {
     policy: PolicyKind,
-    /// What five requests of one prompt, none of which ends, make of three servers.
+    /// Servers used by five concurrent requests for one prefix, out of three servers.
     servers: usize,
     reason: ChoiceReason,
 }
@@ -98,7 +97,7 @@
 ];
 
 #[test]
-fn each_policy_goes_its_way_and_counts_its_reason() {
+fn each_policy_selects_servers_and_counts_its_reason() {
     for case in POLICY_CASES {
         let mut router = TestRouter::new(3);
         router.policy = case.policy;
@@ -119,10 +118,9 @@
     assert!("fastest".parse::<PolicyKind>().is_err());
 }
 
-/// An ejected or leaving server, one that this request failed on, and one that owes first tokens
-/// get nothing, under each policy; the group's prompts go on together.
+/// Every policy must skip disabled servers and servers excluded by the request.
 #[test]
-fn servers_out_of_use_are_passed_over() {
+fn disabled_and_excluded_servers_are_not_chosen() {
     for policy in PolicyKind::ALL {
         let mut router = TestRouter::new(4);
         router.policy = policy;
@@ -139,10 +137,9 @@
     }
 }
 
-/// A server freezes. Its caller sees no first token; its last report says that it is idle, so that
-/// by the reports alone it would be chosen for ever. It is passed over until it gives a token.
+/// A frozen server's last report shows no load, so load alone would keep selecting it.
 #[test]
-fn a_frozen_server_is_passed_over_until_it_answers() {
+fn a_stalled_server_is_not_chosen_until_it_replies() {
     let router = TestRouter::new(4);
     let chain = prompt(0, 0, 0, 0);
     let home = router.serve(&chain, 0);
@@ -155,11 +152,9 @@
     assert_eq!(name_of(&router.choose(&chain, 5_200)), name_of(&home));
 }
 
-/// Waits at home make detours look cheap. If all requests took them, each would compute its
-/// prompt anew on a server that then has to wait too, and the fleet would stay overloaded. What
-/// detours compute is a part of what is computed anyway.
+/// Unlimited detours would recompute prompts on servers that become overloaded in turn.
 #[test]
-fn detours_are_a_part_of_the_work() {
+fn detours_are_limited_to_a_fraction_of_uncached_tokens() {
     let router = TestRouter::new(12);
     let chain = prompt(0, 0, 0, 0);
     let home = router.choose(&chain, 0);
@@ -169,23 +164,24 @@
     let mut detoured = 0;
     for question in 0..2_000 {
         let other = prompt(1, question % 3, question, 0);
-        let mut busy = router.begin(&home, &other, question as u64);
-        router.placer.first_token(&mut busy, &slow, question as u64);
+        let mut background = router.begin(&home, &other, question as u64);
+        router.placer.first_token(&mut background, &slow, question as u64);
         let chain = prompt(0, 0, 0, question);
         let choice = router.choose(&chain, question as u64);
         uncached += other.tokens().saturating_sub(home.predicted_cached);
         if choice.reason == ChoiceReason::Detour {
-            detoured += chain.anchor().expect("an anchor").tokens;
+            detoured += chain.anchor().expect("prompt has an anchor").tokens;
         }
     }
     assert!(0 < detoured);
     assert!(f64::from(detoured) <= 0.2 * f64::from(uncached) + 30_000.0, "{detoured} {uncached}");
 }
 
-/// A batch request may wait for its warm server where an urgent one takes a detour.
+/// The class weights decide between waiting and recomputing.
 #[test]
-fn a_batch_request_waits_at_home() {
-    for (weights, wanted) in [(support::URGENT, ChoiceReason::Detour), (BATCH, ChoiceReason::Home)]
+fn batch_requests_wait_at_home_where_urgent_ones_detour() {
+    for (weights, expected) in
+        [(support::URGENT, ChoiceReason::Detour), (BATCH, ChoiceReason::Home)]
     {
         let mut router = TestRouter::new(12);
         router.weights = weights;
@@ -198,15 +194,16 @@
             let mut open = router.begin(&home, &other, now_ms);
             router.placer.first_token(&mut open, &slow, now_ms);
         }
-        assert_eq!(router.choose(&chain, 500).reason, wanted);
+        assert_eq!(router.choose(&chain, 500).reason, expected);
     }
 }
 
-/// A prefix that gets a large part of all requests is kept on several of its group's servers.
+/// A prefix with a large share of the requests is spread over the servers of its group, and returns
+/// to one server when demand moves on.
 #[test]
-fn a_hot_prefix_is_spread_and_narrows_again() {
+fn a_hot_prefix_is_replicated_only_while_it_is_hot() {
     let mut router = TestRouter::new(12);
-    let group = prompt(0, 0, 0, 0).group().expect("a group").hash;
+    let group = prompt(0, 0, 0, 0).group().expect("prompt has a group").hash;
     let shares: Vec<ServerShare> =
         (0..4).map(|server| ServerShare { server: server_name(server), share: 0.25 }).collect();
     let spreads = vec![PrefixSpread { group, shares }];
@@ -230,26 +227,26 @@
     assert_eq!(servers(&router, 62_000), 1);
 }
 
-/// What is missing at the chosen server is imported from where it is believed to be.
+/// Blocks missing on the selected server are imported from a hinted server, or else from the store.
 #[test]
-fn missing_blocks_are_imported() {
+fn missing_blocks_are_imported_from_the_best_source() {
     let import = ImportConf { ask_ms: 2.0, tokens_per_ms: 400.0, store: StoreUse::Ask };
     let conf = PlacementConf { import: Some(import), ..PlacementConf::default() };
     let mut router = TestRouter::with_conf(4, conf);
     let chain = prompt(0, 0, 0, 0);
     let first = router.serve(&chain, 0);
     assert_eq!(first.kv_source, Some(KvSource::Store));
-    assert_eq!(router.choose(&chain, 10).kv_source, None, "home is known to have it");
+    assert_eq!(router.choose(&chain, 10).kv_source, None, "home has the blocks");
     router.excluded.push(first.server.meter.id());
     let source = router.choose(&chain, 10).kv_source;
     assert_eq!(source, Some(KvSource::Server(first.server.name().clone())));
-    assert_eq!(source.expect("a source").as_str(), name_of(&first));
+    assert_eq!(source.expect("import source").as_str(), name_of(&first));
     assert_eq!(KvSource::Store.as_str(), "kv-store");
 }
 
-/// Far servers serve only while no near one can, and a view without servers gives none.
+/// Far servers are selected only while no near one is usable. Also covers an empty view.
 #[test]
-fn far_zones_are_a_last_resort() {
+fn far_zones_are_used_only_without_usable_near_servers() {
     let mut router = TestRouter::new(2);
     let far = FleetServer {
         zone: "south".into(),
--- a/crates/placement/tests/plans.rs
+++ b/crates/placement/tests/plans.rs
@@ -1,4 +1,4 @@
-//! Plans: even load, few copies, one maker.
+//! Placement plans: load balance, number of replicas, agreement between routers.
 
 mod support;
 
@@ -20,7 +20,7 @@
     HostName::new(&format!("host{number}"))
 }
 
-/// Demand for groups of these requests a second.
+/// Demand report with these group rates, in requests per second.
 fn report(rates: &[f64]) -> DemandReport {
     let groups = rates.iter().zip(1_u64..).map(|(rate, number)| PrefixDemand {
         prefix: PromptHash(number.wrapping_mul(0x9e37_79b9_7f4a_7c15)),
@@ -42,8 +42,8 @@
     maker
 }
 
-/// Load of the fullest server as a multiple of the mean.
-fn peak(view: &FleetView, plan: &SpreadPlan, rates: &[f64]) -> f64 {
+/// Maximum server load as a multiple of the mean.
+fn peak_load(view: &FleetView, plan: &SpreadPlan, rates: &[f64]) -> f64 {
     let mut loads: Vec<f64> = vec![0.0; SERVERS];
     let mut add = |name: &str, load: f64| loads[name[6..].parse::<usize>().unwrap()] += load;
     for demand in report(rates).groups {
@@ -62,12 +62,12 @@
     loads.into_iter().fold(0.0, f64::max) / mean
 }
 
-fn copies(plan: &SpreadPlan) -> usize {
+fn replicas(plan: &SpreadPlan) -> usize {
     plan.spreads.iter().map(|spread| spread.shares.len()).sum()
 }
 
 #[test]
-fn a_plan_evens_out_the_load_with_few_copies() {
+fn a_plan_balances_load_with_few_replicas() {
     let router = TestRouter::new(SERVERS);
     for rates in [zipf(24), zipf(200), vec![100.0], vec![1.0; 60], vec![1.0; 400]] {
         let mut maker = maker(&router, &rates, 0..6);
@@ -75,14 +75,18 @@
             maker.next(&router.view, 6, 0);
         }
         let plan = maker.plan();
-        assert!(peak(&router.view, plan, &rates) < 1.35, "{}", peak(&router.view, plan, &rates));
-        assert!(copies(plan) <= rates.len() + SERVERS, "{}", copies(plan));
+        assert!(
+            peak_load(&router.view, plan, &rates) < 1.35,
+            "{}",
+            peak_load(&router.view, plan, &rates)
+        );
+        assert!(replicas(plan) <= rates.len() + SERVERS, "{}", replicas(plan));
     }
 }
 
-/// Popularity shifts without warning: the next plan is even again and moves little else.
+/// After a change in popularity the plan must become balanced again and then stay unchanged.
 #[test]
-fn a_plan_follows_a_shift() {
+fn a_plan_adapts_to_changed_demand() {
     let router = TestRouter::new(SERVERS);
     let mut rates = zipf(24);
     let mut maker = maker(&router, &rates, 0..6);
@@ -94,39 +98,38 @@
     for _ in 0..30 {
         maker.next(&router.view, 6, 100);
     }
-    assert!(peak(&router.view, maker.plan(), &rates) < 1.35);
+    assert!(peak_load(&router.view, maker.plan(), &rates) < 1.35);
     let version = maker.plan().version;
-    assert_eq!(maker.next(&router.view, 6, 100), None, "an even plan stays");
+    assert_eq!(maker.next(&router.view, 6, 100), None, "a balanced plan is unchanged");
     assert_eq!(maker.plan().version, version);
 }
 
-/// Routers cannot hear each other, but all get requests. If each planned alone, the same prefix
-/// would have another home at each of them, and all would be computed several times. Without most
-/// of the reports no plan is made; reports that are too old do not count.
+/// Partitioned routers that planned independently would place the same prefix on different servers.
+/// Expired reports must not count towards the majority.
 #[test]
-fn no_plan_without_most_of_the_hosts() {
+fn planning_requires_reports_from_a_majority() {
     let router = TestRouter::new(SERVERS);
-    for (heard, planned) in [(1, false), (3, false), (4, true), (6, true)] {
-        let mut maker = maker(&router, &zipf(24), 0..heard);
-        assert_eq!(maker.next(&router.view, 6, 0).is_some(), planned, "{heard} of 6");
+    for (reporting, is_planned) in [(1, false), (3, false), (4, true), (6, true)] {
+        let mut maker = maker(&router, &zipf(24), 0..reporting);
+        assert_eq!(maker.next(&router.view, 6, 0).is_some(), is_planned, "{reporting} of 6");
     }
     let mut maker = maker(&router, &zipf(24), 0..6);
     assert_eq!(maker.next(&router.view, 6, 60_000), None);
 }
 
-/// Where the hash alone spreads the load evenly there is a plan too: it says that each group is
-/// kept by the first server of its list. Without one, routers would spread each over all servers.
+/// An empty plan assigns each group to the first server of its list; without a plan routers would
+/// spread each group over several servers.
 #[test]
-fn an_empty_plan_is_a_plan() {
+fn balanced_load_yields_an_empty_first_plan() {
     let router = TestRouter::new(1);
     let plan = maker(&router, &zipf(24), 0..6).next(&router.view, 6, 0);
     assert_eq!(plan, Some(SpreadPlan { version: 1, spreads: Vec::new() }));
 }
 
-/// Another router may take over the making at any time: from the same reports, in whatever order
-/// they came, it makes the same plan.
+/// Planning must be deterministic and independent of the order of reports, so that any router can
+/// take over.
 #[test]
-fn makers_that_heard_the_same_plan_the_same() {
+fn equal_reports_yield_equal_plans() {
     let mut gen_ = Gen::from_size_and_seed(30, SEED);
     for _ in 0..20 {
         let rates: Vec<f64> = (0..40).map(|_| f64::from(u8::arbitrary(&mut gen_)) + 1.0).collect();
@@ -140,20 +143,21 @@
     }
 }
 
-/// A server goes: its shares fall to the others of the group at once, and the next plan is even.
+/// Shares of a removed server must go to the group's other servers at once and be gone from the
+/// next plan.
 #[test]
-fn a_plan_outlives_a_server() {
+fn a_plan_remains_valid_after_removing_a_server() {
     let mut router = TestRouter::new(SERVERS);
     let rates = zipf(24);
     let mut maker = maker(&router, &rates, 0..6);
-    let plan = maker.next(&router.view, 6, 0).expect("a plan");
-    let mut lives = [1; SERVERS];
-    lives[5] = 0;
-    router.renew(&lives);
+    let plan = maker.next(&router.view, 6, 0).expect("first plan");
+    let mut incarnations = [1; SERVERS];
+    incarnations[5] = 0;
+    router.set_incarnations(&incarnations);
     router.view = router.view.with_plan(&plan);
     let chain = support::prompt(0, 0, 0, 0);
     assert_ne!(support::name_of(&router.choose(&chain, 0)), "server5");
-    let plan = maker.next(&router.view, 6, 0).expect("a plan without the server");
+    let plan = maker.next(&router.view, 6, 0).expect("updated plan");
     let shares = plan.spreads.iter().flat_map(|spread| &spread.shares);
     assert_eq!(shares.filter(|share| share.server.as_str() == "server5").count(), 0);
 }
--- a/crates/placement/tests/prompt_chain.rs
+++ b/crates/placement/tests/prompt_chain.rs
@@ -1,4 +1,4 @@
-//! Levels of prompts and their hashes.
+//! Level boundaries and hashes of prompts.
 
 use fulmargate_names::TeamName;
 use fulmargate_names::WeightsVersion;
@@ -17,7 +17,7 @@
 
 struct LevelCase {
     name: &'static str,
-    /// Tokens of each segment.
+    /// Length of each segment in tokens.
     segments: &'static [usize],
     levels: &'static [u32],
     anchor: Option<u32>,
@@ -42,7 +42,7 @@
         group: Some(1_488),
     },
     LevelCase {
-        name: "a short message is no level of its own",
+        name: "a short message is not a level of its own",
         segments: &[10, 1_000, 40],
         levels: &[1_008],
         anchor: Some(1_008),
@@ -65,7 +65,7 @@
 ];
 
 #[test]
-fn levels_are_where_segments_end() {
+fn segment_ends_are_level_boundaries() {
     for case in LEVEL_CASES {
         let texts: Vec<String> =
             case.segments.iter().map(|tokens| "abcd".repeat(*tokens)).collect();
@@ -78,9 +78,9 @@
     }
 }
 
-/// The hashes are those that the engines publish for their blocks.
+/// Hashes must match those in the engines' cache events.
 #[test]
-fn level_hashes_are_block_hashes() {
+fn level_hashes_equal_engine_block_hashes() {
     let text = "0123456789abcdef".repeat(600);
     let chain =
         PromptChain::new(&scope("a", 7), &[&text[..4_000], &text[4_000..9_000], "question"]);
@@ -96,28 +96,27 @@
     }
 }
 
-/// A belief about one team's blocks, or about those of older weights, must not be found by
-/// another's prompt: no level of equal texts in different scopes has the same hash.
+/// Hints must not be shared between teams or weights versions.
 #[test]
-fn scopes_have_no_hash_in_common() {
+fn different_scopes_have_different_hashes() {
     let text = "abcd".repeat(2_000);
     let chains: Vec<PromptChain> = [scope("a", 1), scope("b", 1), scope("a", 2)]
         .iter()
         .map(|scope| PromptChain::new(scope, &[&text, "question"]))
         .collect();
-    for (place, chain) in chains.iter().enumerate() {
-        for other in &chains[place + 1..] {
+    for (index, chain) in chains.iter().enumerate() {
+        for other in &chains[index + 1..] {
             assert_ne!(chain.request_hash(), other.request_hash());
-            for (level, its) in chain.levels().iter().zip(other.levels()) {
-                assert_ne!(level.hash, its.hash);
+            for (level, other_level) in chain.levels().iter().zip(other.levels()) {
+                assert_ne!(level.hash, other_level.hash);
             }
         }
     }
 }
 
-/// Prompts that begin alike have the hashes of their common levels in common, and no others.
+/// Prompts with a common prefix share the hashes of its levels and no others.
 #[test]
-fn chains_agree_up_to_where_prompts_do() {
+fn chains_share_exactly_the_levels_of_common_prefixes() {
     let mut gen_ = Gen::from_size_and_seed(20, SEED);
     for _ in 0..200 {
         let sizes: Vec<usize> =
@@ -125,9 +124,9 @@
         let texts: Vec<String> = sizes.iter().map(|size| "abcdefg".repeat(*size)).collect();
         let changed = usize::arbitrary(&mut gen_) % 3;
         let mut builders = [ChainBuilder::new(&scope("a", 1)), ChainBuilder::new(&scope("a", 1))];
-        for (place, text) in texts.iter().enumerate() {
+        for (index, text) in texts.iter().enumerate() {
             builders[0].push(text);
-            let other = if place == changed { text.to_uppercase() } else { text.clone() };
+            let other = if index == changed { text.to_uppercase() } else { text.clone() };
             builders[1].push(&other);
         }
         let [left, right] = builders.map(|mut builder| {
--- a/crates/placement/tests/support/mod.rs
+++ b/crates/placement/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A small fleet and one router's view of it.
+//! Test fixture: a small fleet and one router.
 
 #![allow(dead_code)]
 
@@ -24,7 +24,7 @@
 pub(crate) const URGENT: ClassWeights = ClassWeights { priority: 0, ttft: 1.0, recompute: 0.1 };
 pub(crate) const BATCH: ClassWeights = ClassWeights { priority: 2, ttft: 0.1, recompute: 1.0 };
 
-/// One router over servers `server0`, `server1` and so on.
+/// A router with servers named `server0`, `server1` and so on.
 pub(crate) struct TestRouter {
     pub(crate) placer: Placer,
     pub(crate) meters: MeterBook,
@@ -48,22 +48,22 @@
         TestRouter { placer, meters, view, conf, policy, weights, excluded }
     }
 
-    /// The servers' lives change; 0 takes a server out of the view.
-    pub(crate) fn renew(&mut self, lives: &[u64]) {
-        self.view = view(&self.conf, &mut self.meters, lives);
+    /// Sets the server incarnations; 0 removes a server from the view.
+    pub(crate) fn set_incarnations(&mut self, incarnations: &[u64]) {
+        self.view = view(&self.conf, &mut self.meters, incarnations);
     }
 
     pub(crate) fn choose(&self, chain: &PromptChain, now_ms: u64) -> Choice {
         let (policy, weights, excluded) = (self.policy, self.weights, &self.excluded[..]);
         let request = PlaceRequest { policy, weights, excluded, now_ms };
-        self.placer.choose(&self.view, chain, &request).expect("a server can be used")
+        self.placer.choose(&self.view, chain, &request).expect("a usable server")
     }
 
     pub(crate) fn begin(&self, choice: &Choice, chain: &PromptChain, now_ms: u64) -> OpenRequest {
         self.placer.begin(choice, chain, self.weights, now_ms)
     }
 
-    /// Sends a request to its server, which answers at once.
+    /// Sends a request to the selected server, which replies at once.
     pub(crate) fn serve(&self, chain: &PromptChain, now_ms: u64) -> Choice {
         let choice = self.choose(chain, now_ms);
         let mut open = self.begin(&choice, chain, now_ms);
@@ -72,7 +72,7 @@
     }
 }
 
-/// The answer of a server that had the whole prompt but its last block.
+/// A reply with the whole prompt cached except its last block.
 pub(crate) fn reply(choice: &Choice, chain: &PromptChain) -> ReplyFacts {
     ReplyFacts {
         incarnation: choice.server.meter.incarnation(),
@@ -84,20 +84,20 @@
     }
 }
 
-fn view(conf: &PlacementConf, meters: &mut MeterBook, lives: &[u64]) -> FleetView {
-    let lives = lives.iter().enumerate().filter(|(_, life)| 0 < **life);
-    let server = |(number, life): (usize, &u64)| {
-        let meter = meters.meter(&server_name(number), Incarnation(*life));
+fn view(conf: &PlacementConf, meters: &mut MeterBook, incarnations: &[u64]) -> FleetView {
+    let incarnations = incarnations.iter().enumerate().filter(|(_, incarnation)| 0 < **incarnation);
+    let server = |(number, incarnation): (usize, &u64)| {
+        let meter = meters.meter(&server_name(number), Incarnation(*incarnation));
         FleetServer { zone: ZoneName::new("north"), zone_ms: 1.0, meter }
     };
-    FleetView::new(conf, lives.map(server).collect())
+    FleetView::new(conf, incarnations.map(server).collect())
 }
 
 pub(crate) fn server_name(number: usize) -> ServerName {
     ServerName::new(&format!("server{number}"))
 }
 
-/// A prompt of three levels and a question.
+/// A prompt of three shared levels and a question.
 pub(crate) fn prompt(team: usize, service: usize, record: usize, question: usize) -> PromptChain {
     let scope = PromptScope::from_text(format!("team{team}/m/"), WeightsVersion(1));
     let level = |name: String, tokens: usize| {
