--- a/crates/placement/benches/choice.rs
+++ b/crates/placement/benches/choice.rs
@@ -1,4 +1,4 @@
-//! Time of a choice, of its feedback, of a prompt's chain and of a step of the plan.
+//! Benchmarks of server selection, feedback, prompt hashing and planning.
 
 use std::hint::black_box;
 use std::sync::Arc;
@@ -30,11 +30,12 @@
 
 const SIZES: [usize; 3] = [12, 1_200, 12_000];
 const WEIGHTS: ClassWeights = ClassWeights { priority: 0, ttft: 1.0, recompute: 0.1 };
-/// Groups for each server, and prompts of each group.
-const GROUPS: usize = 2;
-const PROMPTS: usize = 4;
-/// Groups in a router's report of its demand.
-const REPORTED: usize = 256;
+/// Prompt groups per server.
+const GROUPS_PER_SERVER: usize = 2;
+/// Prompts per group.
+const PROMPTS_PER_GROUP: usize = 4;
+/// Number of groups in a demand report.
+const REPORTED_GROUPS: usize = 256;
 
 fn view(conf: &PlacementConf, servers: usize) -> FleetView {
     let mut meters = MeterBook::new(conf);
@@ -46,16 +47,16 @@
     FleetView::new(conf, (0..servers).map(server).collect())
 }
 
-/// Prompts of 3,000 tokens, in an order in which neighbours have nothing in common.
+/// Prompts of 3,000 tokens. Adjacent prompts belong to different groups.
 fn chains(servers: usize) -> Vec<PromptChain> {
     let scope = PromptScope::from_text("team/m/".to_owned(), WeightsVersion(1));
     let tenant = "tenant.".repeat(300);
     let chain = |number: usize| {
-        let service = format!("service {:06}", number % (GROUPS * servers)).repeat(300);
+        let service = format!("service {:06}", number % (GROUPS_PER_SERVER * servers)).repeat(300);
         let record = format!("record {number:06}").repeat(500);
         PromptChain::new(&scope, &[&tenant, &service, &record, "What is it?"])
     };
-    (0..GROUPS * PROMPTS * servers).map(chain).collect()
+    (0..GROUPS_PER_SERVER * PROMPTS_PER_GROUP * servers).map(chain).collect()
 }
 
 fn reply(choice: &Choice) -> ReplyFacts {
@@ -69,25 +70,25 @@
     }
 }
 
-/// A placer that has served each prompt, and a view with the plan that came of it.
+/// A placer that has served every prompt, and a view with the resulting plan.
 fn warm_placer(servers: usize, chains: &[PromptChain]) -> (Placer, FleetView) {
     let conf = PlacementConf::default();
     let placer = Placer::new(conf.clone());
     let view = view(&conf, servers);
-    for turn in 0..4 * chains.len() {
-        let now_ms = (turn * 1_000 / chains.len()) as u64;
-        serve(&placer, &view, &chains[turn % chains.len()], now_ms);
+    for iteration in 0..4 * chains.len() {
+        let now_ms = (iteration * 1_000 / chains.len()) as u64;
+        serve(&placer, &view, &chains[iteration % chains.len()], now_ms);
     }
     let mut maker = PlanMaker::new(&conf);
-    maker.hear(&HostName::new("host"), placer.demand(REPORTED, 5_000), 5_000);
-    let plan = maker.next(&view, 1, 5_000).expect("a plan");
+    maker.hear(&HostName::new("host"), placer.demand(REPORTED_GROUPS, 5_000), 5_000);
+    let plan = maker.next(&view, 1, 5_000).expect("first plan");
     (placer, view.with_plan(&plan))
 }
 
 fn serve(placer: &Placer, view: &FleetView, chain: &PromptChain, now_ms: u64) {
     let policy = PolicyKind::Cost;
     let request = PlaceRequest { policy, weights: WEIGHTS, excluded: &[], now_ms };
-    let choice = placer.choose(view, chain, &request).expect("a server");
+    let choice = placer.choose(view, chain, &request).expect("usable server");
     let mut open = placer.begin(&choice, chain, WEIGHTS, now_ms);
     placer.first_token(&mut open, &reply(&choice), now_ms);
 }
@@ -122,10 +123,10 @@
     chains: &[PromptChain],
 ) {
     let request = PlaceRequest { policy, weights: WEIGHTS, excluded: &[], now_ms: 5_000 };
-    let mut turn = 0;
+    let mut iteration = 0;
     bencher.iter(|| {
-        turn = (turn + 1) % chains.len();
-        black_box(placer.choose(view, &chains[turn], &request))
+        iteration = (iteration + 1) % chains.len();
+        black_box(placer.choose(view, &chains[iteration], &request))
     });
 }
 
@@ -134,11 +135,16 @@
     for servers in SIZES {
         let chains = chains(servers);
         let (placer, view) = warm_placer(servers, &chains);
-        let mut turn = 0;
+        let mut iteration = 0;
         group.bench_function(BenchmarkId::from_parameter(servers), |bencher| {
             bencher.iter(|| {
-                turn += 1;
-                serve(&placer, &view, &chains[turn % chains.len()], 5_000 + turn as u64 / 100);
+                iteration += 1;
+                serve(
+                    &placer,
+                    &view,
+                    &chains[iteration % chains.len()],
+                    5_000 + iteration as u64 / 100,
+                );
             });
         });
     }
@@ -164,7 +170,7 @@
     group.sample_size(10);
     for servers in SIZES {
         let (placer, warm_view) = warm_placer(servers, &chains(servers));
-        let report = Arc::new(placer.demand(REPORTED, 5_000));
+        let report = Arc::new(placer.demand(REPORTED_GROUPS, 5_000));
         group.bench_function(BenchmarkId::new("plan step", servers), |bencher| {
             bencher.iter(|| {
                 let mut maker = PlanMaker::new(&conf);
--- a/crates/placement/examples/replay/router.rs
+++ b/crates/placement/examples/replay/router.rs
@@ -1,4 +1,4 @@
-//! One router over the fleet.
+//! A simulated router.
 
 use fulmargate_names::Incarnation;
 use fulmargate_names::ServerName;
@@ -35,17 +35,17 @@
         let (view, maker) = (FleetView::new(&conf, Vec::new()), PlanMaker::new(&conf));
         let meters = MeterBook::new(&conf);
         let mut router = Router { placer: Placer::new(conf), meters, view, maker };
-        router.renew(&[0; SERVERS], None);
+        router.set_incarnations(&[0; SERVERS], None);
         router
     }
 
-    pub(crate) fn renew(&mut self, lives: &[u64], plan: Option<&SpreadPlan>) {
-        let server = |(number, life): (usize, &u64)| {
+    pub(crate) fn set_incarnations(&mut self, incarnations: &[u64], plan: Option<&SpreadPlan>) {
+        let server = |(number, incarnation): (usize, &u64)| {
             let name = ServerName::new(&format!("server{number}"));
-            let meter = self.meters.meter(&name, Incarnation(*life));
+            let meter = self.meters.meter(&name, Incarnation(*incarnation));
             FleetServer { zone: "north".into(), zone_ms: 1.0, meter }
         };
-        let servers = lives.iter().enumerate().map(server).collect();
+        let servers = incarnations.iter().enumerate().map(server).collect();
         self.view = FleetView::new(self.placer.conf(), servers);
         if let Some(plan) = plan {
             self.view = self.view.with_plan(plan);
@@ -61,6 +61,6 @@
     ) -> Choice {
         let (weights, now_ms) = (WEIGHTS[band], now as u64);
         let request = PlaceRequest { policy, weights, excluded: &[], now_ms };
-        self.placer.choose(&self.view, chain, &request).expect("a server")
+        self.placer.choose(&self.view, chain, &request).expect("usable server")
     }
 }
