--- a/crates/placement/src/choice_reason.rs
+++ b/crates/placement/src/choice_reason.rs
@@ -14,7 +14,7 @@
     Warm,
     /// A less loaded server, because waiting at home would cost more than recomputing.
     Detour,
-    /// All preferred servers are unusable or excluded.
+    /// The preceding servers of the preference list are unusable or excluded.
     Fallback,
     /// The prompt is too short to benefit from caching; the less loaded of two sampled servers.
     ShortPrompt,
--- a/crates/placement/src/chooser.rs
+++ b/crates/placement/src/chooser.rs
@@ -19,12 +19,12 @@
 const MIN_WARM_TOKENS: f64 = 256.0;
 /// Minimum wait at home before a detour is considered.
 const MIN_DETOUR_WAIT_MS: f64 = 20.0;
-/// Random offset added to detour costs, so that routers with the same view do not all select the
-/// same server.
+/// Scale of the offset added to detour costs. The offset depends on request and server, so that
+/// routers with the same view do not all select the same server.
 const DETOUR_JITTER_MS: f64 = 5.0;
 /// Servers from the group's ring list to consider in addition to its members.
 const EXTRA_RING_SERVERS: usize = 2;
-/// Servers sampled at random for detours and for short prompts.
+/// Servers sampled by request hash for detours and for short prompts.
 const SAMPLED_SERVERS: u64 = 2;
 /// Maximum number of preferred servers to consider as alternatives.
 const MAX_FALLBACK_SERVERS: usize = 8;
--- a/crates/placement/src/plan_draft.rs
+++ b/crates/placement/src/plan_draft.rs
@@ -28,7 +28,7 @@
 /// of a server's capacity also suffices.
 const MIN_REPLICA_SHARE: f64 = 0.1;
 const MIN_REPLICA_LOAD: f64 = 0.25;
-/// Smaller shares are removed.
+/// Smaller shares are removed after a move.
 const MIN_SHARE: f64 = 0.02;
 /// Candidates from the group's preference list and from the least loaded servers.
 const LIST_CANDIDATES: usize = 4;
@@ -159,8 +159,8 @@
         near
     }
 
-    /// Places all groups anew in descending order of load. A group is placed on one server if a
-    /// current or preferred server has room, and is split otherwise.
+    /// Places all groups anew, roughly in descending order of load. A group is placed on one server
+    /// if a current or preferred server has room, and is split otherwise.
     fn pack(&mut self) {
         for draft in self.groups.values() {
             for (index, share) in &draft.shares {
@@ -214,8 +214,8 @@
         shares
     }
 
-    /// Makes at most one move per step, because the moved prompts are recomputed and the effect
-    /// must be measured first.
+    /// Moves load off the most loaded server. Makes at most one move per step, because the moved
+    /// prompts are recomputed and the effect must be measured first.
     fn move_one(&mut self) {
         let from = self.most_loaded();
         if self.load(from) <= MOVE_SOURCE_THRESHOLD * self.mean {
--- a/crates/placement/src/prompt_chain.rs
+++ b/crates/placement/src/prompt_chain.rs
@@ -179,7 +179,7 @@
     }
 }
 
-/// A bounded list of levels that are at least `MIN_LEVEL_TOKENS` apart. On overflow, the oldest
+/// A bounded list of levels that are at least `MIN_LEVEL_TOKENS` apart. On overflow, the shortest
 /// level after the first [`ANCHOR_LEVELS`] is removed.
 #[derive(Clone, Debug, Default)]
 struct LevelList {
--- a/crates/placement/src/server_meter.rs
+++ b/crates/placement/src/server_meter.rs
@@ -21,7 +21,7 @@
 const MIN_WAIT_WEIGHT: f64 = 0.1;
 /// Decay time of the reported number of requests.
 const REPORT_DECAY_MS: f64 = 1_000.0;
-/// A server is stalled if it has not produced a first token for this time in addition to its
+/// A server is stalled if it has not produced a first token for this time in addition to twice its
 /// estimated queueing time.
 const STALL_TIMEOUT_MS: f64 = 500.0;
 /// Minimum uncached tokens for a reply to update the prefill rate.
--- a/crates/placement/tests/choices.rs
+++ b/crates/placement/tests/choices.rs
@@ -29,7 +29,7 @@
     (0..PROMPTS).map(|record| name_of(&router.choose(&prompt(0, 0, record, 0), 0))).collect()
 }
 
-/// Placement must not depend on router state, so that a restarted router can serve at once.
+/// Home servers must not depend on router state, so that a restarted router can serve at once.
 #[test]
 fn a_restarted_router_chooses_the_same_servers() {
     let (warm, restarted) = (TestRouter::new(12), TestRouter::new(12));
