--- a/crates/placement/examples/replay/router.rs
+++ b/crates/placement/examples/replay/router.rs
@@ -30,7 +30,7 @@
         let mut conf = PlacementConf::default();
         conf.hot_factor = arg("hot", conf.hot_factor);
         conf.detour_share = arg("detour", conf.detour_share);
-        conf.least_width = arg("width", conf.least_width);
+        conf.min_width = arg("width", conf.min_width);
         conf.recompute_price = arg("price", conf.recompute_price);
         let (view, maker) = (FleetView::new(&conf, Vec::new()), PlanMaker::new(&conf));
         let meters = MeterBook::new(&conf);
--- a/crates/placement/src/chooser.rs
+++ b/crates/placement/src/chooser.rs
@@ -82,7 +82,7 @@
             let group = self.chain.group().map(|level| level.hash).unwrap_or_default();
             let share = placer.groups().share(group, self.request.now_ms);
             let servers = self.view.near().len() as f64;
-            (share * servers * placer.conf().width_factor).max(placer.conf().least_width)
+            (share * servers * placer.conf().width_factor).max(placer.conf().min_width)
         };
         PreferenceList::new(self.view, self.chain, width)
     }
--- a/crates/placement/src/fleet_view.rs
+++ b/crates/placement/src/fleet_view.rs
@@ -68,7 +68,7 @@
         let mut by_id: Vec<(ServerId, u32)> =
             by_name.values().zip(0..).map(|(server, index)| (server.meter.id(), index)).collect();
         by_id.sort_unstable();
-        let is_near = |index: &u32| by_name[*index as usize].zone_ms <= conf.near_ms;
+        let is_near = |index: &u32| by_name[*index as usize].zone_ms <= conf.max_near_ms;
         let (near, far): (Vec<u32>, Vec<u32>) = (0..by_name.len() as u32).partition(is_near);
         let ring_servers: Vec<(u32, &ServerName)> =
             near.iter().map(|index| (*index, by_name[*index as usize].name())).collect();
--- a/crates/placement/src/placement_conf.rs
+++ b/crates/placement/src/placement_conf.rs
@@ -12,7 +12,7 @@
     /// Number of servers for a group that has no plan, as a multiple of its share of the fleet.
     pub width_factor: f64,
     /// Minimum number of servers for a group that has no plan; limited by the size of the fleet.
-    pub least_width: f64,
+    pub min_width: f64,
     /// Additional servers for a hot prefix, as a multiple of its share of the fleet.
     pub hot_factor: f64,
     /// Weight of recomputation relative to latency, before the class weights are applied.
@@ -20,7 +20,7 @@
     /// Maximum tokens recomputed by detours, as a fraction of all uncached tokens.
     pub detour_share: f64,
     /// Servers with a higher round-trip time are used only if no nearer server is usable.
-    pub near_ms: f64,
+    pub max_near_ms: f64,
     /// Number of hint table slots, a power of two.
     pub hint_slots: usize,
     /// Settings for importing cached blocks; `None` if the engines do not support it.
@@ -34,11 +34,11 @@
             request_tokens: 250.0,
             demand_window_ms: 5_000.0,
             width_factor: 1.5,
-            least_width: 12.0,
+            min_width: 12.0,
             hot_factor: 3.0,
             recompute_price: 30.0,
             detour_share: 0.1,
-            near_ms: 5.0,
+            max_near_ms: 5.0,
             hint_slots: 1 << 16,
             import: None,
         }
