--- a/crates/placement/src/chooser.rs
+++ b/crates/placement/src/chooser.rs
@@ -1,4 +1,4 @@
-//! The choice of one request by least estimated cost.
+//! Server selection by lowest estimated cost.
 
 use crate::Choice;
 use crate::ChoiceReason;
@@ -10,26 +10,26 @@
 use crate::PromptChain;
 use crate::estimate::Estimate;
 use crate::mix::mix;
-use crate::mix::unit;
-use crate::preference::Preference;
+use crate::mix::to_unit_interval;
+use crate::preference_list::PreferenceList;
 use crate::server_list::ServerList;
 use crate::warm_set::WarmSet;
 
-/// A server elsewhere is warm enough to look at if it has so many tokens more.
-const WARM_TOKENS: f64 = 256.0;
-/// A shorter wait at home is not worth looking for a detour.
-const DETOUR_WAIT_MS: f64 = 20.0;
-/// Detours differ by up to this much from request to request, so that routers that see the same
-/// report do not all send to the same server.
+/// Minimum additional cached tokens for a server other than home to be considered.
+const MIN_WARM_TOKENS: f64 = 256.0;
+/// Minimum wait at home before a detour is considered.
+const MIN_DETOUR_WAIT_MS: f64 = 20.0;
+/// Scale of the offset added to detour costs. The offset depends on request and server, so that
+/// routers with the same view do not all select the same server.
 const DETOUR_JITTER_MS: f64 = 5.0;
-/// Servers of the group's list looked at besides its members.
-const NEXT_LISTED: usize = 2;
-/// Servers drawn from all for a detour or a prompt without a home.
-const DRAWN: u64 = 2;
-/// Servers of a list looked at when those before are out of use.
-const FALLBACKS: usize = 8;
-
-/// What one choice looks at.
+/// Servers from the group's ring list to consider in addition to its members.
+const EXTRA_RING_SERVERS: usize = 2;
+/// Servers sampled by request hash for detours and for short prompts.
+const SAMPLED_SERVERS: u64 = 2;
+/// Maximum number of preferred servers to consider as alternatives.
+const MAX_FALLBACK_SERVERS: usize = 8;
+
+/// Inputs of one placement decision.
 pub(crate) struct Chooser<'a> {
     pub(crate) placer: &'a Placer,
     pub(crate) view: &'a FleetView,
@@ -38,18 +38,18 @@
 }
 
 impl Chooser<'_> {
-    /// Home, unless it is out of use, another server is known to be warmer, or waiting there would
-    /// cost more than going elsewhere.
-    pub(crate) fn by_cost(&self) -> Option<Choice> {
+    /// Selects the home server unless it is unusable, another server has more of the prompt cached,
+    /// or waiting at home costs more than computing the prompt elsewhere.
+    pub(crate) fn lowest_cost(&self) -> Option<Choice> {
         let (Some(anchor), Some(preference)) = (self.chain.anchor(), self.preference()) else {
-            return self.without_home();
+            return self.short_prompt();
         };
         let warm = WarmSet::new(self.placer.hints(), self.view, self.chain, self.request.now_ms);
         let Some((home, reason)) = self.home(&preference, anchor) else {
             return self.fallback(&warm);
         };
         let at_home = Estimate::at_home(self, &warm, home);
-        if let Some(choice) = self.warmer(&warm, home, &at_home) {
+        if let Some(choice) = self.warmer_server(&warm, home, &at_home) {
             return Some(choice);
         }
         if let Some(choice) = self.detour(&preference, &warm, home, &at_home) {
@@ -63,63 +63,71 @@
     }
 
     pub(crate) fn is_usable(&self, index: u32) -> bool {
-        let meter = &self.view.at(index).meter;
+        let meter = &self.view.server_at(index).meter;
         meter.is_usable(self.request.now_ms) && !self.request.excluded.contains(&meter.id())
     }
 
-    /// Requests there, told apart by the request's hash where they are equal.
+    /// Number of requests at the server, with a tie-breaker derived from the request hash.
     pub(crate) fn occupancy(&self, index: u32) -> f64 {
-        self.view.at(index).meter.occupancy(self.request.now_ms) + self.jitter(index)
+        self.view.server_at(index).meter.occupancy(self.request.now_ms) + self.jitter(index)
     }
 
     fn jitter(&self, index: u32) -> f64 {
-        unit(mix(self.chain.request_hash(), u64::from(index)))
+        to_unit_interval(mix(self.chain.request_hash(), u64::from(index)))
     }
 
-    fn preference(&self) -> Option<Preference> {
+    fn preference(&self) -> Option<PreferenceList> {
         let placer = self.placer;
         let width = || {
             let group = self.chain.group().map(|level| level.hash).unwrap_or_default();
             let share = placer.groups().share(group, self.request.now_ms);
             let servers = self.view.near().len() as f64;
-            (share * servers * placer.conf().width_factor).max(placer.conf().least_width)
+            (share * servers * placer.conf().width_factor).max(placer.conf().min_width)
         };
-        Preference::new(self.view, self.chain, width)
+        PreferenceList::new(self.view, self.chain, width)
     }
 
-    /// The least occupied of the servers that keep the prefix: one, and more if it is hot.
-    fn home(&self, preference: &Preference, anchor: PrefixLevel) -> Option<(u32, ChoiceReason)> {
+    /// The least loaded usable server among the replicas of the prefix, or else the next usable
+    /// member.
+    fn home(
+        &self,
+        preference: &PreferenceList,
+        anchor: PrefixLevel,
+    ) -> Option<(u32, ChoiceReason)> {
         let members = preference.members();
-        let copies = self.copies(anchor).min(members.len());
+        let replicas = self.replica_count(anchor).min(members.len());
         let first = *members.first()?;
-        let kept = members[..copies].iter().copied().filter(|index| self.is_usable(*index));
-        let least = kept.min_by(|a, b| self.occupancy(*a).total_cmp(&self.occupancy(*b)));
-        if let Some(home) = least {
+        let usable = members[..replicas].iter().copied().filter(|index| self.is_usable(*index));
+        let least_loaded = usable.min_by(|a, b| self.occupancy(*a).total_cmp(&self.occupancy(*b)));
+        if let Some(home) = least_loaded {
             let reason = if home == first { ChoiceReason::Home } else { ChoiceReason::Spread };
             return Some((home, reason));
         }
-        let next = members[copies..].iter().copied().find(|index| self.is_usable(*index));
+        let next = members[replicas..].iter().copied().find(|index| self.is_usable(*index));
         next.map(|index| (index, ChoiceReason::Fallback))
     }
 
-    /// On how many servers the anchor is kept. A prefix that is a large part of one server's work
-    /// costs little to keep twice, and then evens out the load of both.
-    fn copies(&self, anchor: PrefixLevel) -> usize {
+    /// Number of servers that keep the anchor cached. Prefixes that make up a large part of a
+    /// server's load are replicated to balance it.
+    fn replica_count(&self, anchor: PrefixLevel) -> usize {
         let share = self.placer.anchors().share(anchor.hash, self.request.now_ms);
         let servers = self.view.near().len() as f64;
         (1.0 + share * servers * self.placer.conf().hot_factor) as usize
     }
 
-    /// A server that has more of the prompt than its anchor, such as the rest of a conversation that
-    /// was once sent elsewhere. A hint that the anchor itself is cached elsewhere does not count:
-    /// all routers know home, and only this one the hint, and home would never get warm.
-    fn warmer(&self, warm: &WarmSet, home: u32, at_home: &Estimate) -> Option<Choice> {
+    /// A server that has more of the prompt cached than the anchor, such as later turns of a
+    /// conversation that was once placed elsewhere. Hints that cover only the anchor are ignored:
+    /// other routers do not have them, and following them would keep the home server from caching
+    /// the prefix.
+    fn warmer_server(&self, warm: &WarmSet, home: u32, at_home: &Estimate) -> Option<Choice> {
         let anchor = self.chain.anchor().map_or(0, |anchor| anchor.tokens);
-        let had = f64::from(anchor).max(at_home.cached);
+        let home_tokens = f64::from(anchor).max(at_home.cached);
         let limit = at_home.cost(self);
         let (index, estimate) = warm
             .iter()
-            .filter(|warm| warm.index != home && had + WARM_TOKENS <= f64::from(warm.tokens))
+            .filter(|warm| {
+                warm.index != home && home_tokens + MIN_WARM_TOKENS <= f64::from(warm.tokens)
+            })
             .filter(|warm| self.is_usable(warm.index))
             .map(|warm| (warm.index, Estimate::at_warm(self, warm)))
             .min_by(|a, b| a.1.cost(self).total_cmp(&b.1.cost(self)))?;
@@ -127,15 +135,15 @@
         is_better.then(|| estimate.choice(self, index, ChoiceReason::Warm))
     }
 
-    /// A server with little to do, where computing the prompt anew costs less than the wait.
+    /// A less loaded server where computing the prompt costs less than waiting at home.
     fn detour(
         &self,
-        preference: &Preference,
+        preference: &PreferenceList,
         warm: &WarmSet,
         home: u32,
         at_home: &Estimate,
     ) -> Option<Choice> {
-        if at_home.wait_ms < DETOUR_WAIT_MS {
+        if at_home.wait_ms < MIN_DETOUR_WAIT_MS {
             return None;
         }
         let limit = at_home.cost(self);
@@ -150,40 +158,39 @@
                 (estimate.cost(self) + self.weights().ttft * jitter, *index, estimate)
             })
             .min_by(|a, b| a.0.total_cmp(&b.0))?;
-        if limit <= cost || !self.placer.budget().spend(self.copy_tokens()) {
+        if limit <= cost || !self.placer.budget().try_spend(self.detour_cost_tokens()) {
             return None;
         }
         Some(estimate.imported(self, warm).choice(self, index, ChoiceReason::Detour))
     }
 
-    /// What a detour costs the fleet. It counts in full even if the other server is believed to
-    /// have the prompt: keeping a second copy of it there pushes others out, and detours that look
-    /// free would keep all copies they ever made.
-    fn copy_tokens(&self) -> f64 {
+    /// Tokens charged to the detour budget. The full anchor is charged even if the other server
+    /// already has it cached, because keeping the second copy evicts other prefixes.
+    fn detour_cost_tokens(&self) -> f64 {
         f64::from(self.chain.anchor().map_or(0, |anchor| anchor.tokens))
     }
 
-    fn alternatives(&self, preference: &Preference) -> ServerList {
+    fn alternatives(&self, preference: &PreferenceList) -> ServerList {
         let mut list = ServerList::new();
-        for index in preference.members().iter().take(FALLBACKS) {
+        for index in preference.members().iter().take(MAX_FALLBACK_SERVERS) {
             list.push(*index);
         }
         let group = self.chain.group().map(|level| level.hash.0).unwrap_or_default();
-        for index in self.view.ring().list(group, NEXT_LISTED + 1).as_slice() {
+        for index in self.view.ring().preference_list(group, EXTRA_RING_SERVERS + 1).as_slice() {
             list.push(*index);
         }
-        self.draw(self.view.near(), &mut list);
+        self.sample(self.view.near(), &mut list);
         list
     }
 
-    /// All members are out of use: the next server of the group's list, so that the group stays
-    /// together, then any near one, then any at all.
+    /// If no member is usable, selects the next usable server of the group's ring list, which keeps
+    /// the group together, then any near server, then a far one.
     fn fallback(&self, warm: &WarmSet) -> Option<Choice> {
         let group = self.chain.group().map(|level| level.hash.0).unwrap_or_default();
-        let list = self.view.ring().list(group, FALLBACKS);
+        let list = self.view.ring().preference_list(group, MAX_FALLBACK_SERVERS);
         let near = self.view.near().iter();
         let index = list.as_slice().iter().chain(near).find(|index| self.is_usable(**index));
-        let Some(index) = index.copied() else { return self.far_away() };
+        let Some(index) = index.copied() else { return self.far_zone() };
         let estimate = match warm.get(index) {
             Some(warm) => Estimate::at_warm(self, warm),
             None => Estimate::cold(self, index).imported(self, warm),
@@ -191,31 +198,31 @@
         Some(estimate.choice(self, index, ChoiceReason::Fallback))
     }
 
-    /// The less occupied of two near servers drawn by the request's hash.
-    fn without_home(&self) -> Option<Choice> {
-        let index = self.least_of_drawn(self.view.near());
-        let Some(index) = index else { return self.far_away() };
+    /// The less loaded of two near servers sampled by request hash.
+    fn short_prompt(&self) -> Option<Choice> {
+        let index = self.least_loaded_sample(self.view.near());
+        let Some(index) = index else { return self.far_zone() };
         Some(Estimate::cold(self, index).choice(self, index, ChoiceReason::ShortPrompt))
     }
 
-    pub(crate) fn far_away(&self) -> Option<Choice> {
-        let index = self.least_of_drawn(self.view.far())?;
+    pub(crate) fn far_zone(&self) -> Option<Choice> {
+        let index = self.least_loaded_sample(self.view.far())?;
         Some(Estimate::cold(self, index).choice(self, index, ChoiceReason::FarZone))
     }
 
-    fn least_of_drawn(&self, servers: &[u32]) -> Option<u32> {
-        let mut drawn = ServerList::new();
-        self.draw(servers, &mut drawn);
-        let usable = drawn.as_slice().iter().copied().filter(|index| self.is_usable(*index));
-        let least = usable.min_by(|a, b| self.occupancy(*a).total_cmp(&self.occupancy(*b)));
-        least.or_else(|| servers.iter().copied().find(|index| self.is_usable(*index)))
+    fn least_loaded_sample(&self, servers: &[u32]) -> Option<u32> {
+        let mut sampled = ServerList::new();
+        self.sample(servers, &mut sampled);
+        let usable = sampled.as_slice().iter().copied().filter(|index| self.is_usable(*index));
+        let least_loaded = usable.min_by(|a, b| self.occupancy(*a).total_cmp(&self.occupancy(*b)));
+        least_loaded.or_else(|| servers.iter().copied().find(|index| self.is_usable(*index)))
     }
 
-    fn draw(&self, servers: &[u32], list: &mut ServerList) {
+    fn sample(&self, servers: &[u32], list: &mut ServerList) {
         if servers.is_empty() {
             return;
         }
-        for turn in 0..DRAWN {
+        for turn in 0..SAMPLED_SERVERS {
             let hash = mix(self.chain.request_hash(), turn);
             list.push(servers[(hash % servers.len() as u64) as usize]);
         }
--- a/crates/placement/src/estimate.rs
+++ b/crates/placement/src/estimate.rs
@@ -1,34 +1,34 @@
-//! What sending a request to one server would take.
+//! Latency and cost estimates for sending a request to a server.
 
 use crate::Choice;
 use crate::ChoiceReason;
 use crate::ImportConf;
 use crate::KvSource;
 use crate::StoreUse;
-use crate::choice::CacheBelief;
+use crate::choice::CachePrediction;
 use crate::chooser::Chooser;
-use crate::preference::Preference;
+use crate::preference_list::PreferenceList;
 use crate::warm_set::WarmServer;
 use crate::warm_set::WarmSet;
 
-/// A hint that is not too old is right about this often.
-const HINT_TRUST: f64 = 0.95;
-/// A group's prefix is cached about this often on the servers that keep the group.
-const GROUP_TRUST: f64 = 0.9;
+/// Probability that an unexpired hint is correct.
+const HINT_HIT_PROBABILITY: f64 = 0.95;
+/// Probability that a group's prefix is cached on a member of the group.
+const GROUP_HIT_PROBABILITY: f64 = 0.9;
 
-/// The estimated time of a request at one server.
+/// The estimated latency of a request at one server.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Estimate {
     pub(crate) wait_ms: f64,
-    /// Tokens expected in the server's cache.
+    /// Tokens predicted to be in the server's cache.
     pub(crate) cached: f64,
-    /// Tokens expected to be computed.
+    /// Tokens that remain to be computed.
     pub(crate) uncached: f64,
     compute_ms: f64,
     import_ms: f64,
     zone_ms: f64,
     source: Option<ImportSource>,
-    belief: CacheBelief,
+    prediction: CachePrediction,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -38,27 +38,27 @@
 }
 
 impl Estimate {
-    /// At the server that keeps the prompt.
+    /// Estimate for the prompt's home server.
     pub(crate) fn at_home(chooser: &Chooser<'_>, warm: &WarmSet, home: u32) -> Estimate {
         if let Some(warm) = warm.get(home) {
             return Estimate::at_warm(chooser, warm);
         }
         let tokens = chooser.chain.anchor().map_or(0, |anchor| anchor.tokens);
-        let cached = f64::from(tokens) * chooser.view.at(home).meter.home_hit();
-        Estimate::new(chooser, home, cached, CacheBelief::Home { tokens })
+        let cached = f64::from(tokens) * chooser.view.server_at(home).meter.home_hit_ratio();
+        Estimate::new(chooser, home, cached, CachePrediction::Home { tokens })
     }
 
-    /// At a server that a hint names.
+    /// Estimate for a server named by a hint.
     pub(crate) fn at_warm(chooser: &Chooser<'_>, warm: WarmServer) -> Estimate {
-        let cached = f64::from(warm.tokens) * HINT_TRUST;
-        Estimate::new(chooser, warm.index, cached, warm.belief())
+        let cached = f64::from(warm.tokens) * HINT_HIT_PROBABILITY;
+        Estimate::new(chooser, warm.index, cached, warm.prediction())
     }
 
-    /// At a server other than home.
+    /// Estimate for a server other than home.
     pub(crate) fn elsewhere(
         chooser: &Chooser<'_>,
         warm: &WarmSet,
-        preference: &Preference,
+        preference: &PreferenceList,
         index: u32,
     ) -> Estimate {
         if let Some(warm) = warm.get(index) {
@@ -69,17 +69,22 @@
         }
         let group = chooser.chain.group().map_or(0, |group| group.tokens);
         let anchor = chooser.chain.anchor().map_or(0, |anchor| anchor.tokens);
-        let cached = if group < anchor { f64::from(group) * GROUP_TRUST } else { 0.0 };
-        Estimate::new(chooser, index, cached, CacheBelief::None)
+        let cached = if group < anchor { f64::from(group) * GROUP_HIT_PROBABILITY } else { 0.0 };
+        Estimate::new(chooser, index, cached, CachePrediction::None)
     }
 
-    /// At a server that has nothing of the prompt.
+    /// Estimate for a server that has none of the prompt cached.
     pub(crate) fn cold(chooser: &Chooser<'_>, index: u32) -> Estimate {
-        Estimate::new(chooser, index, 0.0, CacheBelief::None)
+        Estimate::new(chooser, index, 0.0, CachePrediction::None)
     }
 
-    fn new(chooser: &Chooser<'_>, index: u32, cached: f64, belief: CacheBelief) -> Estimate {
-        let server = chooser.view.at(index);
+    fn new(
+        chooser: &Chooser<'_>,
+        index: u32,
+        cached: f64,
+        prediction: CachePrediction,
+    ) -> Estimate {
+        let server = chooser.view.server_at(index);
         let uncached = (f64::from(chooser.chain.tokens()) - cached).max(0.0);
         let band = chooser.weights().band();
         Estimate {
@@ -90,17 +95,17 @@
             import_ms: 0.0,
             zone_ms: server.zone_ms,
             source: None,
-            belief,
+            prediction,
         }
     }
 
-    /// With what is missing imported, if that takes less time than computing it. Only for a server
-    /// that is chosen already: an import may fail, and choices that counted on it would then scatter
-    /// prompts over servers that compute them anew.
+    /// Plans an import of the missing blocks if that is faster than computing them. Applied only
+    /// after the server has been selected: an import may fail, and selecting servers on the
+    /// assumption that it succeeds would scatter prompts over servers that then recompute them.
     pub(crate) fn imported(mut self, chooser: &Chooser<'_>, warm: &WarmSet) -> Estimate {
         let Some(import) = chooser.placer.conf().import else { return self };
-        if matches!(self.belief, CacheBelief::Hint { .. }) {
-            // The server is believed to have it; asking another would only cost time.
+        if matches!(self.prediction, CachePrediction::Hint { .. }) {
+            // The server is predicted to have the blocks, so a lookup elsewhere only adds latency.
             return self;
         }
         let deepest = chooser.chain.levels().last().map_or(0, |level| level.tokens);
@@ -122,7 +127,7 @@
         self
     }
 
-    /// The cost in the class's weights.
+    /// The estimated cost, weighted by request class.
     pub(crate) fn cost(&self, chooser: &Chooser<'_>) -> f64 {
         let weights = chooser.weights();
         let price = chooser.placer.conf().recompute_price;
@@ -131,16 +136,18 @@
 
     pub(crate) fn choice(&self, chooser: &Chooser<'_>, index: u32, reason: ChoiceReason) -> Choice {
         let kv_source = self.source.map(|source| match source {
-            ImportSource::Server(index) => KvSource::Server(chooser.view.at(index).name().clone()),
+            ImportSource::Server(index) => {
+                KvSource::Server(chooser.view.server_at(index).name().clone())
+            }
             ImportSource::Store => KvSource::Store,
         });
         Choice {
-            server: chooser.view.at(index).clone(),
+            server: chooser.view.server_at(index).clone(),
             reason,
             predicted_cached: chooser.chain.tokens().saturating_sub(self.uncached as u32),
             predicted_ttft_ms: self.ttft_ms(),
             kv_source,
-            belief: self.belief,
+            prediction: self.prediction,
         }
     }
 
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -1,8 +1,10 @@
-//! Where a prompt goes: hash chain, preference lists, cache hints, cost, choice.
+//! Request placement: selects the backend server for each prompt from prefix hashes, cache hints
+//! and estimated cost.
 //!
-//! No I/O and no clock: callers pass monotonic milliseconds. [`Placer::choose`] is the decision,
-//! [`Placer::begin`] and [`Placer::first_token`] the feedback; [`PlanMaker`] runs on the control
-//! thread of one router. `docs/design/placement.md` says why it is built in this way.
+//! The crate does no I/O and reads no clock; callers pass monotonic milliseconds.
+//! [`Placer::choose`] selects a server, [`Placer::begin`] and [`Placer::first_token`] report the
+//! outcome back. [`PlanMaker`] runs on the control thread of a router and assigns hot prefix groups
+//! to servers. See `docs/design/placement.md` for the design.
 
 mod baseline;
 mod cache_events;
@@ -10,23 +12,23 @@
 mod choice_reason;
 mod chooser;
 mod class_weights;
-mod decayed_cell;
+mod decaying_value;
 mod demand_sketch;
 mod detour_budget;
 mod estimate;
 mod fleet_view;
 mod hash_ring;
 mod hint_table;
-mod learned_cell;
 mod meter_book;
 mod mix;
+mod moving_average;
 mod open_request;
 mod placement_conf;
 mod placer;
 mod plan_draft;
 mod plan_maker;
 mod policy_kind;
-mod preference;
+mod preference_list;
 mod prompt_chain;
 mod prompt_scope;
 mod server_list;
@@ -37,9 +39,9 @@
 pub use cache_events::CacheEvent;
 pub use cache_events::CacheEventKind;
 pub use cache_events::CacheEvents;
-pub use cache_events::EventBreak;
-pub use cache_events::EventNews;
 pub use cache_events::EventPage;
+pub use cache_events::NewEvents;
+pub use cache_events::StreamContinuity;
 pub use choice::Choice;
 pub use choice::KvSource;
 pub use choice::PlaceRequest;
@@ -51,7 +53,7 @@
 pub use fleet_view::FleetView;
 pub use meter_book::MeterBook;
 pub use open_request::OpenRequest;
-pub use open_request::ReplyVerdict;
+pub use open_request::ReplySource;
 pub use placement_conf::ImportConf;
 pub use placement_conf::PlacementConf;
 pub use placement_conf::StoreUse;
