--- a/crates/dispatch/src/read_share.rs
+++ b/crates/dispatch/src/bulk_read_limiter.rs
@@ -16,21 +16,21 @@
 
 /// Limits bulk reads to a share of the host's link, by the bytes received.
 #[derive(Clone, Copy, Debug)]
-pub struct ReadShare {
+pub struct BulkReadLimiter {
     bytes_per_s: f64,
     available_at: Option<Instant>,
 }
 
-impl ReadShare {
+impl BulkReadLimiter {
     /// Creates a limiter for a link of this bandwidth.
-    pub fn new(link_bytes_per_s: f64) -> ReadShare {
-        ReadShare { bytes_per_s: link_bytes_per_s * BULK_READ_SHARE, available_at: None }
+    pub fn new(link_bytes_per_s: f64) -> BulkReadLimiter {
+        BulkReadLimiter { bytes_per_s: link_bytes_per_s * BULK_READ_SHARE, available_at: None }
     }
 
     /// Records received bytes, including those of failed reads.
     pub fn add(&mut self, bytes: usize, now: Instant) {
         let start = self.available_at.map_or(now, |at| at.max(now));
-        self.available_at = Some(start + self.time_of(bytes));
+        self.available_at = Some(start + self.transfer_time(bytes));
     }
 
     /// Time until the next read may start.
@@ -39,14 +39,14 @@
     }
 
     /// Time that this many bytes take at the limited rate.
-    pub fn time_of(&self, bytes: usize) -> Duration {
+    pub fn transfer_time(&self, bytes: usize) -> Duration {
         Duration::from_secs_f64(bytes as f64 / self.bytes_per_s)
     }
 }
 
 /// Retry delay after this many failed history reads in a row. A failed read may have transferred
 /// most of a page.
-pub fn history_pause(failures: u32) -> Duration {
+pub fn history_retry_delay(failures: u32) -> Duration {
     let exponent = failures.saturating_sub(1).min(u32::BITS - 1);
     MIN_RETRY_DELAY.saturating_mul(1 << exponent).min(MAX_RETRY_DELAY)
 }
--- a/crates/dispatch/src/own_reach.rs
+++ b/crates/dispatch/src/local_fault_detector.rs
@@ -5,7 +5,7 @@
 use indexmap::IndexMap;
 use tokio::time::Instant;
 
-use crate::ConnectEnd;
+use crate::ConnectOutcome;
 use crate::ServerKey;
 
 /// Attempts older than this are ignored. A busy host attempts to reach all its servers within this
@@ -16,11 +16,11 @@
 const MAX_RETRY_GAP: Duration = Duration::from_secs(3);
 /// Duration of a connection attempt until it times out.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
-/// Minimum number of silent servers for suspecting a local fault.
-const MIN_SILENT_SERVERS: usize = 2;
-/// Minimum ratio of silent to responding servers for suspecting a local fault. A host that is cut
+/// Minimum number of unresponsive servers for suspecting a local fault.
+const MIN_UNRESPONSIVE_SERVERS: usize = 2;
+/// Minimum ratio of unresponsive to responsive servers for suspecting a local fault. A host that is cut
 /// off from two or three other zones of the size of its own stays below it.
-const MIN_SILENT_TO_HEARD: usize = 4;
+const MIN_UNRESPONSIVE_RATIO: usize = 4;
 /// Maximum duration of a suspicion after the first server has responded.
 const MAX_SUSPICION_TIME: Duration = Duration::from_secs(3);
 /// A suspicion that recurs within this time continues the previous one with its upper bound. Being
@@ -39,7 +39,7 @@
 /// suspected, since no other choice of server would help. A refused connection is a response and
 /// always counts against the server.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct OwnReach {
+pub(crate) struct LocalFaultDetector {
     attempts: IndexMap<ServerKey, ConnectAttempt>,
     suspicion: Option<Suspicion>,
     /// When the current suspicion was reported.
@@ -50,7 +50,7 @@
 #[derive(Clone, Copy, Debug)]
 struct ConnectAttempt {
     at: Instant,
-    end: ConnectEnd,
+    end: ConnectOutcome,
     /// First of the consecutive attempts with the same result.
     since: Instant,
 }
@@ -68,25 +68,25 @@
 
 /// Recently tried servers by the result of the latest attempt.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct ReachCount {
+pub struct ReachabilityCount {
     /// Servers that did not answer.
-    pub silent: usize,
+    pub unresponsive: usize,
     /// Servers that accepted or refused the connection.
-    pub heard: usize,
+    pub responsive: usize,
 }
 
 /// Change of the suspicion of this host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ReachNews {
+pub enum SuspicionChange {
     /// It has begun.
-    Doubted(ReachCount),
+    Started(ReachabilityCount),
     /// It has ended after this time.
-    Restored(ReachCount, Duration),
+    Ended(ReachabilityCount, Duration),
 }
 
-impl OwnReach {
+impl LocalFaultDetector {
     /// Records a connection attempt.
-    pub(crate) fn note(&mut self, server: ServerKey, end: ConnectEnd, now: Instant) {
+    pub(crate) fn record(&mut self, server: ServerKey, end: ConnectOutcome, now: Instant) {
         self.attempts.retain(|_, attempt| now < attempt.at + MAX_RETRY_GAP);
         let last = self.attempts.get(&server).filter(|last| last.end == end);
         let since = last.map_or(now, |last| last.since);
@@ -101,65 +101,69 @@
     }
 
     /// Result of the latest connection attempt to the server, if recent.
-    pub(crate) fn newest(&self, server: ServerKey, now: Instant) -> Option<ConnectEnd> {
+    pub(crate) fn newest(&self, server: ServerKey, now: Instant) -> Option<ConnectOutcome> {
         let attempt = self.attempts.get(&server)?;
         attempt.is_recent(now).then_some(attempt.end)
     }
 
     /// Whether this host is suspected.
-    pub(crate) fn doubts(&self, now: Instant) -> bool {
-        self.doubt_end(now).is_some()
+    pub(crate) fn is_suspected(&self, now: Instant) -> bool {
+        self.suspicion_end(now).is_some()
     }
 
     /// End of the latest suspicion, or `now` while it lasts. Silence before that does not count
     /// against servers.
-    pub(crate) fn doubted_until(&self, now: Instant) -> Option<Instant> {
+    pub(crate) fn suspected_until(&self, now: Instant) -> Option<Instant> {
         self.suspicion.map(|suspicion| suspicion.end.min(now))
     }
 
     /// Returns a change of the suspicion since the last call.
-    pub(crate) fn news(&mut self, now: Instant) -> Option<ReachNews> {
+    pub(crate) fn take_change(&mut self, now: Instant) -> Option<SuspicionChange> {
         let count = self.count(now);
-        match (self.reported_at, self.doubts(now)) {
+        match (self.reported_at, self.is_suspected(now)) {
             (None, true) => {
                 self.reported_at = Some(now);
-                Some(ReachNews::Doubted(count))
+                Some(SuspicionChange::Started(count))
             }
             (Some(since), false) => {
                 self.reported_at = None;
-                Some(ReachNews::Restored(count, now.saturating_duration_since(since)))
+                Some(SuspicionChange::Ended(count, now.saturating_duration_since(since)))
             }
             _ => None,
         }
     }
 
     /// When the current suspicion ends unless extended.
-    pub(crate) fn doubt_end(&self, now: Instant) -> Option<Instant> {
+    pub(crate) fn suspicion_end(&self, now: Instant) -> Option<Instant> {
         self.suspicion.map(|suspicion| suspicion.end).filter(|end| now < *end)
     }
 
     /// Counts recently tried servers by result. Servers that responded only before most of the
     /// silent ones fell silent are left out, as they do not show that the link works now. The
     /// median is used because some servers may have been down for long.
-    pub(crate) fn count(&self, now: Instant) -> ReachCount {
+    pub(crate) fn count(&self, now: Instant) -> ReachabilityCount {
         let recent = || self.attempts.values().filter(|attempt| attempt.is_recent(now));
-        let silent = || recent().filter(|attempt| attempt.end == ConnectEnd::Silent);
-        let mut silent_since: Vec<Instant> = silent().map(|attempt| attempt.since).collect();
-        silent_since.sort_unstable();
-        let median = silent_since.get(silent_since.len() / 2).copied();
-        let is_heard = |attempt: &&ConnectAttempt| {
+        let unresponsive = || recent().filter(|attempt| attempt.end == ConnectOutcome::TimedOut);
+        let mut unresponsive_since: Vec<Instant> =
+            unresponsive().map(|attempt| attempt.since).collect();
+        unresponsive_since.sort_unstable();
+        let median = unresponsive_since.get(unresponsive_since.len() / 2).copied();
+        let is_responsive = |attempt: &&ConnectAttempt| {
             let is_current = median.is_none_or(|median| median <= attempt.at + CONNECT_TIMEOUT);
-            attempt.end != ConnectEnd::Silent && is_current
+            attempt.end != ConnectOutcome::TimedOut && is_current
         };
-        ReachCount { silent: silent().count(), heard: recent().filter(is_heard).count() }
+        ReachabilityCount {
+            unresponsive: unresponsive().count(),
+            responsive: recent().filter(is_responsive).count(),
+        }
     }
 
     /// Begins or extends the suspicion.
-    fn suspect(&mut self, count: ReachCount, now: Instant) {
+    fn suspect(&mut self, count: ReachabilityCount, now: Instant) {
         let last =
             self.suspicion.filter(|suspicion| now < suspicion.supported_at + SUSPICION_MEMORY);
         let mut latest_end = last.and_then(|last| last.latest_end);
-        if 0 < count.heard {
+        if 0 < count.responsive {
             latest_end.get_or_insert(now + MAX_SUSPICION_TIME);
         }
         let expiry = now + MAX_ATTEMPT_AGE;
@@ -171,9 +175,10 @@
     }
 }
 
-impl ReachCount {
+impl ReachabilityCount {
     fn suggests_local_fault(self) -> bool {
-        MIN_SILENT_SERVERS <= self.silent && MIN_SILENT_TO_HEARD * self.heard <= self.silent
+        MIN_UNRESPONSIVE_SERVERS <= self.unresponsive
+            && MIN_UNRESPONSIVE_RATIO * self.responsive <= self.unresponsive
     }
 }
 
--- a/crates/dispatch/src/log_cache.rs
+++ b/crates/dispatch/src/log_cache.rs
@@ -24,7 +24,7 @@
 
 /// A request to another router for records.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LogQuestion {
+pub struct LogRequest {
     /// The topic to read.
     pub topic: LogTopic,
     /// Offset of the first record requested.
@@ -36,7 +36,7 @@
     pub epoch: StoreEpoch,
 }
 
-impl LogQuestion {
+impl LogRequest {
     /// Position from which the requester reads on.
     pub fn position(&self) -> LogPosition {
         LogPosition { epoch: self.epoch, offset: self.from }
@@ -45,7 +45,7 @@
 
 /// The records, with their age.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LogAnswer {
+pub struct LogResponse {
     /// The records from the requested offset on.
     pub records: Vec<Vec<u8>>,
     /// Age of the records when the answer was sent: milliseconds since the newest read that reached
@@ -55,7 +55,7 @@
     pub held_ms: u64,
 }
 
-impl LogAnswer {
+impl LogResponse {
     /// Total size of the records.
     pub fn bytes(&self) -> usize {
         self.records.iter().map(Vec::len).sum()
@@ -63,7 +63,7 @@
 
     /// The time at which the records were known to be complete, on the requester's clock. The
     /// unknown network delay counts as age, the time for which the request was held does not.
-    pub fn proven(&self, asked: BootTime) -> BootTime {
+    pub fn complete_as_of(&self, asked: BootTime) -> BootTime {
         BootTime((asked.0 + self.held_ms).saturating_sub(self.age_ms))
     }
 }
@@ -101,12 +101,12 @@
     }
 
     /// Records that a read sent at this time reached the end of the topic.
-    pub fn prove(&mut self, sent: BootTime) {
+    pub fn mark_complete(&mut self, sent: BootTime) {
         self.validated_at = self.validated_at.max(Some(sent));
     }
 
     /// When the newest read that reached the end of the topic was sent.
-    pub fn proven(&self) -> Option<BootTime> {
+    pub fn complete_as_of(&self) -> Option<BootTime> {
         self.validated_at
     }
 
@@ -124,7 +124,7 @@
         max_age: Duration,
         received: BootTime,
         now: BootTime,
-    ) -> Option<LogAnswer> {
+    ) -> Option<LogResponse> {
         let age = now.since(self.validated_at?);
         if from.epoch != self.start.epoch || max_age < age {
             return None;
@@ -135,6 +135,6 @@
         let skipped = (from.offset.0 - self.start.offset.0) as usize;
         let records = self.records.iter().skip(skipped).cloned().collect();
         let held_ms = now.since(received).as_millis() as u64;
-        Some(LogAnswer { records, age_ms: age.as_millis() as u64, held_ms })
+        Some(LogResponse { records, age_ms: age.as_millis() as u64, held_ms })
     }
 }
--- a/crates/dispatch/src/part_memory.rs
+++ b/crates/dispatch/src/prompt_cache_estimate.rs
@@ -17,7 +17,7 @@
 /// late or get lost. Caches evict by recency, so the age of a part is counted in tokens added since
 /// its last use.
 #[derive(Clone, Debug, Default)]
-pub struct PartMemory {
+pub struct PromptCacheEstimate {
     /// Tokens added to the cache so far.
     added_tokens: f64,
     parts: IndexMap<u64, CachedPart>,
@@ -33,7 +33,7 @@
     ready_at: Instant,
 }
 
-impl PartMemory {
+impl PromptCacheEstimate {
     /// Length in tokens of the prompt prefix that is cached, or will be before any prompt sent from
     /// now on.
     pub fn cached_tokens(&self, scope: u64, parts: &[PromptPart], capacity: f64) -> u32 {
@@ -78,7 +78,7 @@
 
     /// Records a prompt sent to the engine, which adds `added_tokens` to its cache and prefills it
     /// by `ready_at`. Parts that could be fetched before still can.
-    pub fn read(
+    pub fn record_prompt(
         &mut self,
         scope: u64,
         parts: impl Iterator<Item = u64>,
@@ -97,7 +97,7 @@
     }
 
     /// Applies a cache event: this many tokens of the part are now cached.
-    pub fn hear(&mut self, key: u64, tokens: u32, now: Instant) {
+    pub fn apply_event(&mut self, key: u64, tokens: u32, now: Instant) {
         if tokens == 0 {
             self.parts.shift_remove(&key);
             return;
--- a/crates/dispatch/src/request_queue.rs
+++ b/crates/dispatch/src/request_queue.rs
@@ -4,12 +4,12 @@
 
 use tokio::time::Instant;
 
+use crate::AssignedEngine;
 use crate::CallFacts;
 use crate::ChoiceView;
+use crate::Placement;
 use crate::PlacementRequest;
-use crate::Placing;
-use crate::ServerBook;
-use crate::TakenEngine;
+use crate::ServerRegistry;
 use crate::admission;
 use crate::queue_priority::QueuePriority;
 
@@ -18,15 +18,15 @@
 
 /// Identifies a queued prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct WaitNumber(u64);
+pub struct QueueTicket(u64);
 
 /// Outcome of a queued prompt.
 #[derive(Debug)]
-pub enum WaitEnd {
+pub enum QueueOutcome {
     /// It was assigned to an engine.
-    Taken(Box<TakenEngine>),
+    Assigned(Box<AssignedEngine>),
     /// No engine may serve it any more.
-    Nowhere,
+    NoEngine,
     /// It was refused without having run; the caller should retry after this time.
     Refused(Duration),
 }
@@ -43,10 +43,10 @@
 
 #[derive(Debug)]
 struct QueuedPrompt {
-    number: WaitNumber,
+    number: QueueTicket,
     request: PlacementRequest,
     /// Tokens that the best engine would prefill, as of the last placement attempt.
-    read_tokens: f64,
+    prefill_tokens: f64,
 }
 
 impl RequestQueue {
@@ -61,30 +61,30 @@
     }
 
     /// Whether a new prompt may bypass the queue.
-    pub fn goes_first(&self, call: &CallFacts) -> bool {
+    pub fn may_bypass(&self, call: &CallFacts) -> bool {
         self.waiting.is_empty() || admission::is_short(call)
     }
 
     /// Adds a prompt to the queue.
-    pub fn enter(&mut self, request: PlacementRequest) -> WaitNumber {
-        let number = WaitNumber(self.next);
+    pub fn push(&mut self, request: PlacementRequest) -> QueueTicket {
+        let number = QueueTicket(self.next);
         self.next += 1;
-        let read_tokens = f64::from(request.call.prompt_tokens());
-        self.waiting.push(QueuedPrompt { number, request, read_tokens });
+        let prefill_tokens = f64::from(request.call.prompt_tokens());
+        self.waiting.push(QueuedPrompt { number, request, prefill_tokens });
         number
     }
 
     /// Removes a prompt whose caller has disconnected.
-    pub fn leave(&mut self, number: WaitNumber) {
+    pub fn remove(&mut self, number: QueueTicket) {
         self.waiting.retain(|prompt| prompt.number != number);
     }
 
     /// Assigns queued prompts to engines with room, and refuses those that are too late.
-    pub fn serve(
+    pub fn run(
         &mut self,
-        book: &mut ServerBook,
+        registry: &mut ServerRegistry,
         view: ChoiceView<'_>,
-    ) -> Vec<(WaitNumber, WaitEnd)> {
+    ) -> Vec<(QueueTicket, QueueOutcome)> {
         self.sort(view.now);
         let mut outcomes = Vec::new();
         let mut failed_placements = 0;
@@ -92,11 +92,13 @@
             if MAX_FAILED_PLACEMENTS <= failed_placements {
                 return true;
             }
-            match book.place(&prompt.request, view) {
-                Placing::Taken(taken) => outcomes.push((prompt.number, WaitEnd::Taken(taken))),
-                Placing::Nowhere => outcomes.push((prompt.number, WaitEnd::Nowhere)),
-                Placing::Wait(read_tokens) => {
-                    prompt.read_tokens = read_tokens;
+            match registry.place(&prompt.request, view) {
+                Placement::Assigned(assigned) => {
+                    outcomes.push((prompt.number, QueueOutcome::Assigned(assigned)));
+                }
+                Placement::NoEngine => outcomes.push((prompt.number, QueueOutcome::NoEngine)),
+                Placement::Queued(prefill_tokens) => {
+                    prompt.prefill_tokens = prefill_tokens;
                     failed_placements += 1;
                     return true;
                 }
@@ -112,12 +114,12 @@
             self.waiting.iter().map(|prompt| f64::from(prompt.request.call.prompt_tokens()));
         let mean_tokens = tokens.sum::<f64>() / self.waiting.len().max(1) as f64;
         let sort_key = |prompt: &QueuedPrompt| {
-            QueuePriority::of(&prompt.request.call, prompt.read_tokens, mean_tokens, now)
+            QueuePriority::of(&prompt.request.call, prompt.prefill_tokens, mean_tokens, now)
         };
         self.waiting.sort_by(|a, b| sort_key(a).compare(&sort_key(b)));
     }
 
-    fn refuse_late(&mut self, now: Instant, outcomes: &mut Vec<(WaitNumber, WaitEnd)>) {
+    fn refuse_late(&mut self, now: Instant, outcomes: &mut Vec<(QueueTicket, QueueOutcome)>) {
         let is_timely = |prompt: &QueuedPrompt| !admission::is_late(&prompt.request.call, now);
         let has_timely = self.waiting.iter().any(is_timely);
         self.waiting.retain(|prompt| {
@@ -125,7 +127,7 @@
             else {
                 return true;
             };
-            outcomes.push((prompt.number, WaitEnd::Refused(retry_after)));
+            outcomes.push((prompt.number, QueueOutcome::Refused(retry_after)));
             false
         });
     }
--- a/crates/dispatch/tests/budgets.rs
+++ b/crates/dispatch/tests/budgets.rs
@@ -6,15 +6,15 @@
 
 use fulmargate_dispatch::CrashConf;
 use fulmargate_dispatch::CrashTracker;
-use fulmargate_dispatch::RepeatBudget;
-use fulmargate_dispatch::RepeatConf;
+use fulmargate_dispatch::RetryBudget;
+use fulmargate_dispatch::RetryConf;
 use fulmargate_names::ServiceName;
 use quickcheck::Gen;
 use quickcheck::QuickCheck;
 use support::key;
 use tokio::time::Instant;
 
-const CONF: RepeatConf = RepeatConf { ratio: 0.2, slack: 52.0, window: Duration::from_secs(10) };
+const CONF: RetryConf = RetryConf { ratio: 0.2, slack: 52.0, window: Duration::from_secs(10) };
 
 fn service() -> ServiceName {
     ServiceName::new("engines")
@@ -27,17 +27,17 @@
     fn property(traffic: Vec<(u8, u8)>) -> bool {
         const ROUTERS: usize = 6;
         let start = Instant::now();
-        let mut routers: Vec<RepeatBudget> =
-            (0..ROUTERS).map(|_| RepeatBudget::new(CONF, start)).collect();
+        let mut routers: Vec<RetryBudget> =
+            (0..ROUTERS).map(|_| RetryBudget::new(CONF, start)).collect();
         routers.iter_mut().for_each(|router| router.set_hosts(ROUTERS));
         let (mut first_sends, mut retries) = (Vec::new(), Vec::new());
         let mut now = start;
         for (router, delay) in traffic {
             now += Duration::from_millis(u64::from(delay) * 4);
             let router = &mut routers[usize::from(router) % ROUTERS];
-            router.first(&service(), now);
+            router.record_first_send(&service(), now);
             first_sends.push(now);
-            while router.try_repeat(&service(), now) {
+            while router.try_retry(&service(), now) {
                 retries.push(now);
             }
         }
@@ -61,37 +61,37 @@
 #[test]
 fn a_new_process_has_no_slack_in_its_first_window() {
     let start = Instant::now();
-    let mut budget = RepeatBudget::new(CONF, start);
+    let mut budget = RetryBudget::new(CONF, start);
     budget.set_hosts(6);
-    assert!(!budget.try_repeat(&service(), start + Duration::from_secs(9)));
-    assert!(budget.try_repeat(&service(), start + Duration::from_secs(11)));
+    assert!(!budget.try_retry(&service(), start + Duration::from_secs(9)));
+    assert!(budget.try_retry(&service(), start + Duration::from_secs(11)));
 }
 
 #[test]
 fn each_service_has_its_own_budget() {
     let start = Instant::now();
     let later = start + Duration::from_secs(60);
-    let mut budget = RepeatBudget::new(CONF, start);
+    let mut budget = RetryBudget::new(CONF, start);
     budget.set_hosts(6);
-    while budget.try_repeat(&service(), later) {}
-    assert!(budget.try_repeat(&ServiceName::new("desk"), later));
+    while budget.try_retry(&service(), later) {}
+    assert!(budget.try_retry(&ServiceName::new("desk"), later));
 }
 
 struct CrashCase {
     name: &'static str,
     /// Servers that crashed while they ran the request.
     crashes: &'static [&'static str],
-    convicted: bool,
+    is_rejected: bool,
 }
 
 const CRASHES: &[CrashCase] = &[
-    CrashCase { name: "one crash", crashes: &["a"], convicted: false },
+    CrashCase { name: "one crash", crashes: &["a"], is_rejected: false },
     CrashCase {
         name: "repeated reports of one server",
         crashes: &["a", "a", "a"],
-        convicted: false,
+        is_rejected: false,
     },
-    CrashCase { name: "crashes of three servers", crashes: &["a", "b", "c"], convicted: true },
+    CrashCase { name: "crashes of three servers", crashes: &["a", "b", "c"], is_rejected: true },
 ];
 
 #[test]
@@ -100,10 +100,10 @@
     for case in CRASHES {
         let mut tracker = CrashTracker::new(CrashConf::default());
         for server in case.crashes {
-            tracker.note(7, key(server), now);
+            tracker.record(7, key(server), now);
         }
-        assert_eq!(tracker.is_convicted(7), case.convicted, "{}", case.name);
-        assert!(!tracker.is_convicted(8), "{}: another request", case.name);
+        assert_eq!(tracker.must_reject(7), case.is_rejected, "{}", case.name);
+        assert!(!tracker.must_reject(8), "{}: another request", case.name);
     }
 }
 
@@ -112,8 +112,8 @@
     let now = Instant::now();
     let mut tracker = CrashTracker::new(CrashConf::default());
     for server in ["a", "b", "c"] {
-        tracker.note(7, key(server), now);
+        tracker.record(7, key(server), now);
     }
-    tracker.acquit(7);
-    assert!(!tracker.is_convicted(7));
+    tracker.clear(7);
+    assert!(!tracker.must_reject(7));
 }
--- a/crates/dispatch/tests/bulk_reads.rs
+++ b/crates/dispatch/tests/bulk_reads.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use fulmargate_dispatch::ReadShare;
-use fulmargate_dispatch::history_pause;
+use fulmargate_dispatch::BulkReadLimiter;
+use fulmargate_dispatch::history_retry_delay;
 use tokio::time::Instant;
 
 /// 10 Mbit/s; the share for bulk reads is 312,500 bytes per second.
@@ -72,7 +72,7 @@
     for case in SHARE_CASES {
         let start = Instant::now();
         let at = |ms: u64| start + Duration::from_millis(ms);
-        let mut limiter = ReadShare::new(case.link_bytes_per_s);
+        let mut limiter = BulkReadLimiter::new(case.link_bytes_per_s);
         for (ms, bytes) in case.reads {
             limiter.add(*bytes, at(*ms));
         }
@@ -92,6 +92,10 @@
 #[test]
 fn failed_history_reads_back_off() {
     for (failures, seconds) in RETRY_DELAYS {
-        assert_eq!(history_pause(*failures), Duration::from_secs(*seconds), "{failures} failures");
+        assert_eq!(
+            history_retry_delay(*failures),
+            Duration::from_secs(*seconds),
+            "{failures} failures"
+        );
     }
 }
--- a/crates/entry/src/control/cache_watcher.rs
+++ b/crates/entry/src/control/cache_watcher.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use fulmargate_dispatch::LastSeen;
+use fulmargate_dispatch::PeerDiscovery;
 use fulmargate_dispatch::ServerEntry;
 use fulmargate_dispatch::ServerKey;
 use fulmargate_names::HostName;
@@ -26,7 +26,7 @@
 pub(crate) struct CacheWatcher {
     state: Arc<SharedState>,
     /// Whether the other routers have had time to reach this one.
-    peer_discovery: LastSeen,
+    peer_discovery: PeerDiscovery,
     readers: CacheReaderSet,
 }
 
@@ -34,7 +34,7 @@
     pub(crate) fn new(state: Arc<SharedState>) -> CacheWatcher {
         let client = CacheEventClient::new(state.settings.link_bytes_per_s());
         let readers = CacheReaderSet::new(state.clone(), Rc::new(client));
-        CacheWatcher { state, peer_discovery: LastSeen::new(Instant::now()), readers }
+        CacheWatcher { state, peer_discovery: PeerDiscovery::new(Instant::now()), readers }
     }
 
     /// Updates the readers as routers and servers come and go.
@@ -50,17 +50,17 @@
         let own = &self.state.settings.host;
         // A new process knows no live peers and would assign all sources to itself, saturating its
         // link with backfills.
-        if !self.peer_discovery.is_over(own, &self.state.fleet.load().members, Instant::now()) {
+        if !self.peer_discovery.is_complete(own, &self.state.fleet.load().members, Instant::now()) {
             return IndexMap::new();
         }
         let table = self.state.table.load();
         let Some(table) = table.as_ref() else { return IndexMap::new() };
-        let book = self.state.book();
-        let peers = book.live_peers(Instant::now());
-        let engines = book.states().filter(|state| table.has_engines(&state.entry().service));
+        let servers = self.state.servers();
+        let peers = servers.live_peers(Instant::now());
+        let engines = servers.states().filter(|state| table.has_engines(&state.entry().service));
         let mut sources: IndexMap<ServerKey, CacheSource> =
             engines.map(|state| (state.key(), cache_source(state.key(), state.entry()))).collect();
-        drop(book);
+        drop(servers);
         if let Some(address) = table.cache_store_address() {
             let store = CacheSource { key: ServerKey::STORE, address, incarnation: None };
             sources.insert(ServerKey::STORE, store);
--- a/crates/entry/src/control/order_scheduler.rs
+++ b/crates/entry/src/control/order_scheduler.rs
@@ -14,10 +14,10 @@
 use fulmargate_dispatch::LeaseStep;
 use fulmargate_dispatch::LogPosition;
 use fulmargate_dispatch::LogTopic;
-use fulmargate_dispatch::OrderWave;
+use fulmargate_dispatch::RolloutEngine;
+use fulmargate_dispatch::RolloutPlan;
+use fulmargate_dispatch::RolloutTime;
 use fulmargate_dispatch::ServerKey;
-use fulmargate_dispatch::WaveServer;
-use fulmargate_dispatch::WaveTime;
 use fulmargate_dispatch::WeightsTarget;
 use fulmargate_names::EventKind;
 use fulmargate_names::ModelName;
@@ -57,14 +57,14 @@
     fleet_state: SharedFleetState,
     reader: FleetReader,
     shared: Rc<SchedulerState>,
-    wave: OrderWave,
+    rollout_plan: RolloutPlan,
 }
 
 /// A weights target that some engines have not loaded.
 struct PendingRollout {
     model: ModelName,
     target: WeightsTarget,
-    servers: Vec<WaveServer>,
+    servers: Vec<RolloutEngine>,
 }
 
 impl OrderScheduler {
@@ -84,7 +84,7 @@
             fleet_state,
             reader,
             shared: Rc::new(shared),
-            wave: OrderWave::default(),
+            rollout_plan: RolloutPlan::default(),
         }
     }
 
@@ -109,15 +109,15 @@
 
     fn rollout_for(&self, model: &ModelName, target: WeightsTarget) -> PendingRollout {
         let in_progress = self.shared.in_progress.borrow();
-        let book = self.state.book();
+        let servers = self.state.servers();
         let now = Instant::now();
         let table = self.state.table.load();
         let has_engines = |service| table.as_ref().is_some_and(|table| table.has_engines(service));
-        let servers = book
+        let servers = servers
             .states()
             .filter(|state| has_engines(&state.entry().service))
             .filter_map(|state| {
-                Some(WaveServer {
+                Some(RolloutEngine {
                     key: state.key(),
                     name: state.entry().name.clone(),
                     zone: state.entry().zone.clone(),
@@ -139,7 +139,7 @@
         }
         let now = boot_now();
         let link_kbps = self.state.settings.link_kbps();
-        let link_rank = self.state.book().link_rank(link_kbps, Instant::now());
+        let link_rank = self.state.servers().link_rank(link_kbps, Instant::now());
         let step = {
             let fleet_state = self.fleet_state.borrow();
             self.shared.lease.borrow().step(&fleet_state, rollout.target.learned, link_rank, now)
@@ -202,7 +202,7 @@
             fleet_state.apply(position.offset, record, sent);
         }
         let fence = position.fence();
-        self.shared.lease.borrow_mut().appended(fence, sent);
+        self.shared.lease.borrow_mut().record_append(fence, sent);
         let kind = EventKind::LeaseTaken;
         tracing::info!(event = kind.number(), name = kind.name(), %fence);
     }
@@ -213,16 +213,16 @@
     }
 
     fn start_orders(&self, rollout: &PendingRollout) {
-        let wave = WaveTime {
+        let time = RolloutTime {
             age: boot_now().since(rollout.target.learned),
             bound: self.state.settings.bounds.weights(),
         };
-        for key in self.wave.next(&rollout.servers, rollout.target.version, wave) {
-            let entry = self.state.book().state(key).map(|state| state.entry().clone());
+        for key in self.rollout_plan.next(&rollout.servers, rollout.target.version, time) {
+            let entry = self.state.servers().state(key).map(|state| state.entry().clone());
             let Some(entry) = entry else { continue };
             self.shared.in_progress.borrow_mut().insert(key);
-            self.state.book().order_given(key, Instant::now());
-            self.state.loading.begin(key, &rollout.model, rollout.target.version);
+            self.state.servers().record_load_order(key, Instant::now());
+            self.state.loading.start(key, &rollout.model, rollout.target.version);
             let task = OrderTask {
                 state: self.state.clone(),
                 engines: self.engines.clone(),
--- a/crates/entry/src/traffic/request_handler/plan.rs
+++ b/crates/entry/src/traffic/request_handler/plan.rs
@@ -3,13 +3,13 @@
 use std::time::Duration;
 
 use fulmargate_consortium::SendHead;
+use fulmargate_dispatch::AssignedEngine;
 use fulmargate_dispatch::ChoiceReason;
+use fulmargate_dispatch::Placement;
 use fulmargate_dispatch::PlacementRequest;
-use fulmargate_dispatch::Placing;
+use fulmargate_dispatch::QueueOutcome;
 use fulmargate_dispatch::RouteKind;
 use fulmargate_dispatch::ServerEntry;
-use fulmargate_dispatch::TakenEngine;
-use fulmargate_dispatch::WaitEnd;
 use fulmargate_names::ModelName;
 use fulmargate_names::ServiceName;
 use fulmargate_names::WeightsVersion;
@@ -57,10 +57,10 @@
 
     fn plan_plain(&self, service: &ServiceName) -> Option<SendPlan> {
         let now = Instant::now();
-        let mut servers = self.state.book();
+        let mut servers = self.state.servers();
         let zone = &self.state.settings.zone;
         let server = servers.choose_plain(service, zone, &self.excluded_servers, now)?;
-        let ticket = servers.begin(self.facts(), server.key(), now);
+        let ticket = servers.record_send(self.facts(), server.key(), now);
         drop(servers);
         let head = self.send_head(&server);
         let in_flight = InFlightRequest::new(self.state.clone(), ticket);
@@ -86,7 +86,7 @@
             excluded: self.excluded_servers.clone(),
         };
         let Some(taken) = self.reserve_engine(placement).await? else { return Ok(None) };
-        let TakenEngine { choice, ticket } = taken;
+        let AssignedEngine { choice, ticket } = taken;
         // Releases the ticket on every early return below.
         let in_flight = InFlightRequest::new(self.state.clone(), ticket);
         // The configuration may have changed, and the key may have been revoked, while the prompt was queued.
@@ -122,11 +122,11 @@
     async fn reserve_engine(
         &self,
         placement: PlacementRequest,
-    ) -> Result<Option<TakenEngine>, RequestFailure> {
+    ) -> Result<Option<AssignedEngine>, RequestFailure> {
         match try_place(&self.state, &placement) {
-            Placing::Taken(taken) => return Ok(Some(*taken)),
-            Placing::Nowhere => return Ok(None),
-            Placing::Wait(_) => {}
+            Placement::Assigned(taken) => return Ok(Some(*taken)),
+            Placement::NoEngine => return Ok(None),
+            Placement::Queued(_) => {}
         }
         let deadline = placement.call.deadline;
         let began = Instant::now();
@@ -135,9 +135,9 @@
         let end = timeout_at(deadline, queued.wait()).await;
         record_engine_wait(wait_outcome_label(end.as_ref().ok()), began.elapsed());
         match end {
-            Ok(WaitEnd::Taken(taken)) => Ok(Some(*taken)),
-            Ok(WaitEnd::Nowhere) => Ok(None),
-            Ok(WaitEnd::Refused(delay)) => {
+            Ok(QueueOutcome::Assigned(taken)) => Ok(Some(*taken)),
+            Ok(QueueOutcome::NoEngine) => Ok(None),
+            Ok(QueueOutcome::Refused(delay)) => {
                 Err(self.failure(self.progress.timeout()).with_retry_delay(delay))
             }
             Err(_) => Err(self.failure(self.progress.timeout())),
@@ -175,7 +175,7 @@
     fn start_deadline(&self, model: &ModelName, weights: WeightsVersion) -> Instant {
         let max_age = self.state.settings.bounds.weights();
         let targets = self.state.weights.load();
-        match targets.time_to_begin(model, weights, max_age, boot_now()) {
+        match targets.max_start_delay(model, weights, max_age, boot_now()) {
             Some(time) => Instant::now() + time,
             None => self.facts().deadline,
         }
@@ -185,24 +185,24 @@
     /// route's timeout, so that the server is not abandoned before the deadline.
     pub(crate) fn probe_interval(&self) -> Duration {
         let route = &self.facts().route;
-        match self.progress.may_go_elsewhere(route) {
+        match self.progress.may_fail_over(route) {
             true => route.target_latency.mul_f64(PROBE_INTERVAL_SHARE),
             false => route.timeout,
         }
     }
 }
 
-fn wait_outcome_label(end: Option<&WaitEnd>) -> &'static str {
+fn wait_outcome_label(end: Option<&QueueOutcome>) -> &'static str {
     match end {
-        Some(WaitEnd::Taken(_)) => "taken",
-        Some(WaitEnd::Refused(_)) => "refused",
-        Some(WaitEnd::Nowhere) | None => "none",
+        Some(QueueOutcome::Assigned(_)) => "taken",
+        Some(QueueOutcome::Refused(_)) => "refused",
+        Some(QueueOutcome::NoEngine) | None => "none",
     }
 }
 
 fn reason_label(reason: ChoiceReason) -> &'static str {
     match reason {
-        ChoiceReason::Home => "home",
+        ChoiceReason::Owner => "home",
         ChoiceReason::Cheaper => "cheaper",
         ChoiceReason::LastResort => "last_resort",
     }
--- a/crates/entry/tests/daemon/record_forwarding.rs
+++ b/crates/entry/tests/daemon/record_forwarding.rs
@@ -6,10 +6,10 @@
 use bytes::Bytes;
 use fulmargate_consortium_stand::ConfigText;
 use fulmargate_consortium_stand::ServerMode;
-use fulmargate_dispatch::LogAnswer;
-use fulmargate_dispatch::LogQuestion;
+use fulmargate_dispatch::LogRequest;
+use fulmargate_dispatch::LogResponse;
 use fulmargate_dispatch::LogTopic;
-use fulmargate_dispatch::SubscriberStore;
+use fulmargate_dispatch::StoreAccess;
 use fulmargate_names::LogOffset;
 use fulmargate_names::StoreEpoch;
 use h2::client::SendRequest;
@@ -41,7 +41,7 @@
 /// Counters of a reader for the operators' topic.
 const REFUSED_READS: &str = "fulmargate_hand_on_refusals_total{topic=\"operator\"}";
 const FORWARDED_BYTES: &str = "fulmargate_handed_on_bytes_total{topic=\"operator\"}";
-const STORE_IN_REACH: SubscriberStore = SubscriberStore::InReach;
+const STORE_IN_REACH: StoreAccess = StoreAccess::Reachable;
 
 struct ReadReply {
     status: StatusCode,
@@ -62,13 +62,13 @@
         Subscriber { address, client }
     }
 
-    async fn read(&self, from: LogOffset, store: SubscriberStore) -> ReadReply {
+    async fn read(&self, from: LogOffset, store: StoreAccess) -> ReadReply {
         let (topic, epoch) = (LogTopic::Operator, StoreEpoch(0));
-        let query = LogQuestion { topic, from, wait_ms: 2_000, epoch };
+        let query = LogRequest { topic, from, wait_ms: 2_000, epoch };
         let query = bincode::serde::encode_to_vec(query, standard()).expect("encode the query");
         let mut client = self.client.clone().ready().await.expect("HTTP/2 connection ready");
         let mut request = Request::post(format!("http://{}/log", self.address));
-        if store == SubscriberStore::OutOfReach {
+        if store == StoreAccess::Unreachable {
             request = request.header("fulmargate-store", "out-of-reach");
         }
         let request = request.body(()).expect("build the request");
@@ -90,7 +90,7 @@
             return ReadReply { status, records: Vec::new() };
         }
         let answer = bincode::serde::decode_from_slice(&bytes, standard());
-        let (answer, _): (LogAnswer, usize) = answer.expect("decode the records");
+        let (answer, _): (LogResponse, usize) = answer.expect("decode the records");
         ReadReply { status, records: answer.records }
     }
 }
@@ -108,7 +108,7 @@
 async fn read_concurrently(
     subscribers: Vec<Subscriber>,
     from: LogOffset,
-    store: SubscriberStore,
+    store: StoreAccess,
 ) -> (Vec<Subscriber>, Vec<ReadReply>) {
     let read = |subscriber: Subscriber| async move {
         let reply = subscriber.read(from, store).await;
@@ -125,7 +125,7 @@
     (subscribers, replies)
 }
 
-async fn wait_until_forwarded(subscriber: &Subscriber, from: LogOffset, store: SubscriberStore) {
+async fn wait_until_forwarded(subscriber: &Subscriber, from: LogOffset, store: StoreAccess) {
     for _ in 0..MAX_POLLS {
         if subscriber.read(from, store).await.status == StatusCode::OK {
             return;
@@ -211,12 +211,12 @@
     deployment.store.put_config(&large_config());
     wait_until("the reader has the large configuration", || has_accepted(&reader, 2)).await;
     let (subscribers, replies) =
-        read_concurrently(subscribers, FIRST_UNREAD, SubscriberStore::OutOfReach).await;
+        read_concurrently(subscribers, FIRST_UNREAD, StoreAccess::Unreachable).await;
     let is_successful = |reply: &&ReadReply| reply.status == StatusCode::OK;
     let successful: Vec<&ReadReply> = replies.iter().filter(is_successful).collect();
     assert_eq!(successful.len(), 1, "one subscriber at a time");
     assert_eq!(successful[0].records.len(), 1);
-    wait_until_forwarded(&subscribers[1], FIRST_UNREAD, SubscriberStore::OutOfReach).await;
+    wait_until_forwarded(&subscribers[1], FIRST_UNREAD, StoreAccess::Unreachable).await;
 }
 
 /// A host that loses its connection to the store must still receive configurations, also one over the
