--- a/crates/peers/src/peer_core.rs
+++ b/crates/peers/src/peer_core.rs
@@ -1,11 +1,12 @@
-//! The decisions of one host, without I/O and with the time passed in.
+//! Membership and gossip state machine of one host. Performs no I/O; callers pass in the current
+//! time.
 
-mod exchange;
+mod anti_entropy;
+mod gossip;
 mod joining;
+mod merging;
 mod probing;
-mod spreading;
-mod taking;
-mod usage;
+mod zone_usage;
 
 use std::net::SocketAddr;
 
@@ -22,88 +23,89 @@
 use crate::PeerNews;
 use crate::PeerPace;
 use crate::SpreadUrgency;
-use crate::state::byte_allowance::ByteAllowance;
+use crate::state::gossip_queue::GossipQueue;
 use crate::state::item_table::ItemTable;
-use crate::state::lazy_queue::FleetSize;
-use crate::state::lazy_queue::LazyQueue;
 use crate::state::member_table::MemberTable;
 use crate::state::neighbor_set::NeighborSet;
-use crate::state::probe_book::ProbeBook;
-use crate::state::rumor_queue::RumorQueue;
+use crate::state::paced_queue::FleetSize;
+use crate::state::paced_queue::PacedQueue;
+use crate::state::probe_tracker::ProbeTracker;
+use crate::state::token_bucket::TokenBucket;
 use crate::wire::PeerFrame;
 use crate::wire::PeerMessage;
 use crate::wire::encoded_len;
 
-/// What the driver is to do.
+/// An action for the driver to perform.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CoreOutput {
-    /// Send a frame; connect when there is no link.
+    /// Sends a frame, connecting first if there is no link.
     Send {
-        /// Where the peer listens.
+        /// Listen address of the peer.
         to: SocketAddr,
         /// The frame.
         frame: PeerFrame,
     },
-    /// Tell the router.
+    /// Notifies the router.
     News(PeerNews),
-    /// Close the links to a peer that does not answer: after a cut a new connection gets through
-    /// long before an old one tries again.
+    /// Closes the links to a peer that does not answer. After a network partition a new connection
+    /// succeeds well before TCP retransmits on the old one.
     DropLink {
-        /// Where the peer listens.
+        /// Listen address of the peer.
         to: SocketAddr,
     },
-    /// Close all links: what they still hold is old.
+    /// Closes all links, discarding the outdated frames buffered in them.
     DropLinks,
 }
 
-/// Whether a host takes part.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Standing {
-    Taking,
+enum Participation {
+    Active,
     Left,
     Superseded,
 }
 
-/// One host's part in the exchange, as a state machine: calls go in, `CoreOutput` comes out.
+/// Protocol state machine of one host. Calls report events; the resulting actions are queued as
+/// `CoreOutput`.
 #[derive(Debug)]
 pub struct PeerCore {
     pace: PeerPace,
     rng: StdRng,
-    standing: Standing,
+    participation: Participation,
     members: MemberTable,
     items: ItemTable,
-    rumors: RumorQueue,
-    lazy: LazyQueue,
-    probes: ProbeBook,
-    doubted: Vec<u64>,
-    accusations_left: u32,
+    gossip_queue: GossipQueue,
+    paced_queue: PacedQueue,
+    probes: ProbeTracker,
+    priority_probes: Vec<u64>,
+    gone_notices_left: u32,
     neighbors: NeighborSet,
-    allowance: ByteAllowance,
+    byte_budget: TokenBucket,
     seeds: Vec<SocketAddr>,
     joined: bool,
-    join_tries: u32,
-    welcomes_left: u32,
+    join_attempts: u32,
+    full_welcomes_left: u32,
     in_force: ConfigVersion,
-    ahead: (ConfigVersion, u64),
-    nudges_left: u32,
-    fresh_urgent: u32,
+    reported_ahead: (ConfigVersion, u64),
+    version_announcements_left: u32,
+    new_urgent: u32,
     sequence: u64,
-    last_ms: u64,
+    latest_ms: u64,
     next_period_ms: u64,
     next_digest_ms: u64,
-    may_compare: bool,
-    next_seed_ms: u64,
+    can_start_comparison: bool,
+    next_reconnect_ms: u64,
     next_rotation_ms: u64,
-    next_usage_ms: u64,
-    refresh_ms: u64,
+    next_usage_report_ms: u64,
+    next_version_refresh_ms: u64,
     outputs: Vec<CoreOutput>,
 }
 
-/// Between two changes of one neighbour.
-const ROTATION_MS: u64 = 10_000;
+/// Interval at which one random neighbor is replaced.
+const NEIGHBOR_ROTATION_MS: u64 = 10_000;
 
 impl PeerCore {
-    /// Starts and calls on a first seed. `address` is where the host listens.
+    /// Creates the state machine and queues a join request to a random seed. `address` is the
+    /// listen address of this host.
     pub fn new(conf: &PeerConf, address: SocketAddr, now_ms: u64) -> PeerCore {
         let own = MemberRecord {
             host: conf.host.clone(),
@@ -117,245 +119,262 @@
         let pace = conf.pace.clone();
         let mut core = PeerCore {
             rng: StdRng::seed_from_u64(conf.random_seed),
-            standing: Standing::Taking,
+            participation: Participation::Active,
             members: MemberTable::new(own),
             items: ItemTable::new(),
-            rumors: RumorQueue::default(),
-            lazy: LazyQueue::default(),
-            probes: ProbeBook::default(),
-            doubted: Vec::new(),
-            accusations_left: probing::ACCUSATIONS_PER_PERIOD,
+            gossip_queue: GossipQueue::default(),
+            paced_queue: PacedQueue::default(),
+            probes: ProbeTracker::default(),
+            priority_probes: Vec::new(),
+            gone_notices_left: probing::GONE_NOTICES_PER_PERIOD,
             neighbors: NeighborSet::default(),
-            allowance: ByteAllowance::new(pace.bytes_per_s, pace.burst_bytes, now_ms),
+            byte_budget: TokenBucket::new(pace.bytes_per_s, pace.burst_bytes, now_ms),
             seeds: conf.seeds.clone(),
             joined: false,
-            join_tries: 0,
-            welcomes_left: joining::WELCOMES_PER_PERIOD,
+            join_attempts: 0,
+            full_welcomes_left: joining::FULL_WELCOMES_PER_PERIOD,
             in_force: ConfigVersion(0),
-            ahead: (ConfigVersion(0), 0),
-            nudges_left: 0,
-            fresh_urgent: 0,
+            reported_ahead: (ConfigVersion(0), 0),
+            version_announcements_left: 0,
+            new_urgent: 0,
             sequence: 0,
-            last_ms: now_ms,
+            latest_ms: now_ms,
             next_period_ms: now_ms + pace.period_ms,
             next_digest_ms: now_ms + pace.digest_ms,
-            may_compare: true,
-            next_seed_ms: now_ms + pace.seed_ms,
-            next_rotation_ms: now_ms + ROTATION_MS,
-            next_usage_ms: now_ms,
-            refresh_ms: now_ms,
+            can_start_comparison: true,
+            next_reconnect_ms: now_ms + pace.seed_ms,
+            next_rotation_ms: now_ms + NEIGHBOR_ROTATION_MS,
+            next_usage_report_ms: now_ms,
+            next_version_refresh_ms: now_ms,
             outputs: Vec::new(),
             pace,
         };
-        core.call_on_someone();
+        core.send_join();
         core
     }
 
-    /// To be called each `tick_ms`.
+    /// Runs timers and one gossip round. Call every `PeerPace::tick_ms`.
     pub fn tick(&mut self, now_ms: u64) {
-        self.observe_time(now_ms);
-        if self.standing != Standing::Taking {
+        self.detect_pause(now_ms);
+        if self.participation != Participation::Active {
             return;
         }
         self.expire_members(now_ms);
-        self.judge_probes(now_ms);
-        self.try_to_join();
+        self.check_probe_timeouts(now_ms);
+        self.retry_join();
         if now_ms >= self.next_period_ms {
             self.next_period_ms = now_ms + self.pace.period_ms;
-            self.run_period(now_ms);
+            self.run_protocol_period(now_ms);
         }
-        self.put_due_items(now_ms);
-        self.spread(now_ms);
+        self.publish_due_items(now_ms);
+        self.gossip_round(now_ms);
     }
 
-    fn run_period(&mut self, now_ms: u64) {
-        self.welcomes_left = joining::WELCOMES_PER_PERIOD;
-        self.accusations_left = probing::ACCUSATIONS_PER_PERIOD;
+    fn run_protocol_period(&mut self, now_ms: u64) {
+        self.full_welcomes_left = joining::FULL_WELCOMES_PER_PERIOD;
+        self.gone_notices_left = probing::GONE_NOTICES_PER_PERIOD;
         self.items.expire(now_ms);
-        self.rumors.expire(now_ms);
-        self.may_compare = true;
+        self.gossip_queue.expire(now_ms);
+        self.can_start_comparison = true;
         if now_ms >= self.next_rotation_ms {
-            self.next_rotation_ms = now_ms + ROTATION_MS;
+            self.next_rotation_ms = now_ms + NEIGHBOR_ROTATION_MS;
             self.neighbors.rotate(&mut self.rng);
         }
         self.neighbors.refresh(&self.members, &mut self.rng);
-        self.probe_someone(now_ms);
+        self.send_probes(now_ms);
         if now_ms >= self.next_digest_ms {
             self.next_digest_ms = now_ms + self.pace.digest_ms;
             self.send_digest();
         }
-        if now_ms >= self.next_seed_ms {
-            self.next_seed_ms = now_ms + self.pace.seed_ms;
-            self.call_on_strangers(now_ms);
+        if now_ms >= self.next_reconnect_ms {
+            self.next_reconnect_ms = now_ms + self.pace.seed_ms;
+            self.contact_missing_peers(now_ms);
         }
-        self.report_usage(now_ms);
-        self.refresh_in_force(now_ms);
+        self.publish_zone_usage(now_ms);
+        self.republish_version(now_ms);
     }
 
-    /// A frame came from a peer, which its link knows by its `Hello`.
+    /// Handles a frame from a peer. `from` is the record that the peer sent in its `Hello`.
     pub fn receive(&mut self, from: &MemberRecord, frame: PeerFrame, now_ms: u64) {
-        let paused = self.observe_time(now_ms);
-        if paused || self.standing != Standing::Taking || !self.meet(from, now_ms) {
+        let paused = self.detect_pause(now_ms);
+        if paused
+            || self.participation != Participation::Active
+            || !self.accept_sender(from, now_ms)
+        {
             return;
         }
-        self.compare_config(from, frame.in_force, now_ms);
+        self.check_config_version(from, frame.in_force, now_ms);
         match frame.message {
             PeerMessage::Hello { .. } => {}
             PeerMessage::Probe { number, digest } => {
-                self.answer_probe(from, number, digest);
+                self.handle_probe(from, number, digest);
             }
-            PeerMessage::ProbeAck { number } => self.settle_probe(from, number),
+            PeerMessage::ProbeAck { number } => self.handle_probe_ack(from, number),
             PeerMessage::ProbeVia { number, host, address } => {
-                self.probe_for(from, number, &host, address, now_ms);
+                self.handle_probe_via(from, number, &host, address, now_ms);
             }
-            PeerMessage::Join => self.welcome(from, now_ms),
+            PeerMessage::Join => self.handle_join(from, now_ms),
             PeerMessage::Welcome { part, records } => {
-                self.take_welcome(from, part, records, now_ms);
+                self.handle_welcome(from, part, records, now_ms);
             }
-            PeerMessage::Digest { buckets } => self.answer_digest(from, &buckets),
+            PeerMessage::Digest { buckets } => self.handle_digest(from, &buckets),
             PeerMessage::Summary { buckets, entries } => {
-                self.answer_summary(from, &buckets, &entries, now_ms);
+                self.handle_summary(from, &buckets, &entries, now_ms);
             }
-            PeerMessage::Want { keys } => self.answer_want(from, &keys, now_ms),
-            PeerMessage::Update { records } => self.take_records(from, records, now_ms),
+            PeerMessage::Want { keys } => self.handle_want(from, &keys, now_ms),
+            PeerMessage::Update { records } => self.merge_records(from, records, now_ms),
         }
-        self.spread_at_once(now_ms);
+        self.gossip_urgent(now_ms);
     }
 
-    /// No link to this address could be made or kept.
+    /// Handles a failure to open or keep a link to `address`.
     pub fn link_failed(&mut self, address: SocketAddr, now_ms: u64) {
-        if self.observe_time(now_ms) || self.standing != Standing::Taking {
+        if self.detect_pause(now_ms) || self.participation != Participation::Active {
             return;
         }
-        let held =
-            self.members.others().find(|record| record.address == address).map(MemberRecord::id);
-        let is_full = self.doubted.len() >= probing::DOUBTED_LIMIT;
-        let known = held.filter(|id| !is_full && !self.doubted.contains(id));
-        self.doubted.extend(known);
-        if !self.joined && self.join_tries < joining::QUICK_TRIES {
-            self.call_on_someone();
+        let held = self
+            .members
+            .present_peers()
+            .find(|record| record.address == address)
+            .map(MemberRecord::id);
+        let is_full = self.priority_probes.len() >= probing::MAX_PRIORITY_PROBES;
+        let known = held.filter(|id| !is_full && !self.priority_probes.contains(id));
+        self.priority_probes.extend(known);
+        if !self.joined && self.join_attempts < joining::MAX_FAST_JOIN_ATTEMPTS {
+            self.send_join();
         }
     }
 
-    /// Tells the others, for as long as the kind's record lives.
+    /// Publishes an item with the default TTL of its kind.
     pub fn put(&mut self, item: PeerItem, now_ms: u64) {
         let ttl_ms = item.kind().row().ttl_ms;
         self.put_for(item, ttl_ms, now_ms);
     }
 
-    /// Tells the others; urgent items keep the given life.
+    /// Publishes an item. `ttl_ms` applies to urgent items only; lazy items get the default TTL of
+    /// their kind.
     pub fn put_for(&mut self, item: PeerItem, ttl_ms: u64, now_ms: u64) {
-        self.observe_time(now_ms);
-        if self.standing != Standing::Taking {
+        self.detect_pause(now_ms);
+        if self.participation != Participation::Active {
             return;
         }
         if item.is_too_long() {
-            tracing::warn!(kind = item.kind().row().name, "an item is too long and was not told");
+            tracing::warn!(
+                kind = item.kind().row().name,
+                "item exceeds the size limit and was not published"
+            );
             return;
         }
         if let PeerItem::ConfigInForce { version, .. } = &item {
-            self.raise_in_force(*version);
+            self.advance_version(*version);
         }
         match item.kind().row().urgency {
-            SpreadUrgency::Urgent => self.put_now(item.bounded(), ttl_ms, now_ms),
-            SpreadUrgency::Lazy => self.lazy.push(item.bounded()),
+            SpreadUrgency::Urgent => self.publish(item.bounded(), ttl_ms, now_ms),
+            SpreadUrgency::Lazy => self.paced_queue.push(item.bounded()),
         }
-        self.spread_at_once(now_ms);
+        self.gossip_urgent(now_ms);
     }
 
-    /// Peers to call on when they are not known as members.
+    /// Adds addresses to contact when they belong to no known member.
     pub fn add_seeds(&mut self, seeds: &[SocketAddr]) {
         let fresh: Vec<SocketAddr> =
             seeds.iter().copied().filter(|seed| !self.seeds.contains(seed)).collect();
         self.seeds.extend(fresh);
-        let excess = self.seeds.len().saturating_sub(joining::SEED_LIMIT);
+        let excess = self.seeds.len().saturating_sub(joining::MAX_SEEDS);
         self.seeds.drain(..excess);
     }
 
-    /// Says good-bye to a number of peers, which hand it on; then takes part no more.
+    /// Announces the departure of this host to a random sample of peers, then stops taking part.
     pub fn leave(&mut self, now_ms: u64) {
-        if self.standing != Standing::Taking {
+        if self.participation != Participation::Active {
             return;
         }
         self.members.leave(now_ms);
-        self.say_goodbye();
-        self.standing = Standing::Left;
+        self.announce_leave();
+        self.participation = Participation::Left;
     }
 
-    /// What the driver is to do, in order.
+    /// Takes the queued actions, in the order in which to perform them.
     pub fn take_outputs(&mut self) -> Vec<CoreOutput> {
         std::mem::take(&mut self.outputs)
     }
 
-    /// This host's record, for `Hello`.
+    /// The record of this host, as sent in `Hello`.
     pub fn own(&self) -> &MemberRecord {
         self.members.own()
     }
 
-    /// The configuration that this host has in force.
+    /// The configuration version in force on this host.
     pub fn in_force(&self) -> ConfigVersion {
         self.in_force
     }
 
-    /// All hosts held, this one among them.
+    /// All known members, including this host.
     pub fn members(&self) -> Vec<MemberRecord> {
         self.members.records().cloned().collect()
     }
 
-    /// What is held of a host.
+    /// The record of one member.
     pub fn member(&self, host: &HostName) -> Option<&MemberRecord> {
         self.members.by_host(host)
     }
 
-    /// All items held, with what is left of their lives.
+    /// All items, with their remaining TTL.
     pub fn items(&self, now_ms: u64) -> Vec<ItemRecord> {
-        self.items.keys().into_iter().filter_map(|key| self.items.aged(key, now_ms)).collect()
+        self.items
+            .keys()
+            .into_iter()
+            .filter_map(|key| self.items.current_record(key, now_ms))
+            .collect()
     }
 
-    /// How many records wait to be handed on.
+    /// Number of records queued for gossip.
     pub fn backlog(&self) -> usize {
-        self.rumors.len()
+        self.gossip_queue.len()
     }
 
-    /// A process that was frozen must not judge others by its own clock: its probes are all late,
-    /// its suspicions due, and what stands in its links is old. It starts over as if it were new.
-    fn observe_time(&mut self, now_ms: u64) -> bool {
-        let paused_ms = now_ms.saturating_sub(self.last_ms);
-        self.last_ms = self.last_ms.max(now_ms);
-        if paused_ms < self.pace.pause_ms || self.standing != Standing::Taking {
+    /// Detects that the process was suspended. Probes and suspicions that timed out meanwhile say
+    /// nothing about the peers, and frames buffered in the links are outdated, so they are
+    /// discarded and the host joins again.
+    fn detect_pause(&mut self, now_ms: u64) -> bool {
+        let paused_ms = now_ms.saturating_sub(self.latest_ms);
+        self.latest_ms = self.latest_ms.max(now_ms);
+        if paused_ms < self.pace.pause_ms || self.participation != Participation::Active {
             return false;
         }
         self.probes.clear();
-        self.doubted.clear();
-        self.rumors.clear();
-        self.members.extend_suspicions(paused_ms);
+        self.priority_probes.clear();
+        self.gossip_queue.clear();
+        self.members.extend_suspicion_timeouts(paused_ms);
         self.items.expire(now_ms);
         self.joined = false;
-        self.join_tries = 0;
+        self.join_attempts = 0;
         self.outputs.push(CoreOutput::DropLinks);
-        self.news(PeerNews::Paused { for_ms: paused_ms });
+        self.notify(PeerNews::Paused { for_ms: paused_ms });
         self.refute(0);
         true
     }
 
-    fn size(&self) -> FleetSize {
+    fn fleet_size(&self) -> FleetSize {
         let zone = &self.members.own().zone;
-        let zone_hosts = 1 + self.members.others().filter(|record| record.zone == *zone).count();
-        FleetSize { hosts: self.members.present(), zone_hosts }
+        let zone_hosts =
+            1 + self.members.present_peers().filter(|record| record.zone == *zone).count();
+        FleetSize { hosts: self.members.present_count(), zone_hosts }
     }
 
-    fn news(&mut self, news: PeerNews) {
+    fn notify(&mut self, news: PeerNews) {
         self.outputs.push(CoreOutput::News(news));
     }
 
-    /// Probes are not charged: they are few, and a host that may not probe would accuse others.
+    /// Queues a frame and charges it to the byte budget. Probe traffic is exempt: it is small, and
+    /// delaying it would cause false suspicions.
     fn send(&mut self, to: SocketAddr, message: PeerMessage) {
         let is_probe = matches!(
             message,
             PeerMessage::Probe { .. } | PeerMessage::ProbeAck { .. } | PeerMessage::ProbeVia { .. }
         );
         if !is_probe {
-            self.allowance.spend(encoded_len(&message));
+            self.byte_budget.consume(encoded_len(&message));
         }
         self.outputs
             .push(CoreOutput::Send { to, frame: PeerFrame { in_force: self.in_force, message } });
--- a/crates/peers/src/peer_core/exchange.rs
+++ b/crates/peers/src/peer_core/anti_entropy.rs
@@ -1,4 +1,4 @@
-//! Comparing everything with one neighbour, which heals what was lost on the way.
+//! Anti-entropy: compares all records with a neighbor to repair lost updates.
 
 use rand::Rng;
 
@@ -6,22 +6,21 @@
 use crate::MemberRecord;
 use crate::RecordKey;
 use crate::RecordKind;
-use crate::state::digest_cells::CELLS;
-use crate::state::digest_cells::bucket_of;
-use crate::state::digest_cells::is_steady;
-use crate::state::digest_cells::round_buckets;
-use crate::state::digest_cells::steady_digest;
+use crate::state::digest_buckets::BUCKET_COUNT;
+use crate::state::digest_buckets::bucket_of;
+use crate::state::digest_buckets::buckets_to_compare;
+use crate::state::digest_buckets::is_stable_bucket;
+use crate::state::digest_buckets::stable_digest;
 use crate::wire::PeerMessage;
 use crate::wire::PeerRecord;
 use crate::wire::SummaryEntry;
 use crate::wire::encoded_len;
 
-/// Bytes of records that one answer carries; the next round brings more.
-const ANSWER_BYTES: usize = 8 * 1_024;
-/// Entries of one summary.
-const SUMMARY_LIMIT: usize = 256;
-/// Records asked for at once.
-const WANT_LIMIT: usize = 128;
+/// Maximum bytes of records in one response. The rest follows in later rounds.
+const MAX_RESPONSE_BYTES: usize = 8 * 1_024;
+const MAX_SUMMARY_ENTRIES: usize = 256;
+/// Maximum number of keys in one `Want`.
+const MAX_REQUESTED_KEYS: usize = 128;
 
 impl PeerCore {
     pub(super) fn send_digest(&mut self) {
@@ -34,39 +33,43 @@
         }
     }
 
-    /// A probe carries one hash over what rarely changes. Where it differs, the two hosts compare at
-    /// once: who missed a record hears of it at the next probe rather than at the next digest.
-    pub(super) fn compare_probed(&mut self, from: &MemberRecord, digest: u32) {
-        if self.may_compare && self.allowance.left() > 0 && digest != self.steady_digest() {
-            self.may_compare = false;
+    /// Starts a full comparison if the stable digest in a probe differs from ours. This repairs a
+    /// lost update at the next probe instead of the next periodic digest.
+    pub(super) fn compare_stable_digest(&mut self, from: &MemberRecord, digest: u32) {
+        if self.can_start_comparison
+            && self.byte_budget.available() > 0
+            && digest != self.stable_digest()
+        {
+            self.can_start_comparison = false;
             let buckets = self.buckets();
             self.send(from.address, PeerMessage::Digest { buckets });
         }
     }
 
-    pub(super) fn steady_digest(&self) -> u32 {
-        steady_digest(&self.buckets())
+    pub(super) fn stable_digest(&self) -> u32 {
+        stable_digest(&self.buckets())
     }
 
     fn buckets(&self) -> Vec<u32> {
-        self.members.cells().joined(self.items.cells())
+        self.members.digest().combined(self.items.digest())
     }
 
-    pub(super) fn answer_digest(&mut self, from: &MemberRecord, theirs: &[u32]) {
-        let start = self.rng.random_range(0..CELLS);
-        let (buckets, entries) = self.summary_of(&round_buckets(&self.buckets(), theirs, start));
-        if !buckets.is_empty() && self.allowance.left() > 0 {
+    pub(super) fn handle_digest(&mut self, from: &MemberRecord, theirs: &[u32]) {
+        let start = self.rng.random_range(0..BUCKET_COUNT);
+        let (buckets, entries) =
+            self.limited_summary(&buckets_to_compare(&self.buckets(), theirs, start));
+        if !buckets.is_empty() && self.byte_budget.available() > 0 {
             self.send(from.address, PeerMessage::Summary { buckets, entries });
         }
     }
 
-    /// As many of the buckets as one answer may hold, one at least.
-    fn summary_of(&self, differing: &[u16]) -> (Vec<u16>, Vec<SummaryEntry>) {
+    /// Summarizes as many buckets as fit into one response, but at least one.
+    fn limited_summary(&self, differing: &[u16]) -> (Vec<u16>, Vec<SummaryEntry>) {
         let mut buckets = Vec::new();
         let mut entries = Vec::new();
         for &bucket in differing {
             let mut added = self.summary(&[bucket]);
-            if !buckets.is_empty() && entries.len() + added.len() > SUMMARY_LIMIT {
+            if !buckets.is_empty() && entries.len() + added.len() > MAX_SUMMARY_ENTRIES {
                 break;
             }
             buckets.push(bucket);
@@ -81,44 +84,45 @@
         entries
     }
 
-    /// Whatever differs goes both ways; the older record is dropped where it arrives.
-    pub(super) fn answer_summary(
+    /// Requests records that differ and sends our own versions of them. The receiver of the older
+    /// version drops it.
+    pub(super) fn handle_summary(
         &mut self,
         from: &MemberRecord,
         buckets: &[u16],
         theirs: &[SummaryEntry],
         now_ms: u64,
     ) {
-        // What differed once is likely to differ elsewhere too: after a partition or a start of all
-        // hosts the next comparison comes soon.
-        if buckets.iter().any(|&bucket| is_steady(bucket)) {
+        // Differing buckets suggest a partition or a mass restart: compare again soon.
+        if buckets.iter().any(|&bucket| is_stable_bucket(bucket)) {
             self.next_digest_ms = self.next_digest_ms.min(now_ms + self.pace.period_ms);
         }
         let own = self.summary(buckets);
-        let covered = |entry: &&SummaryEntry| {
+        let is_covered = |entry: &&SummaryEntry| {
             bucket_of(entry.key).is_some_and(|bucket| buckets.contains(&bucket))
         };
-        let missing = theirs.iter().filter(covered).filter(|entry| !own.contains(entry));
-        let keys: Vec<RecordKey> = missing.map(|entry| entry.key).take(WANT_LIMIT).collect();
+        let missing = theirs.iter().filter(is_covered).filter(|entry| !own.contains(entry));
+        let keys: Vec<RecordKey> =
+            missing.map(|entry| entry.key).take(MAX_REQUESTED_KEYS).collect();
         let offered: Vec<RecordKey> =
             own.iter().filter(|entry| !theirs.contains(entry)).map(|entry| entry.key).collect();
-        if !keys.is_empty() && self.allowance.left() > 0 {
+        if !keys.is_empty() && self.byte_budget.available() > 0 {
             self.send(from.address, PeerMessage::Want { keys });
         }
         self.send_records(from, &offered, now_ms);
     }
 
-    pub(super) fn answer_want(&mut self, from: &MemberRecord, keys: &[RecordKey], now_ms: u64) {
+    pub(super) fn handle_want(&mut self, from: &MemberRecord, keys: &[RecordKey], now_ms: u64) {
         self.send_records(from, keys, now_ms);
     }
 
     fn send_records(&mut self, target: &MemberRecord, keys: &[RecordKey], now_ms: u64) {
-        let limit = ANSWER_BYTES.min(self.allowance.left());
+        let limit = MAX_RESPONSE_BYTES.min(self.byte_budget.available());
         let mut records: Vec<PeerRecord> = Vec::new();
         let mut bytes = 0;
         for &key in keys {
-            let is_for = key.kind == RecordKind::Member || self.is_for(key.kind, target);
-            let Some(record) = self.aged(key, now_ms).filter(|_| is_for) else {
+            let is_in_scope = key.kind == RecordKind::Member || self.is_in_scope(key.kind, target);
+            let Some(record) = self.current_record(key, now_ms).filter(|_| is_in_scope) else {
                 continue;
             };
             bytes += encoded_len(&record);
--- a/crates/peers/src/peer_core/joining.rs
+++ b/crates/peers/src/peer_core/joining.rs
@@ -1,4 +1,4 @@
-//! How a host comes to know the others.
+//! Joining and leaving the fleet.
 
 use std::net::SocketAddr;
 
@@ -15,47 +15,49 @@
 use crate::wire::WelcomePart;
 use crate::wire::encoded_len;
 
-/// Newcomers that are told everything in one period; others get a sample and ask elsewhere. When
-/// all hosts start at once, none is overrun.
-pub(super) const WELCOMES_PER_PERIOD: u32 = 4;
-/// Calls in quick succession before a newcomer slows down.
-pub(super) const QUICK_TRIES: u32 = 10;
-/// Seeds kept, the newest.
-pub(super) const SEED_LIMIT: usize = 1_024;
-/// Members in a sample.
-const SAMPLE: usize = 16;
-/// Bytes of records in one part of a welcome.
-const PART_BYTES: usize = 16 * 1_024;
+/// Number of joining hosts per period that get all records. Others get a sample of the members and
+/// ask one of those, which limits the load when all hosts start at once.
+pub(super) const FULL_WELCOMES_PER_PERIOD: u32 = 4;
+/// Number of join attempts made every tick; later attempts are made every period.
+pub(super) const MAX_FAST_JOIN_ATTEMPTS: u32 = 10;
+/// Maximum number of seeds; the newest are kept.
+pub(super) const MAX_SEEDS: usize = 1_024;
+/// Number of members in a sample.
+const SAMPLE_SIZE: usize = 16;
+/// Maximum bytes of records in one part of a welcome.
+const MAX_PART_BYTES: usize = 16 * 1_024;
 
 impl PeerCore {
-    /// Until someone has told everything: a call each tick at first, then each period.
-    pub(super) fn try_to_join(&mut self) {
-        let is_quick = self.join_tries < QUICK_TRIES;
-        if !self.joined && (is_quick || self.last_ms >= self.next_period_ms) {
-            self.call_on_someone();
+    /// Retries until a peer has sent all its records.
+    pub(super) fn retry_join(&mut self) {
+        let is_fast = self.join_attempts < MAX_FAST_JOIN_ATTEMPTS;
+        if !self.joined && (is_fast || self.latest_ms >= self.next_period_ms) {
+            self.send_join();
         }
     }
 
-    /// Calls on a seed or member, taken at random.
-    pub(super) fn call_on_someone(&mut self) {
+    /// Sends a join request to a random seed or member.
+    pub(super) fn send_join(&mut self) {
         let own = self.members.own().address;
-        let members = self.members.others().map(|record| record.address);
+        let members = self.members.present_peers().map(|record| record.address);
         let known: Vec<SocketAddr> =
             members.chain(self.seeds.iter().copied()).filter(|address| *address != own).collect();
         if let Some(&address) = known.choose(&mut self.rng) {
-            self.join_tries += 1;
+            self.join_attempts += 1;
             self.send(address, PeerMessage::Join);
         }
     }
 
-    /// Calls on one seed that is no member and on one member that is gone. This is how two parts
-    /// of the fleet that have given each other up find each other again.
-    pub(super) fn call_on_strangers(&mut self, now_ms: u64) {
-        let held: Vec<SocketAddr> = self.members.others().map(|record| record.address).collect();
+    /// Contacts one seed that is not a present member and one member that is gone, so that the two
+    /// sides of a healed partition find each other.
+    pub(super) fn contact_missing_peers(&mut self, now_ms: u64) {
+        let held: Vec<SocketAddr> =
+            self.members.present_peers().map(|record| record.address).collect();
         let own = self.members.own().address;
-        let strange = |seed: &&SocketAddr| !held.contains(*seed) && **seed != own;
-        let strangers: Vec<SocketAddr> = self.seeds.iter().filter(strange).copied().collect();
-        if let Some(&address) = strangers.choose(&mut self.rng) {
+        let is_unknown = |seed: &&SocketAddr| !held.contains(*seed) && **seed != own;
+        let unknown_seeds: Vec<SocketAddr> =
+            self.seeds.iter().filter(is_unknown).copied().collect();
+        if let Some(&address) = unknown_seeds.choose(&mut self.rng) {
             self.send(address, PeerMessage::Join);
         }
         let gone: Vec<MemberRecord> = self
@@ -65,18 +67,18 @@
             .cloned()
             .collect();
         if let Some(record) = gone.choose(&mut self.rng) {
-            self.tell_record(record.address, record.id(), now_ms);
+            self.send_member(record.address, record.id(), now_ms);
         }
     }
 
-    pub(super) fn welcome(&mut self, from: &MemberRecord, now_ms: u64) {
-        if self.welcomes_left == 0 {
-            let records = self.sample(now_ms);
+    pub(super) fn handle_join(&mut self, from: &MemberRecord, now_ms: u64) {
+        if self.full_welcomes_left == 0 {
+            let records = self.member_sample(now_ms);
             self.send(from.address, PeerMessage::Welcome { part: WelcomePart::Sample, records });
             return;
         }
-        self.welcomes_left -= 1;
-        let mut parts = cut_parts(self.all_records(from, now_ms));
+        self.full_welcomes_left -= 1;
+        let mut parts = split_by_size(self.records_for(from, now_ms));
         let last = parts.pop().unwrap_or_default();
         for records in parts {
             self.send(from.address, PeerMessage::Welcome { part: WelcomePart::More, records });
@@ -84,23 +86,25 @@
         self.send(from.address, PeerMessage::Welcome { part: WelcomePart::Last, records: last });
     }
 
-    fn sample(&mut self, now_ms: u64) -> Vec<PeerRecord> {
-        let ids: Vec<u64> = self.members.others().map(MemberRecord::id).collect();
-        let chosen: Vec<u64> = ids.choose_multiple(&mut self.rng, SAMPLE).copied().collect();
-        let records = chosen.into_iter().filter_map(|id| self.members.aged(id, now_ms));
+    fn member_sample(&mut self, now_ms: u64) -> Vec<PeerRecord> {
+        let ids: Vec<u64> = self.members.present_peers().map(MemberRecord::id).collect();
+        let chosen: Vec<u64> = ids.choose_multiple(&mut self.rng, SAMPLE_SIZE).copied().collect();
+        let records = chosen.into_iter().filter_map(|id| self.members.current_record(id, now_ms));
         records.map(PeerRecord::Member).collect()
     }
 
-    fn all_records(&self, target: &MemberRecord, now_ms: u64) -> Vec<PeerRecord> {
+    fn records_for(&self, target: &MemberRecord, now_ms: u64) -> Vec<PeerRecord> {
         let ids = self.members.ids().into_iter();
-        let members = ids.filter_map(|id| self.members.aged(id, now_ms)).map(PeerRecord::Member);
-        let keys = self.items.keys().into_iter().filter(|key| self.is_for(key.kind, target));
-        let items = keys.filter_map(|key| self.items.aged(key, now_ms)).map(PeerRecord::Item);
+        let members =
+            ids.filter_map(|id| self.members.current_record(id, now_ms)).map(PeerRecord::Member);
+        let keys = self.items.keys().into_iter().filter(|key| self.is_in_scope(key.kind, target));
+        let items =
+            keys.filter_map(|key| self.items.current_record(key, now_ms)).map(PeerRecord::Item);
         members.chain(items).collect()
     }
 
-    /// Whether a kind of record is handed to a host at all.
-    pub(super) fn is_for(&self, kind: RecordKind, target: &MemberRecord) -> bool {
+    /// Whether records of this kind may be sent to `target`.
+    pub(super) fn is_in_scope(&self, kind: RecordKind, target: &MemberRecord) -> bool {
         match kind.row().scope {
             SpreadScope::Fleet => true,
             SpreadScope::Zone => target.zone == self.members.own().zone,
@@ -108,28 +112,29 @@
         }
     }
 
-    pub(super) fn take_welcome(
+    pub(super) fn handle_welcome(
         &mut self,
         from: &MemberRecord,
         part: WelcomePart,
         records: Vec<PeerRecord>,
         now_ms: u64,
     ) {
-        self.take_records(from, records, now_ms);
+        self.merge_records(from, records, now_ms);
         if part == WelcomePart::Last && !self.joined {
             self.joined = true;
-            self.join_tries = 0;
+            self.join_attempts = 0;
             self.neighbors.refresh(&self.members, &mut self.rng);
-            self.news(PeerNews::Joined { from: from.host.clone() });
+            self.notify(PeerNews::Joined { from: from.host.clone() });
         }
     }
 
-    /// The first of the hosts that hear of it hand it on; no probe is needed to find the host gone.
-    pub(super) fn say_goodbye(&mut self) {
+    /// Sends the departure to a sample of peers, which spread it by gossip.
+    pub(super) fn announce_leave(&mut self) {
         let record = self.members.own().clone();
-        let addresses: Vec<SocketAddr> = self.members.others().map(|other| other.address).collect();
+        let addresses: Vec<SocketAddr> =
+            self.members.present_peers().map(|other| other.address).collect();
         let chosen: Vec<SocketAddr> =
-            addresses.choose_multiple(&mut self.rng, SAMPLE).copied().collect();
+            addresses.choose_multiple(&mut self.rng, SAMPLE_SIZE).copied().collect();
         for address in chosen {
             self.send(
                 address,
@@ -139,13 +144,13 @@
     }
 }
 
-fn cut_parts(records: Vec<PeerRecord>) -> Vec<Vec<PeerRecord>> {
+fn split_by_size(records: Vec<PeerRecord>) -> Vec<Vec<PeerRecord>> {
     let mut parts = Vec::new();
     let mut part = Vec::new();
     let mut bytes = 0;
     for record in records {
         let length = encoded_len(&record);
-        if bytes + length > PART_BYTES && !part.is_empty() {
+        if bytes + length > MAX_PART_BYTES && !part.is_empty() {
             parts.push(std::mem::take(&mut part));
             bytes = 0;
         }
--- a/crates/peers/src/peer_core/probing.rs
+++ b/crates/peers/src/peer_core/probing.rs
@@ -1,4 +1,4 @@
-//! Who still lives.
+//! Failure detection by probing.
 
 use std::net::SocketAddr;
 
@@ -12,25 +12,26 @@
 use crate::OverCause;
 use crate::PeerNews;
 use crate::record_key::name_id;
-use crate::state::probe_book::ProbeAnswer;
+use crate::state::probe_tracker::AckResult;
 use crate::wire::PeerMessage;
 use crate::wire::PeerRecord;
 
-/// Hosts asked to probe another one that does not answer.
-const HELPERS: usize = 3;
-/// Probes in a period beyond the regular one, of hosts whose links failed.
-const DOUBTED_PER_PERIOD: usize = 2;
+/// Number of hosts asked for an indirect probe.
+const INDIRECT_PROBES: usize = 3;
+/// Number of priority probes sent per period, in addition to the regular one.
+const PRIORITY_PROBES_PER_PERIOD: usize = 2;
 
-/// Hosts that wait to be probed out of turn.
-pub(super) const DOUBTED_LIMIT: usize = 64;
-/// Hosts told in a period that another one holds them to be gone: each may need a new link.
-pub(super) const ACCUSATIONS_PER_PERIOD: u32 = 8;
+/// Maximum number of hosts queued for a priority probe.
+pub(super) const MAX_PRIORITY_PROBES: usize = 64;
+/// Maximum number of hosts per period that are notified that a peer reports them gone. Each
+/// notification may need a new link.
+pub(super) const GONE_NOTICES_PER_PERIOD: u32 = 8;
 
 impl PeerCore {
-    /// One probe a period, whatever the size of the fleet, and a few where a link has just failed.
-    pub(super) fn probe_someone(&mut self, now_ms: u64) {
-        let doubted = self.doubted.len().min(DOUBTED_PER_PERIOD);
-        let mut targets: Vec<u64> = self.doubted.drain(..doubted).collect();
+    /// Sends one regular probe, and a few to hosts whose links failed or that were reported gone.
+    pub(super) fn send_probes(&mut self, now_ms: u64) {
+        let priority_probes = self.priority_probes.len().min(PRIORITY_PROBES_PER_PERIOD);
+        let mut targets: Vec<u64> = self.priority_probes.drain(..priority_probes).collect();
         targets.extend(self.probes.next_target(&self.members, &mut self.rng));
         for target in targets {
             let present = self.members.get(target).filter(|record| record.is_present()).cloned();
@@ -41,28 +42,29 @@
         }
     }
 
-    /// A host that is held to be suspected or gone is told so with the probe, so that it can refute.
+    /// Probes a host. If it is suspected or gone here, its record is sent as well so that it can
+    /// refute.
     fn send_probe(&mut self, target: &MemberRecord, number: u64, now_ms: u64) {
-        let digest = self.steady_digest();
+        let digest = self.stable_digest();
         self.send(target.address, PeerMessage::Probe { number, digest });
         if target.state != MemberState::Alive {
-            self.tell_record(target.address, target.id(), now_ms);
+            self.send_member(target.address, target.id(), now_ms);
         }
     }
 
-    pub(super) fn answer_probe(&mut self, from: &MemberRecord, number: u64, digest: u32) {
+    pub(super) fn handle_probe(&mut self, from: &MemberRecord, number: u64, digest: u32) {
         self.send(from.address, PeerMessage::ProbeAck { number });
-        self.compare_probed(from, digest);
+        self.compare_stable_digest(from, digest);
     }
 
-    pub(super) fn settle_probe(&mut self, from: &MemberRecord, number: u64) {
-        let answer = self.probes.answered(number, from.id());
-        if let ProbeAnswer::Relay { asker, number } = answer {
-            self.send(asker, PeerMessage::ProbeAck { number });
+    pub(super) fn handle_probe_ack(&mut self, from: &MemberRecord, number: u64) {
+        let answer = self.probes.acknowledge(number, from.id());
+        if let AckResult::Forward { requester, number } = answer {
+            self.send(requester, PeerMessage::ProbeAck { number });
         }
     }
 
-    pub(super) fn probe_for(
+    pub(super) fn handle_probe_via(
         &mut self,
         from: &MemberRecord,
         number: u64,
@@ -72,38 +74,41 @@
     ) {
         let target = name_id(host.as_str());
         let number = self.probes.open_relayed(target, from.address, number, now_ms);
-        let digest = self.steady_digest();
+        let digest = self.stable_digest();
         self.send(address, PeerMessage::Probe { number, digest });
     }
 
-    /// Asks others where an answer is late, and suspects where there is none.
-    pub(super) fn judge_probes(&mut self, now_ms: u64) {
-        for (number, target) in self.probes.take_late(now_ms, self.pace.probe_timeout_ms) {
-            self.ask_helpers(number, target);
+    /// Requests indirect probes where the direct one timed out, and suspects hosts that answered
+    /// neither.
+    pub(super) fn check_probe_timeouts(&mut self, now_ms: u64) {
+        for (number, target) in self.probes.take_overdue(now_ms, self.pace.probe_timeout_ms) {
+            self.request_indirect_probes(number, target);
         }
         for target in self.probes.take_failed(now_ms, self.pace.period_ms) {
             self.suspect(target, now_ms);
         }
     }
 
-    /// One helper stands in the target's zone if one is known: a cut between two zones that leaves
-    /// a third way open must not make their hosts suspect each other.
-    fn ask_helpers(&mut self, number: u64, target: u64) {
+    /// Asks other hosts to probe `target`, one of them in the zone of `target` if possible. This
+    /// avoids false suspicions when only the path between two zones is cut.
+    fn request_indirect_probes(&mut self, number: u64, target: u64) {
         let Some(record) = self.members.get(target).cloned() else {
             return;
         };
         let others: Vec<MemberRecord> =
-            self.members.others().filter(|other| other.id() != target).cloned().collect();
-        let near: Vec<&MemberRecord> =
+            self.members.present_peers().filter(|other| other.id() != target).cloned().collect();
+        let same_zone: Vec<&MemberRecord> =
             others.iter().filter(|other| other.zone == record.zone).collect();
         let mut helpers: Vec<&MemberRecord> =
-            near.choose(&mut self.rng).copied().into_iter().collect();
-        for other in others.choose_multiple(&mut self.rng, HELPERS) {
-            if helpers.len() < HELPERS && !helpers.iter().any(|helper| helper.host == other.host) {
+            same_zone.choose(&mut self.rng).copied().into_iter().collect();
+        for other in others.choose_multiple(&mut self.rng, INDIRECT_PROBES) {
+            if helpers.len() < INDIRECT_PROBES
+                && !helpers.iter().any(|helper| helper.host == other.host)
+            {
                 helpers.push(other);
             }
         }
-        self.probes.note_helpers(number, helpers.iter().map(|helper| helper.id()).collect());
+        self.probes.set_helpers(number, helpers.iter().map(|helper| helper.id()).collect());
         for helper in helpers {
             let (host, address) = (record.host.clone(), record.address);
             self.send(helper.address, PeerMessage::ProbeVia { number, host, address });
@@ -111,48 +116,50 @@
     }
 
     fn suspect(&mut self, target: u64, now_ms: u64) {
-        let suspicion_ms = self.pace.suspicion_ms(self.members.present());
+        let suspicion_ms = self.pace.suspicion_ms(self.members.present_count());
         if let Some(record) = self.members.suspect(target, now_ms, suspicion_ms) {
             self.outputs.push(CoreOutput::DropLink { to: record.address });
-            self.tell_record(record.address, target, now_ms);
-            self.rumor_member(target, None);
-            self.news(PeerNews::Member { member: record });
+            self.send_member(record.address, target, now_ms);
+            self.enqueue_member(target, None);
+            self.notify(PeerNews::Member { member: record });
         }
     }
 
-    /// A host is said to be gone. It is told so, that it may refute, and probed soon. When a partition
-    /// ends this is said of many at once: some are told now, the rest when it is said again.
-    pub(super) fn doubt(&mut self, record: &MemberRecord) {
+    /// Notifies a host that a peer reports it gone, so that it can refute, and schedules a
+    /// priority probe. Reports above the limits are dropped; they are repeated by later
+    /// comparisons.
+    pub(super) fn verify_gone_report(&mut self, record: &MemberRecord) {
         let id = record.id();
-        let is_full = self.doubted.len() >= DOUBTED_LIMIT;
-        if self.accusations_left == 0 || is_full || self.doubted.contains(&id) {
+        let is_full = self.priority_probes.len() >= MAX_PRIORITY_PROBES;
+        if self.gone_notices_left == 0 || is_full || self.priority_probes.contains(&id) {
             return;
         }
-        self.accusations_left -= 1;
-        self.doubted.push(id);
+        self.gone_notices_left -= 1;
+        self.priority_probes.push(id);
         let records = vec![PeerRecord::Member(record.clone())];
         self.send(record.address, PeerMessage::Update { records });
     }
 
     pub(super) fn expire_members(&mut self, now_ms: u64) {
         for member in self.members.expire(now_ms) {
-            self.rumors.remove(member.key());
+            self.gossip_queue.remove(member.key());
             let (host, incarnation) = (member.host.clone(), member.incarnation);
-            self.news(PeerNews::Member { member });
-            self.news(PeerNews::IncarnationOver { host, incarnation, cause: OverCause::Gone });
+            self.notify(PeerNews::Member { member });
+            self.notify(PeerNews::IncarnationOver { host, incarnation, cause: OverCause::Gone });
         }
     }
 
-    pub(super) fn tell_record(&mut self, to: SocketAddr, id: u64, now_ms: u64) {
-        if let Some(record) = self.members.aged(id, now_ms) {
+    pub(super) fn send_member(&mut self, to: SocketAddr, id: u64, now_ms: u64) {
+        if let Some(record) = self.members.current_record(id, now_ms) {
             self.send(to, PeerMessage::Update { records: vec![PeerRecord::Member(record)] });
         }
     }
 
-    /// Only the host itself raises its heartbeat: a higher one proves that it ran after the accusation.
-    pub(super) fn refute(&mut self, accusation: u64) {
-        self.members.refute(accusation);
+    /// Raises the heartbeat of this host above the one in the accusation. Only the host itself
+    /// does this, so a higher heartbeat proves that it ran after the accusation.
+    pub(super) fn refute(&mut self, accused_heartbeat: u64) {
+        self.members.refute(accused_heartbeat);
         let id = self.members.own().id();
-        self.rumor_member(id, None);
+        self.enqueue_member(id, None);
     }
 }
--- a/crates/peers/src/peer_core/usage.rs
+++ b/crates/peers/src/peer_core/zone_usage.rs
@@ -1,6 +1,8 @@
-//! Use by teams, summed up for each zone by one of its hosts.
+//! Aggregation of team usage per zone.
 //!
-//! Were each host's use told to each other host, bytes would grow with the square of the fleet.
+//! One host per zone collects the usage of the others and publishes the sum. If every host
+//! published its own usage to the whole fleet, traffic would grow quadratically with the number of
+//! hosts.
 
 use fulmargate_names::TeamName;
 use indexmap::IndexMap;
@@ -15,17 +17,16 @@
 use crate::wire::PeerMessage;
 use crate::wire::PeerRecord;
 
-/// Time between two sums of a zone, for each zone that sends its own.
-const SPACING_MS: u64 = 400;
-/// The shortest time between two sums.
-const SHORTEST_MS: u64 = 1_000;
+/// Report interval per zone in the fleet.
+const REPORT_INTERVAL_PER_ZONE_MS: u64 = 400;
+const MIN_REPORT_INTERVAL_MS: u64 = 1_000;
 
 impl PeerCore {
-    /// Hands this host's use to the host that sums up its zone.
-    pub(super) fn put_usage(&mut self, item: PeerItem, ttl_ms: u64, now_ms: u64) {
-        let reporter = self.reporter();
-        if reporter.host == self.members.own().host {
-            self.put_now(item, ttl_ms, now_ms);
+    /// Sends the usage of this host to the aggregator of its zone.
+    pub(super) fn publish_usage(&mut self, item: PeerItem, ttl_ms: u64, now_ms: u64) {
+        let aggregator = self.aggregator();
+        if aggregator.host == self.members.own().host {
+            self.publish(item, ttl_ms, now_ms);
             return;
         }
         self.sequence += 1;
@@ -39,41 +40,42 @@
             item,
         };
         self.send(
-            reporter.address,
+            aggregator.address,
             PeerMessage::Update { records: vec![PeerRecord::Item(record)] },
         );
     }
 
-    /// The first present host of the zone by name. Two hosts may both believe to be it for a while:
-    /// each sums up what it is sent, and the later sum stands.
-    fn reporter(&self) -> MemberRecord {
+    /// The first present host of the zone by name. Two hosts may temporarily consider themselves
+    /// the aggregator; the later report then wins.
+    fn aggregator(&self) -> MemberRecord {
         let own = self.members.own();
-        let zone = self.members.others().filter(|record| record.zone == own.zone);
+        let zone = self.members.present_peers().filter(|record| record.zone == own.zone);
         zone.chain(std::iter::once(own))
             .min_by(|a, b| a.host.cmp(&b.host))
             .cloned()
             .unwrap_or_else(|| own.clone())
     }
 
-    pub(super) fn report_usage(&mut self, now_ms: u64) {
-        if now_ms < self.next_usage_ms || self.reporter().host != self.members.own().host {
+    pub(super) fn publish_zone_usage(&mut self, now_ms: u64) {
+        if now_ms < self.next_usage_report_ms || self.aggregator().host != self.members.own().host {
             return;
         }
         let zones: IndexSet<&str> =
-            self.members.others().map(|record| record.zone.as_str()).collect();
-        self.next_usage_ms = now_ms + (SPACING_MS * zones.len() as u64).max(SHORTEST_MS);
+            self.members.present_peers().map(|record| record.zone.as_str()).collect();
+        self.next_usage_report_ms =
+            now_ms + (REPORT_INTERVAL_PER_ZONE_MS * zones.len() as u64).max(MIN_REPORT_INTERVAL_MS);
         let hosts = self.items.items(RecordKind::TeamUsage).count() as u32;
         if hosts > 0 {
             let item = PeerItem::ZoneUsage {
                 zone: self.members.own().zone.clone(),
                 hosts,
-                teams: self.sum_usage(),
+                teams: self.aggregate_usage(),
             };
-            self.put_now(item.bounded(), RecordKind::ZoneUsage.row().ttl_ms, now_ms);
+            self.publish(item.bounded(), RecordKind::ZoneUsage.row().ttl_ms, now_ms);
         }
     }
 
-    fn sum_usage(&self) -> Vec<TeamRate> {
+    fn aggregate_usage(&self) -> Vec<TeamRate> {
         let mut sums: IndexMap<TeamName, TeamRate> = IndexMap::new();
         for item in self.items.items(RecordKind::TeamUsage) {
             let PeerItem::TeamUsage { teams, .. } = item else {
--- a/crates/peers/src/state/item_table.rs
+++ b/crates/peers/src/state/item_table.rs
@@ -13,8 +13,8 @@
 use crate::RecordKind;
 use crate::VERDICT_SERVERS;
 use crate::peer_item::RANK_BITS;
-use crate::state::digest_cells::DigestCells;
-use crate::state::digest_cells::bucket_of;
+use crate::state::digest_buckets::DigestBuckets;
+use crate::state::digest_buckets::bucket_of;
 use crate::wire::SummaryEntry;
 
 #[derive(Clone, Debug)]
@@ -23,34 +23,38 @@
     expires_ms: u64,
 }
 
-/// What came of taking a record in.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum ItemMerge {
-    /// It is the newest.
+pub(crate) enum ItemMergeResult {
+    /// The record was newer and has been stored.
     Accepted,
-    /// It is held already.
+    /// The same record is already stored.
     Known,
-    /// What is held is newer, or it has expired.
+    /// The record is expired, or older than the stored one.
     Stale,
-    /// Two hosts wrote without knowing of each other: this says what both say.
-    Joined(PeerItem),
+    /// Two hosts wrote concurrently: the item combines both writes and must be published.
+    Combined(PeerItem),
 }
 
-/// Items by key, each kind bounded in number.
+/// Items by key, with a maximum number per kind.
 #[derive(Debug)]
 pub(crate) struct ItemTable {
     entries: IndexMap<RecordKey, ItemEntry>,
-    counts: [usize; RECORD_KINDS],
-    cells: DigestCells,
+    counts_by_kind: [usize; RECORD_KINDS],
+    digest: DigestBuckets,
 }
 
 impl ItemTable {
     pub(crate) fn new() -> ItemTable {
-        ItemTable { entries: IndexMap::new(), counts: [0; RECORD_KINDS], cells: DigestCells::new() }
+        ItemTable {
+            entries: IndexMap::new(),
+            counts_by_kind: [0; RECORD_KINDS],
+            digest: DigestBuckets::new(),
+        }
     }
 
-    /// Whether the same was said, by anyone, so lately that saying it again is waste.
-    pub(crate) fn is_fresh(&self, item: &PeerItem, ttl_ms: u64, now_ms: u64) -> bool {
+    /// Whether any host published the same item recently enough that publishing it again is
+    /// redundant.
+    pub(crate) fn is_recently_published(&self, item: &PeerItem, ttl_ms: u64, now_ms: u64) -> bool {
         if item.kind().row().order == OrderRule::SingleWriter {
             return false;
         }
@@ -58,39 +62,39 @@
         held.is_some_and(|held| held.record.item == *item && held.expires_ms > now_ms + ttl_ms / 2)
     }
 
-    /// The order for a record that replaces what is held under the item's key.
+    /// The order value for a record that replaces the stored one.
     pub(crate) fn next_order(&self, item: &PeerItem) -> u64 {
         let held = self.entries.get(&item.key());
         item.next_order(held.map(|held| (held.record.order, &held.record.item)))
     }
 
-    /// Takes a record in when it is newer than what is held.
-    pub(crate) fn merge(&mut self, record: ItemRecord, now_ms: u64) -> ItemMerge {
+    /// Stores a record if it is newer than the stored one.
+    pub(crate) fn merge(&mut self, record: ItemRecord, now_ms: u64) -> ItemMergeResult {
         if record.remaining_ms == 0 {
-            return ItemMerge::Stale;
+            return ItemMergeResult::Stale;
         }
         let held = self.entries.get(&record.item.key());
-        let joined = held.and_then(|held| join_verdicts(&held.record, &record));
+        let combined = held.and_then(|held| merge_concurrent_verdicts(&held.record, &record));
         let order = held.map_or(Ordering::Greater, |held| record.compare(&held.record));
         if order == Ordering::Greater && !self.insert(record, now_ms) {
-            return ItemMerge::Stale;
+            return ItemMergeResult::Stale;
         }
-        match (joined, order) {
-            (Some(item), _) => ItemMerge::Joined(item),
-            (None, Ordering::Greater) => ItemMerge::Accepted,
-            (None, Ordering::Equal) => ItemMerge::Known,
-            (None, Ordering::Less) => ItemMerge::Stale,
+        match (combined, order) {
+            (Some(item), _) => ItemMergeResult::Combined(item),
+            (None, Ordering::Greater) => ItemMergeResult::Accepted,
+            (None, Ordering::Equal) => ItemMergeResult::Known,
+            (None, Ordering::Less) => ItemMergeResult::Stale,
         }
     }
 
     pub(crate) fn expire(&mut self, now_ms: u64) {
-        let over = self.entries.iter().filter(|(_, entry)| entry.expires_ms <= now_ms);
-        let over: Vec<RecordKey> = over.map(|(&key, _)| key).collect();
-        over.into_iter().for_each(|key| self.remove(key));
+        let expired = self.entries.iter().filter(|(_, entry)| entry.expires_ms <= now_ms);
+        let expired: Vec<RecordKey> = expired.map(|(&key, _)| key).collect();
+        expired.into_iter().for_each(|key| self.remove(key));
     }
 
-    /// A record with what is left of its life, to be sent.
-    pub(crate) fn aged(&self, key: RecordKey, now_ms: u64) -> Option<ItemRecord> {
+    /// The record with its remaining TTL.
+    pub(crate) fn current_record(&self, key: RecordKey, now_ms: u64) -> Option<ItemRecord> {
         let entry = self.entries.get(&key)?;
         let mut record = entry.record.clone();
         record.remaining_ms = entry.expires_ms.saturating_sub(now_ms);
@@ -106,27 +110,28 @@
         entries.map(|(_, entry)| &entry.record.item)
     }
 
-    pub(crate) fn cells(&self) -> &DigestCells {
-        &self.cells
+    pub(crate) fn digest(&self) -> &DigestBuckets {
+        &self.digest
     }
 
     pub(crate) fn summary(&self, buckets: &[u16]) -> Vec<SummaryEntry> {
-        let covered =
+        let is_covered =
             |key: &RecordKey| bucket_of(*key).is_some_and(|bucket| buckets.contains(&bucket));
-        let entries = self.entries.iter().filter(|(key, _)| covered(key));
+        let entries = self.entries.iter().filter(|(key, _)| is_covered(key));
         entries.map(|(&key, entry)| SummaryEntry { key, stamp: entry.record.stamp() }).collect()
     }
 
-    /// A full kind loses the record that expires first, which may be the new one.
+    /// Stores a record. If the kind is at its limit, evicts the record that expires first,
+    /// possibly the new one.
     fn insert(&mut self, record: ItemRecord, now_ms: u64) -> bool {
         let key = record.item.key();
         let stamp = record.stamp();
         let expires_ms = now_ms.saturating_add(record.remaining_ms);
         self.remove(key);
         self.entries.insert(key, ItemEntry { record, expires_ms });
-        self.counts[key.kind as usize] += 1;
-        self.cells.toggle(key, stamp);
-        if self.counts[key.kind as usize] > key.kind.row().limit {
+        self.counts_by_kind[key.kind as usize] += 1;
+        self.digest.toggle(key, stamp);
+        if self.counts_by_kind[key.kind as usize] > key.kind.row().limit {
             self.evict(key.kind);
         }
         self.entries.contains_key(&key)
@@ -140,16 +145,16 @@
 
     fn remove(&mut self, key: RecordKey) {
         if let Some(entry) = self.entries.swap_remove(&key) {
-            self.cells.toggle(key, entry.record.stamp());
-            self.counts[key.kind as usize] -= 1;
+            self.digest.toggle(key, entry.record.stamp());
+            self.counts_by_kind[key.kind as usize] -= 1;
         }
     }
 }
 
-/// A request that crashes two servers at about the same time is suspected at two routers, each
-/// naming its own server. Were one record simply to replace the other, a crash would be forgotten
-/// and a third server lost. What both say is written anew; the same on each host, so it ends there.
-fn join_verdicts(held: &ItemRecord, record: &ItemRecord) -> Option<PeerItem> {
+/// Combines two verdicts written concurrently by routers that each saw a different server crash.
+/// If one write replaced the other, a crash would go uncounted. All hosts derive the same result,
+/// so this converges.
+fn merge_concurrent_verdicts(held: &ItemRecord, record: &ItemRecord) -> Option<PeerItem> {
     let PeerItem::CrashVerdict { fingerprint, state, servers } = &held.item else {
         return None;
     };
@@ -158,21 +163,21 @@
         return None;
     };
     let same_write = held.order >> RANK_BITS == record.order >> RANK_BITS;
-    if !same_write || contains_all(servers, other_servers) || contains_all(other_servers, servers) {
+    if !same_write || is_superset(servers, other_servers) || is_superset(other_servers, servers) {
         return None;
     }
-    let mut joined = servers.clone();
-    joined.extend(other_servers.iter().cloned());
-    joined.sort();
-    joined.dedup();
-    joined.truncate(VERDICT_SERVERS);
+    let mut combined = servers.clone();
+    combined.extend(other_servers.iter().cloned());
+    combined.sort();
+    combined.dedup();
+    combined.truncate(VERDICT_SERVERS);
     Some(PeerItem::CrashVerdict {
         fingerprint: *fingerprint,
         state: *state.max(other_state),
-        servers: joined,
+        servers: combined,
     })
 }
 
-fn contains_all(all: &[ServerName], some: &[ServerName]) -> bool {
+fn is_superset(all: &[ServerName], some: &[ServerName]) -> bool {
     some.iter().all(|server| all.contains(server))
 }
--- a/crates/peers/src/state/member_table.rs
+++ b/crates/peers/src/state/member_table.rs
@@ -1,4 +1,4 @@
-//! What one host believes of all entry hosts.
+//! This host's view of the fleet members.
 
 use std::cmp::Ordering;
 
@@ -10,11 +10,10 @@
 use crate::MemberState;
 use crate::RecordKind;
 use crate::record_key::name_id;
-use crate::state::digest_cells::DigestCells;
-use crate::state::digest_cells::bucket_of;
+use crate::state::digest_buckets::DigestBuckets;
+use crate::state::digest_buckets::bucket_of;
 use crate::wire::SummaryEntry;
 
-/// A host and when it came into its state.
 #[derive(Clone, Debug)]
 struct MemberEntry {
     record: MemberRecord,
@@ -22,102 +21,101 @@
     suspected_until_ms: u64,
 }
 
-/// What came of taking a record in.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum MemberMerge {
-    /// It was news; what was held before it.
+pub(crate) enum MemberMergeResult {
+    /// The record was newer; `previous` is the one it replaced.
     Accepted { previous: Option<MemberRecord> },
-    /// It is held already.
+    /// The same record is already stored.
     Known,
-    /// What is held is newer.
+    /// The stored record is newer.
     Stale,
-    /// It says that a host is gone which is alive as far as is known here: that host is to be asked.
-    Doubted,
-    /// It says that this host is suspected or gone.
+    /// The record reports a host as gone that is alive here; probe the host instead of accepting
+    /// it.
+    Unconfirmed,
+    /// The record reports this host as suspected or gone.
     Accused,
-    /// It shows a later process under this host's name.
+    /// The record shows a newer incarnation of this host.
     Superseded { by: Incarnation },
 }
 
-/// The members by the hash of their name, this host among them.
+/// Members by the hash of their name, including this host.
 #[derive(Debug)]
 pub(crate) struct MemberTable {
     own_id: u64,
     entries: IndexMap<u64, MemberEntry>,
-    cells: DigestCells,
+    digest: DigestBuckets,
 }
 
 impl MemberTable {
     pub(crate) fn new(own: MemberRecord) -> MemberTable {
         let own_id = own.id();
-        let mut table = MemberTable { own_id, entries: IndexMap::new(), cells: DigestCells::new() };
-        table.set(own, 0, 0);
+        let mut table =
+            MemberTable { own_id, entries: IndexMap::new(), digest: DigestBuckets::new() };
+        table.upsert(own, 0, 0);
         table
     }
 
-    /// This host's own record.
     pub(crate) fn own(&self) -> &MemberRecord {
         &self.entries[&self.own_id].record
     }
 
-    /// Takes in what another host says.
+    /// Merges a record received from a peer.
     pub(crate) fn merge(
         &mut self,
         record: MemberRecord,
         now_ms: u64,
         suspicion_ms: u64,
-    ) -> MemberMerge {
+    ) -> MemberMergeResult {
         if record.id() == self.own_id {
             return self.merge_own(&record);
         }
-        // The age travels with a record that is to be forgotten. Without it, two hosts that forget
-        // at different moments would hand it back to each other for ever.
+        // The age of an absent host travels with its record. Otherwise hosts that expire the
+        // record at different times would keep reintroducing it to each other.
         if !record.is_present() && record.age_ms >= RecordKind::Member.row().ttl_ms {
-            return MemberMerge::Stale;
+            return MemberMergeResult::Stale;
         }
         let previous = self.entries.get(&record.id()).map(|entry| entry.record.clone());
-        let taken = match &previous {
-            Some(held) => match judge(held, record) {
-                Judgement::Take(taken) => taken,
-                Judgement::Known => return MemberMerge::Known,
-                Judgement::Stale => return MemberMerge::Stale,
-                Judgement::Doubt => return MemberMerge::Doubted,
+        let newer = match &previous {
+            Some(held) => match compare_records(held, record) {
+                RecordComparison::Newer(newer) => newer,
+                RecordComparison::Known => return MemberMergeResult::Known,
+                RecordComparison::Stale => return MemberMergeResult::Stale,
+                RecordComparison::Unconfirmed => return MemberMergeResult::Unconfirmed,
             },
-            None if self.make_room() => record,
-            None => return MemberMerge::Stale,
+            None if self.ensure_capacity() => record,
+            None => return MemberMergeResult::Stale,
         };
-        let since_ms = now_ms.saturating_sub(taken.age_ms);
-        self.set(taken, since_ms, now_ms + suspicion_ms);
-        MemberMerge::Accepted { previous }
+        let since_ms = now_ms.saturating_sub(newer.age_ms);
+        self.upsert(newer, since_ms, now_ms + suspicion_ms);
+        MemberMergeResult::Accepted { previous }
     }
 
-    fn merge_own(&self, record: &MemberRecord) -> MemberMerge {
+    fn merge_own(&self, record: &MemberRecord) -> MemberMergeResult {
         let own = self.own();
         if record.incarnation > own.incarnation {
-            return MemberMerge::Superseded { by: record.incarnation };
+            return MemberMergeResult::Superseded { by: record.incarnation };
         }
-        let accused = record.incarnation == own.incarnation
+        let is_accused = record.incarnation == own.incarnation
             && record.state != MemberState::Alive
             && record.heartbeat >= own.heartbeat
             && own.state == MemberState::Alive;
-        if accused { MemberMerge::Accused } else { MemberMerge::Known }
+        if is_accused { MemberMergeResult::Accused } else { MemberMergeResult::Known }
     }
 
-    /// This host refutes that it is suspected or gone.
-    pub(crate) fn refute(&mut self, accusation: u64) {
+    /// Raises the own heartbeat above the accusation.
+    pub(crate) fn refute(&mut self, accused_heartbeat: u64) {
         let mut own = self.own().clone();
-        own.heartbeat = own.heartbeat.max(accusation) + 1;
-        self.set(own, 0, 0);
+        own.heartbeat = own.heartbeat.max(accused_heartbeat) + 1;
+        self.upsert(own, 0, 0);
     }
 
-    /// This host leaves.
     pub(crate) fn leave(&mut self, now_ms: u64) {
         let mut own = self.own().clone();
         own.state = MemberState::Left;
-        self.set(own, now_ms, 0);
+        self.upsert(own, now_ms, 0);
     }
 
-    /// A host did not answer; its record when this is news.
+    /// Marks a host as suspected. Returns its record if it was alive before.
     pub(crate) fn suspect(
         &mut self,
         id: u64,
@@ -129,36 +127,38 @@
             return None;
         }
         record.state = MemberState::Suspected;
-        self.set(record.clone(), now_ms, now_ms + suspicion_ms);
+        self.upsert(record.clone(), now_ms, now_ms + suspicion_ms);
         Some(record)
     }
 
-    /// Hosts whose time to refute has passed are gone, and those gone or left long ago are forgotten.
+    /// Marks hosts as gone whose suspicion timed out and returns them. Removes hosts that have
+    /// been absent for the whole TTL.
     pub(crate) fn expire(&mut self, now_ms: u64) -> Vec<MemberRecord> {
         let mut gone = Vec::new();
-        let mut forgotten = Vec::new();
+        let mut expired = Vec::new();
         for (&id, entry) in &self.entries {
-            let is_over = now_ms.saturating_sub(entry.since_ms) >= RecordKind::Member.row().ttl_ms;
+            let is_past_ttl =
+                now_ms.saturating_sub(entry.since_ms) >= RecordKind::Member.row().ttl_ms;
             match entry.record.state {
                 MemberState::Suspected if now_ms >= entry.suspected_until_ms => {
                     gone.push(entry.record.clone());
                 }
-                MemberState::Gone | MemberState::Left if is_over && id != self.own_id => {
-                    forgotten.push(id);
+                MemberState::Gone | MemberState::Left if is_past_ttl && id != self.own_id => {
+                    expired.push(id);
                 }
                 _ => {}
             }
         }
-        forgotten.into_iter().for_each(|id| self.remove(id));
+        expired.into_iter().for_each(|id| self.remove(id));
         for record in &mut gone {
             record.state = MemberState::Gone;
-            self.set(record.clone(), now_ms, 0);
+            self.upsert(record.clone(), now_ms, 0);
         }
         gone
     }
 
-    /// Gives suspected hosts the time back that this host itself was paused.
-    pub(crate) fn extend_suspicions(&mut self, paused_ms: u64) {
+    /// Extends suspicions by the time for which this process was suspended.
+    pub(crate) fn extend_suspicion_timeouts(&mut self, paused_ms: u64) {
         self.entries.values_mut().for_each(|entry| entry.suspected_until_ms += paused_ms);
     }
 
@@ -170,8 +170,8 @@
         self.get(name_id(host.as_str()))
     }
 
-    /// A record with its age, to be sent.
-    pub(crate) fn aged(&self, id: u64, now_ms: u64) -> Option<MemberRecord> {
+    /// The record with its current age.
+    pub(crate) fn current_record(&self, id: u64, now_ms: u64) -> Option<MemberRecord> {
         let entry = self.entries.get(&id)?;
         let mut record = entry.record.clone();
         if !record.is_present() {
@@ -188,19 +188,19 @@
         self.entries.values().map(|entry| &entry.record)
     }
 
-    /// The other hosts that may be asked and told things.
-    pub(crate) fn others(&self) -> impl Iterator<Item = &MemberRecord> {
+    /// Members other than this host that are alive or suspected.
+    pub(crate) fn present_peers(&self) -> impl Iterator<Item = &MemberRecord> {
         let own_id = self.own_id;
         self.records().filter(move |record| record.is_present() && record.id() != own_id)
     }
 
-    /// How many hosts are there, this one counted.
-    pub(crate) fn present(&self) -> usize {
-        1 + self.others().count()
+    /// Number of alive or suspected members, including this host.
+    pub(crate) fn present_count(&self) -> usize {
+        1 + self.present_peers().count()
     }
 
-    pub(crate) fn cells(&self) -> &DigestCells {
-        &self.cells
+    pub(crate) fn digest(&self) -> &DigestBuckets {
+        &self.digest
     }
 
     pub(crate) fn summary(&self, buckets: &[u16]) -> Vec<SummaryEntry> {
@@ -211,24 +211,25 @@
             .collect()
     }
 
-    fn set(&mut self, mut record: MemberRecord, since_ms: u64, suspected_until_ms: u64) {
+    fn upsert(&mut self, mut record: MemberRecord, since_ms: u64, suspected_until_ms: u64) {
         record.age_ms = 0;
         let (id, key, stamp) = (record.id(), record.key(), record.stamp());
         let entry = MemberEntry { record, since_ms, suspected_until_ms };
         if let Some(old) = self.entries.insert(id, entry) {
-            self.cells.toggle(key, old.record.stamp());
+            self.digest.toggle(key, old.record.stamp());
         }
-        self.cells.toggle(key, stamp);
+        self.digest.toggle(key, stamp);
     }
 
     fn remove(&mut self, id: u64) {
         if let Some(entry) = self.entries.swap_remove(&id) {
-            self.cells.toggle(entry.record.key(), entry.record.stamp());
+            self.digest.toggle(entry.record.key(), entry.record.stamp());
         }
     }
 
-    /// A full table forgets the host that has been gone longest.
-    fn make_room(&mut self) -> bool {
+    /// Makes room for one more member by evicting the one that has been absent longest. Returns
+    /// false if all are present.
+    fn ensure_capacity(&mut self) -> bool {
         if self.entries.len() < RecordKind::Member.row().limit {
             return true;
         }
@@ -239,37 +240,36 @@
     }
 }
 
-enum Judgement {
-    Take(MemberRecord),
+enum RecordComparison {
+    Newer(MemberRecord),
     Known,
     Stale,
-    Doubt,
+    Unconfirmed,
 }
 
-fn judge(held: &MemberRecord, record: MemberRecord) -> Judgement {
+fn compare_records(held: &MemberRecord, record: MemberRecord) -> RecordComparison {
     match record.incarnation.cmp(&held.incarnation) {
-        Ordering::Less => return Judgement::Stale,
-        Ordering::Greater => return Judgement::Take(record),
+        Ordering::Less => return RecordComparison::Stale,
+        Ordering::Greater => return RecordComparison::Newer(record),
         Ordering::Equal => {}
     }
     match (held.state, record.state) {
-        (MemberState::Left, MemberState::Left) => return Judgement::Known,
-        (MemberState::Left, _) => return Judgement::Stale,
-        (_, MemberState::Left) => return Judgement::Take(record),
+        (MemberState::Left, MemberState::Left) => return RecordComparison::Known,
+        (MemberState::Left, _) => return RecordComparison::Stale,
+        (_, MemberState::Left) => return RecordComparison::Newer(record),
         _ => {}
     }
     match record.heartbeat.cmp(&held.heartbeat).then(record.state.cmp(&held.state)) {
-        Ordering::Less => Judgement::Stale,
-        Ordering::Equal => Judgement::Known,
-        // "Gone" is a conclusion that each host draws itself. After a partition each side holds the
-        // other to be gone, and one side's word would make the other side's hosts drop their own
-        // neighbors, which never failed, until each of them had refuted. Nothing is lost by asking
-        // the host instead: one that is truly gone does not answer.
+        Ordering::Less => RecordComparison::Stale,
+        Ordering::Equal => RecordComparison::Known,
+        // Each host concludes by its own probes that a peer is gone. After a partition each side
+        // considers the other gone; accepting these reports would make hosts drop healthy
+        // neighbors until they refute.
         Ordering::Greater if record.state == MemberState::Gone => match held.state {
-            MemberState::Alive => Judgement::Doubt,
-            MemberState::Suspected => Judgement::Known,
-            MemberState::Gone | MemberState::Left => Judgement::Take(record),
+            MemberState::Alive => RecordComparison::Unconfirmed,
+            MemberState::Suspected => RecordComparison::Known,
+            MemberState::Gone | MemberState::Left => RecordComparison::Newer(record),
         },
-        Ordering::Greater => Judgement::Take(record),
+        Ordering::Greater => RecordComparison::Newer(record),
     }
 }
--- a/crates/peers/src/state/neighbor_set.rs
+++ b/crates/peers/src/state/neighbor_set.rs
@@ -1,4 +1,4 @@
-//! The few hosts that news is handed to.
+//! The peers that this host gossips with.
 
 use rand::Rng;
 use rand::rngs::StdRng;
@@ -7,55 +7,60 @@
 use crate::MemberRecord;
 use crate::state::member_table::MemberTable;
 
-/// Neighbours in the own zone, where there are so many.
-const LOCAL_NEIGHBORS: usize = 6;
-/// Neighbours in other zones, at least.
-const CROSS_NEIGHBORS: usize = 2;
+/// Maximum number of neighbors in the own zone.
+const MAX_LOCAL_NEIGHBORS: usize = 6;
+/// Minimum number of neighbors in other zones.
+const MIN_CROSS_NEIGHBORS: usize = 2;
 
-/// Random neighbours, most of them in the own zone, that change slowly: a link to a neighbour is
-/// used many times, and few bytes cross zones.
+/// Random neighbors, mostly in the own zone. They change slowly, so that links are reused and
+/// little traffic crosses zones.
 #[derive(Debug, Default)]
 pub(crate) struct NeighborSet {
     ids: Vec<u64>,
-    drawn_from: usize,
+    sampled_from: usize,
 }
 
 impl NeighborSet {
-    /// Drops who is absent and fills up at random.
+    /// Drops absent neighbors and fills the set at random.
     pub(crate) fn refresh(&mut self, members: &MemberTable, rng: &mut StdRng) {
         let zone = &members.own().zone;
         let is_local = |record: &&MemberRecord| record.zone == *zone;
-        let local: Vec<u64> = members.others().filter(is_local).map(MemberRecord::id).collect();
-        let cross: Vec<u64> =
-            members.others().filter(|record| !is_local(record)).map(MemberRecord::id).collect();
-        // Drawn among the few that a newcomer knows first, all neighbors would be seeds, and when all
-        // hosts start at once the seeds would get everybody's news.
+        let local: Vec<u64> =
+            members.present_peers().filter(is_local).map(MemberRecord::id).collect();
+        let cross: Vec<u64> = members
+            .present_peers()
+            .filter(|record| !is_local(record))
+            .map(MemberRecord::id)
+            .collect();
+        // Redraws all neighbors when the number of known peers has doubled. Otherwise hosts that
+        // start together would keep the seeds as neighbors and overload them.
         let known = local.len() + cross.len();
-        if known >= 2 * self.drawn_from {
-            self.drawn_from = known;
+        if known >= 2 * self.sampled_from {
+            self.sampled_from = known;
             self.ids.clear();
         }
-        let local_count = local.len().min(LOCAL_NEIGHBORS);
-        let cross_count = CROSS_NEIGHBORS.max(LOCAL_NEIGHBORS + CROSS_NEIGHBORS - local_count);
-        let mut ids = fill(&self.ids, &local, local_count, rng);
-        ids.extend(fill(&self.ids, &cross, cross_count, rng));
+        let local_count = local.len().min(MAX_LOCAL_NEIGHBORS);
+        let cross_count =
+            MIN_CROSS_NEIGHBORS.max(MAX_LOCAL_NEIGHBORS + MIN_CROSS_NEIGHBORS - local_count);
+        let mut ids = top_up(&self.ids, &local, local_count, rng);
+        ids.extend(top_up(&self.ids, &cross, cross_count, rng));
         self.ids = ids;
     }
 
-    /// Lets one neighbour go, so that the graph keeps changing.
+    /// Drops one random neighbor, to be replaced at the next refresh.
     pub(crate) fn rotate(&mut self, rng: &mut StdRng) {
         if !self.ids.is_empty() {
             self.ids.swap_remove(rng.random_range(0..self.ids.len()));
         }
     }
 
-    /// Different neighbours at random.
+    /// Picks up to `count` distinct neighbors at random.
     pub(crate) fn pick(&self, count: usize, rng: &mut StdRng) -> Vec<u64> {
         self.ids.choose_multiple(rng, count).copied().collect()
     }
 
     pub(crate) fn is_full(&self) -> bool {
-        self.ids.len() >= LOCAL_NEIGHBORS + CROSS_NEIGHBORS
+        self.ids.len() >= MAX_LOCAL_NEIGHBORS + MIN_CROSS_NEIGHBORS
     }
 
     pub(crate) fn ids(&self) -> &[u64] {
@@ -63,8 +68,8 @@
     }
 }
 
-/// Of `held`, those still among `all`; then others of `all` at random.
-fn fill(held: &[u64], all: &[u64], count: usize, rng: &mut StdRng) -> Vec<u64> {
+/// Keeps up to `count` of `held` that are still in `all` and adds random others.
+fn top_up(held: &[u64], all: &[u64], count: usize, rng: &mut StdRng) -> Vec<u64> {
     let mut chosen: Vec<u64> =
         held.iter().copied().filter(|id| all.contains(id)).take(count).collect();
     let fresh: Vec<u64> = all.iter().copied().filter(|id| !chosen.contains(id)).collect();
