--- a/crates/peers/src/item_record.rs
+++ b/crates/peers/src/item_record.rs
@@ -1,4 +1,4 @@
-//! An item with where it comes from and how long it lives.
+//! An item together with its origin, version and TTL.
 
 use std::cmp::Ordering;
 
@@ -6,28 +6,30 @@
 use fulmargate_names::Incarnation;
 
 use crate::PeerItem;
-use crate::record_key::mix;
-use crate::record_key::name_id;
+use crate::record_key::hash_numbers;
+use crate::record_key::name_hash;
 
-/// An item as it travels. Two records with the same key are put in order by `stamp`.
+/// An item as it is sent between hosts. `compare` orders two records with the same key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ItemRecord {
-    /// What is said.
+    /// The item.
     pub item: PeerItem,
-    /// Who says it.
+    /// The host that published it.
     pub origin: HostName,
-    /// The origin's incarnation.
+    /// The incarnation of the origin.
     pub incarnation: Incarnation,
-    /// Grows with each record of this incarnation.
+    /// Increases with each record of this incarnation.
     pub sequence: u64,
-    /// Compared first; see `OrderRule`.
+    /// Compared before incarnation and sequence; see `OrderRule`.
     pub order: u64,
-    /// What is left of its life, counted by each holder on its own clock: no clock is shared.
+    /// Remaining TTL in milliseconds. Each host counts it down on its own clock, since clocks are
+    /// not synchronized.
     pub remaining_ms: u64,
 }
 
 impl ItemRecord {
-    /// Which of two records with the same key is newer. Equal only for the same record.
+    /// Orders two records with the same key, the newer one being greater. Equal only for the same
+    /// record.
     pub(crate) fn compare(&self, other: &ItemRecord) -> Ordering {
         self.order
             .cmp(&other.order)
@@ -36,8 +38,13 @@
             .then_with(|| self.origin.cmp(&other.origin))
     }
 
-    /// What digests compare: differs between any two records with the same key.
+    /// Version hash compared by digests. It differs between records with the same key.
     pub(crate) fn stamp(&self) -> u32 {
-        mix(&[self.order, self.incarnation.0, self.sequence, name_id(self.origin.as_str())])
+        hash_numbers(&[
+            self.order,
+            self.incarnation.0,
+            self.sequence,
+            name_hash(self.origin.as_str()),
+        ])
     }
 }
--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -1,6 +1,7 @@
 //! Membership and state exchange between routers.
 //!
-//! `PeerCore` decides, without I/O and with the time passed in; `PeerNet` drives it over links.
+//! `PeerCore` implements the protocol without I/O and takes the current time as an argument.
+//! `PeerNet` runs it over network links.
 
 mod item_record;
 mod member_record;
--- a/crates/peers/src/member_record.rs
+++ b/crates/peers/src/member_record.rs
@@ -1,4 +1,4 @@
-//! What is known of an entry host.
+//! Membership state of entry hosts.
 
 use std::net::SocketAddr;
 
@@ -8,57 +8,58 @@
 
 use crate::RecordKind;
 use crate::record_key::RecordKey;
-use crate::record_key::mix;
-use crate::record_key::name_id;
+use crate::record_key::hash_numbers;
+use crate::record_key::name_hash;
 
-/// State of an entry host as another one sees it.
+/// State of an entry host as seen by another one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[repr(u8)]
 pub enum MemberState {
-    /// It answers, or nobody has said otherwise.
+    /// The host answers probes, or no host has reported otherwise.
     Alive = 0,
-    /// It did not answer; it may still refute this.
+    /// The host did not answer a probe. It may still refute the suspicion.
     Suspected = 1,
-    /// It did not refute in time. It may run all the same, behind a partition or frozen.
+    /// The host did not refute the suspicion in time. It may still be running, suspended or behind
+    /// a network partition.
     Gone = 2,
-    /// It said that it leaves. Final for the incarnation.
+    /// The host announced its departure. Final for this incarnation.
     Left = 3,
 }
 
-/// An entry host: who, where, and in which state.
+/// Identity, address and state of an entry host.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberRecord {
-    /// Its name.
+    /// The host name.
     pub host: HostName,
-    /// Its process.
+    /// The incarnation of its process.
     pub incarnation: Incarnation,
-    /// Raised by the host alone, each time it refutes that it is gone.
+    /// Raised only by the host itself, each time it refutes a suspicion.
     pub heartbeat: u64,
-    /// Its state.
+    /// The membership state.
     pub state: MemberState,
-    /// Its availability zone.
+    /// The availability zone.
     pub zone: ZoneName,
-    /// Where it listens for peers.
+    /// The address on which it listens for peers.
     pub address: SocketAddr,
-    /// How long it has been in this state, for states that are forgotten after a while.
+    /// Time in the current state in milliseconds, used to expire absent hosts.
     pub age_ms: u64,
 }
 
 impl MemberRecord {
     pub(crate) fn id(&self) -> u64 {
-        name_id(self.host.as_str())
+        name_hash(self.host.as_str())
     }
 
     pub(crate) fn key(&self) -> RecordKey {
         RecordKey { kind: RecordKind::Member, id: self.id() }
     }
 
-    /// What digests compare.
+    /// Version hash compared by digests.
     pub(crate) fn stamp(&self) -> u32 {
-        mix(&[self.incarnation.0, self.heartbeat, self.state as u64])
+        hash_numbers(&[self.incarnation.0, self.heartbeat, self.state as u64])
     }
 
-    /// Whether it may be asked and told things.
+    /// Whether the host is alive or suspected, so that it takes part in the protocol.
     pub fn is_present(&self) -> bool {
         self.state <= MemberState::Suspected
     }
--- a/crates/peers/src/net.rs
+++ b/crates/peers/src/net.rs
@@ -1,4 +1,4 @@
-//! Links to other routers: `h2` over TCP, all on the control thread.
+//! Links to other routers over HTTP/2, run on the control thread.
 
 mod answer_side;
 mod ask_side;
--- a/crates/peers/src/peer_conf.rs
+++ b/crates/peers/src/peer_conf.rs
@@ -1,4 +1,4 @@
-//! What a host must be told before it can take part.
+//! Configuration of the peer protocol.
 
 use std::net::SocketAddr;
 
@@ -8,25 +8,25 @@
 
 use crate::PeerPace;
 
-/// Who this host is and how it finds others.
+/// Identity of this host, and how it finds others.
 #[derive(Clone, Debug)]
 pub struct PeerConf {
-    /// Hosts of fleets with other names are turned away, so that a reused address joins no strangers.
+    /// Fleet name. Links from other fleets are rejected, in case an address is reused.
     pub fleet: String,
-    /// This host.
+    /// The name of this host.
     pub host: HostName,
-    /// This process; higher than that of each earlier process of the host.
+    /// Incarnation of this process, higher than those of all earlier processes of the host.
     pub incarnation: Incarnation,
-    /// Where the host stands.
+    /// The availability zone of this host.
     pub zone: ZoneName,
-    /// Where to listen; port 0 takes a free one.
+    /// Listen address; port 0 selects a free port.
     pub listen: SocketAddr,
-    /// What others are told to connect to, when it is not the address listened on.
+    /// Address announced to peers, if different from the listen address.
     pub advertise: Option<SocketAddr>,
-    /// Peers to call on first; more may be added later.
+    /// Initial peers to contact; more may be added later.
     pub seeds: Vec<SocketAddr>,
-    /// Seed of the random choices.
+    /// Seed of the random number generator.
     pub random_seed: u64,
-    /// Times and sizes.
+    /// Protocol intervals and limits.
     pub pace: PeerPace,
 }
--- a/crates/peers/src/peer_core.rs
+++ b/crates/peers/src/peer_core.rs
@@ -258,7 +258,7 @@
         if self.participation != Participation::Active {
             return;
         }
-        if item.is_too_long() {
+        if item.is_oversized() {
             tracing::warn!(
                 kind = item.kind().row().name,
                 "item exceeds the size limit and was not published"
@@ -269,8 +269,8 @@
             self.advance_version(*version);
         }
         match item.kind().row().urgency {
-            SpreadUrgency::Urgent => self.publish(item.bounded(), ttl_ms, now_ms),
-            SpreadUrgency::Lazy => self.paced_queue.push(item.bounded()),
+            SpreadUrgency::Urgent => self.publish(item.truncated(), ttl_ms, now_ms),
+            SpreadUrgency::Lazy => self.paced_queue.push(item.truncated()),
         }
         self.gossip_urgent(now_ms);
     }
--- a/crates/peers/src/peer_core/joining.rs
+++ b/crates/peers/src/peer_core/joining.rs
@@ -108,7 +108,7 @@
         match kind.row().scope {
             SpreadScope::Fleet => true,
             SpreadScope::Zone => target.zone == self.members.own().zone,
-            SpreadScope::Reporter => false,
+            SpreadScope::Aggregator => false,
         }
     }
 
--- a/crates/peers/src/peer_core/merging.rs
+++ b/crates/peers/src/peer_core/merging.rs
@@ -161,7 +161,7 @@
 
     fn enqueue_item(&mut self, item: &PeerItem, received_from: Option<u64>) {
         let row = item.kind().row();
-        if row.scope == SpreadScope::Reporter {
+        if row.scope == SpreadScope::Aggregator {
             return;
         }
         match row.urgency {
--- a/crates/peers/src/peer_core/probing.rs
+++ b/crates/peers/src/peer_core/probing.rs
@@ -11,7 +11,7 @@
 use crate::MemberState;
 use crate::OverCause;
 use crate::PeerNews;
-use crate::record_key::name_id;
+use crate::record_key::name_hash;
 use crate::state::probe_tracker::AckResult;
 use crate::wire::PeerMessage;
 use crate::wire::PeerRecord;
@@ -72,7 +72,7 @@
         address: SocketAddr,
         now_ms: u64,
     ) {
-        let target = name_id(host.as_str());
+        let target = name_hash(host.as_str());
         let number = self.probes.open_relayed(target, from.address, number, now_ms);
         let digest = self.stable_digest();
         self.send(address, PeerMessage::Probe { number, digest });
--- a/crates/peers/src/peer_core/zone_usage.rs
+++ b/crates/peers/src/peer_core/zone_usage.rs
@@ -71,7 +71,7 @@
                 hosts,
                 teams: self.aggregate_usage(),
             };
-            self.publish(item.bounded(), RecordKind::ZoneUsage.row().ttl_ms, now_ms);
+            self.publish(item.truncated(), RecordKind::ZoneUsage.row().ttl_ms, now_ms);
         }
     }
 
--- a/crates/peers/src/peer_counters.rs
+++ b/crates/peers/src/peer_counters.rs
@@ -1,4 +1,4 @@
-//! Bytes and links counted, to be read from any thread.
+//! Traffic and link counters, readable from any thread.
 
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
@@ -10,28 +10,28 @@
 use crate::wire::PeerRecord;
 use crate::wire::encoded_len;
 
-/// What bytes are spent on.
+/// Category of traffic.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TrafficKind {
-    /// Records of a kind.
+    /// Records of one kind.
     Record(RecordKind),
-    /// Frame heads around records, and frames that carry only the version in force.
+    /// Frame headers around records, and frames that only carry the configuration version.
     Framing,
-    /// Finding out who lives.
+    /// Failure detection.
     Probe,
-    /// Comparing.
+    /// Anti-entropy digests, summaries and requests.
     Digest,
-    /// First frames of links, and calls to join.
+    /// Initial frames of links, and join requests.
     Hello,
-    /// Questions and their answers.
+    /// Requests to a peer and their responses.
     Ask,
 }
 
-/// How many kinds of traffic there are.
+/// Number of traffic categories.
 pub const TRAFFIC_KINDS: usize = RECORD_KINDS + 5;
 
 impl TrafficKind {
-    /// All kinds.
+    /// All categories.
     pub fn all() -> impl Iterator<Item = TrafficKind> {
         let records = RecordKind::rows().iter().map(|row| TrafficKind::Record(row.kind));
         let others = [
@@ -44,7 +44,7 @@
         records.chain(others)
     }
 
-    /// The label in metrics.
+    /// Metric label.
     pub fn name(self) -> &'static str {
         match self {
             TrafficKind::Record(kind) => kind.row().name,
@@ -68,19 +68,19 @@
     }
 }
 
-/// Which way bytes went.
+/// Direction of traffic.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Direction {
-    /// From this host.
+    /// Sent by this host.
     Sent,
-    /// To this host.
+    /// Received by this host.
     Received,
 }
 
-/// Bytes of one kind.
+/// Bytes of one traffic category.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TrafficRow {
-    /// The kind.
+    /// The category.
     pub kind: TrafficKind,
     /// Bytes sent.
     pub sent: u64,
@@ -97,24 +97,24 @@
     pub frames_sent: AtomicU64,
     /// Frames received.
     pub frames_received: AtomicU64,
-    /// Bytes written to sockets, all layers above TCP.
+    /// Bytes written to sockets, including HTTP/2 framing.
     pub wire_sent: AtomicU64,
-    /// Bytes read from sockets, all layers above TCP.
+    /// Bytes read from sockets, including HTTP/2 framing.
     pub wire_received: AtomicU64,
-    /// Links made to others.
+    /// Links opened by this host.
     pub links_opened: AtomicU64,
-    /// Links that others made.
+    /// Links accepted from peers.
     pub links_accepted: AtomicU64,
-    /// Links dropped because the peer did not read fast enough.
+    /// Links dropped because the peer read too slowly.
     pub links_overrun: AtomicU64,
-    /// Links turned away: another fleet, another protocol, too many.
+    /// Links rejected: wrong fleet, unsupported protocol version, or too many links.
     pub links_refused: AtomicU64,
-    /// Frames that could not be read; each closed its link.
+    /// Frames that failed to decode; each closes its link.
     pub frames_unreadable: AtomicU64,
 }
 
 impl PeerCounters {
-    /// Counts a frame of `length` bytes, each record under its kind.
+    /// Counts a frame of `length` bytes, attributing each record to its kind.
     pub fn count_frame(&self, direction: Direction, frame: &PeerFrame, length: usize) {
         let frames = match direction {
             Direction::Sent => &self.frames_sent,
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Counts bytes.
+    /// Counts bytes of one category.
     pub fn count(&self, direction: Direction, kind: TrafficKind, length: usize) {
         let bytes = match direction {
             Direction::Sent => &self.sent,
@@ -138,7 +138,7 @@
         bytes[kind.index()].fetch_add(length as u64, Ordering::Relaxed);
     }
 
-    /// Bytes so far, kind by kind.
+    /// Bytes counted so far, by category.
     pub fn rows(&self) -> Vec<TrafficRow> {
         TrafficKind::all()
             .map(|kind| TrafficRow {
@@ -150,13 +150,13 @@
     }
 
     fn count_records(&self, direction: Direction, records: &[PeerRecord], length: usize) {
-        let mut rest = length;
+        let mut remaining = length;
         for record in records {
             let bytes = encoded_len(record);
             self.count(direction, TrafficKind::Record(record.kind()), bytes);
-            rest = rest.saturating_sub(bytes);
+            remaining = remaining.saturating_sub(bytes);
         }
-        self.count(direction, TrafficKind::Framing, rest);
+        self.count(direction, TrafficKind::Framing, remaining);
     }
 }
 
--- a/crates/peers/src/peer_item.rs
+++ b/crates/peers/src/peer_item.rs
@@ -1,4 +1,4 @@
-//! What routers tell each other.
+//! Items that routers publish to each other.
 
 use bytes::Bytes;
 use fulmargate_names::ConfigVersion;
@@ -12,110 +12,110 @@
 use crate::OrderRule;
 use crate::RecordKind;
 use crate::record_key::RecordKey;
-use crate::record_key::name_id;
-use crate::record_key::pair_id;
+use crate::record_key::name_hash;
+use crate::record_key::numbered_name_hash;
 
-/// Teams named in one usage record.
+/// Maximum number of teams in a usage record.
 pub const TOP_TEAMS: usize = 16;
-/// Longest word of a host.
+/// Maximum length of the payload of a `HostWord`.
 pub const WORD_BYTES: usize = 3_072;
-/// Backend servers named in one verdict.
+/// Maximum number of backend servers in a verdict.
 pub const VERDICT_SERVERS: usize = 8;
 
-/// One thing that a router tells the others. The list is closed.
+/// An item that a router publishes to the others.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PeerItem {
-    /// The configuration in force on an entry host. Each host puts only its own.
+    /// The configuration in force on an entry host. Published only by that host.
     ConfigInForce {
         /// The host.
         host: HostName,
-        /// The version it has put in force.
+        /// The version in force.
         version: ConfigVersion,
     },
-    /// A backend server that leaves; true of this incarnation for ever.
+    /// A backend server is leaving the fleet. Permanent for this incarnation.
     ServerLeaving {
         /// The server.
         server: ServerName,
-        /// The incarnation that leaves.
+        /// The incarnation that is leaving.
         incarnation: Incarnation,
     },
-    /// What is believed of a request that may crash backend servers.
+    /// Verdict on a request that may crash backend servers.
     CrashVerdict {
         /// Hash of team, model and body.
         fingerprint: u64,
-        /// What is believed.
+        /// The verdict.
         state: VerdictState,
-        /// Servers that crashed with it in flight, `VERDICT_SERVERS` at most.
+        /// Servers that crashed while processing it, at most `VERDICT_SERVERS`.
         servers: Vec<ServerName>,
     },
-    /// Use by the hottest teams on an entry host. Each host puts only its own.
+    /// Usage by the most active teams on an entry host. Published only by that host.
     TeamUsage {
         /// The host.
         host: HostName,
-        /// Hottest first, `TOP_TEAMS` at most.
+        /// Most active first, at most `TOP_TEAMS`.
         teams: Vec<TeamRate>,
     },
-    /// Use by the hottest teams in a zone; made by the exchange itself from `TeamUsage`.
+    /// Usage by the most active teams in a zone, aggregated from `TeamUsage` by this crate.
     ZoneUsage {
         /// The zone.
         zone: ZoneName,
-        /// How many hosts are summed up.
+        /// Number of hosts included.
         hosts: u32,
-        /// Hottest first, `TOP_TEAMS` at most.
+        /// Most active first, at most `TOP_TEAMS`.
         teams: Vec<TeamRate>,
     },
     /// A hot prefix and a server that has it cached.
     HotPrefix {
-        /// The prefix within its scope.
+        /// Hash of the prefix within its scope.
         prefix: PromptHash,
         /// The server.
         server: ServerName,
         /// The incarnation that has it cached.
         incarnation: Incarnation,
     },
-    /// A newer incarnation of a backend server was seen; told on a change, not at first sight.
+    /// A newer incarnation of a backend server was observed. Not published for the first one
+    /// observed.
     ServerSeen {
         /// The server.
         server: ServerName,
-        /// Its newest incarnation.
+        /// The newest incarnation.
         incarnation: Incarnation,
     },
-    /// Claims of this incarnation of an entry host, and of those before it, get no outcome any more.
+    /// This and earlier incarnations of an entry host will not report outcomes for their claims.
     ClaimerGone {
         /// The host.
         host: HostName,
-        /// The newest incarnation that is over.
+        /// The newest incarnation that has ended.
         incarnation: Incarnation,
     },
-    /// What one host tells the others about a topic, in bytes that this crate does not read. Each
-    /// host puts only its own.
+    /// An opaque payload of a host on a topic. Published only by that host.
     HostWord {
-        /// What it is about.
+        /// The topic.
         topic: WordTopic,
         /// The host.
         host: HostName,
-        /// Which part of the topic; the newest word of each part is kept.
+        /// Part of the topic; the newest payload of each part is kept.
         part: u64,
-        /// What is told, `WORD_BYTES` at most.
+        /// The payload, at most `WORD_BYTES` long.
         bytes: Bytes,
     },
 }
 
-/// What a host's word is about.
+/// Topic of a `HostWord`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum WordTopic {
-    /// A request that may crash backend servers.
+    /// Requests that may crash backend servers.
     Suspect,
-    /// What teams ask of the host.
+    /// Team usage at the host.
     TeamUse,
-    /// What prefixes are asked for at the host.
+    /// Prefixes requested at the host.
     PrefixDemand,
-    /// Where hot prefixes are kept.
+    /// Placement of hot prefixes on servers.
     SpreadPlan,
 }
 
 impl WordTopic {
-    /// The kind under which the topic's words travel.
+    /// The record kind of the topic.
     pub fn kind(self) -> RecordKind {
         match self {
             WordTopic::Suspect => RecordKind::SuspectWord,
@@ -136,31 +136,31 @@
     }
 }
 
-/// What is believed of a request that may crash backend servers.
+/// State of a request that may crash backend servers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[repr(u8)]
 pub enum VerdictState {
-    /// It ran well while it was the only suspect.
+    /// It completed while it was the only suspect.
     Cleared = 0,
     /// It was in flight on a server that crashed.
     Suspect = 1,
-    /// It crashed servers.
+    /// It was found to crash servers.
     Convicted = 2,
 }
 
-/// One team's use.
+/// Usage by one team.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TeamRate {
     /// The team.
     pub team: TeamName,
-    /// Requests in 1,000 seconds.
+    /// Requests per 1,000 seconds.
     pub milli_requests_per_s: u64,
-    /// Prompt tokens a second.
+    /// Prompt tokens per second.
     pub tokens_per_s: u64,
 }
 
 impl PeerItem {
-    /// Its kind.
+    /// The record kind.
     pub fn kind(&self) -> RecordKind {
         match self {
             PeerItem::ConfigInForce { .. } => RecordKind::ConfigInForce,
@@ -175,41 +175,44 @@
         }
     }
 
-    /// The key under which the newest record is kept.
+    /// Key under which the newest record is stored.
     pub fn key(&self) -> RecordKey {
         let id = match self {
             PeerItem::ConfigInForce { host, .. }
             | PeerItem::TeamUsage { host, .. }
-            | PeerItem::ClaimerGone { host, .. } => name_id(host.as_str()),
+            | PeerItem::ClaimerGone { host, .. } => name_hash(host.as_str()),
             PeerItem::ServerLeaving { server, .. } | PeerItem::ServerSeen { server, .. } => {
-                name_id(server.as_str())
+                name_hash(server.as_str())
             }
             PeerItem::CrashVerdict { fingerprint, .. } => *fingerprint,
-            PeerItem::ZoneUsage { zone, .. } => name_id(zone.as_str()),
-            PeerItem::HotPrefix { prefix, server, .. } => pair_id(prefix.0, server.as_str()),
-            PeerItem::HostWord { host, part, .. } => pair_id(*part, host.as_str()),
+            PeerItem::ZoneUsage { zone, .. } => name_hash(zone.as_str()),
+            PeerItem::HotPrefix { prefix, server, .. } => {
+                numbered_name_hash(prefix.0, server.as_str())
+            }
+            PeerItem::HostWord { host, part, .. } => numbered_name_hash(*part, host.as_str()),
         };
         RecordKey { kind: self.kind(), id }
     }
 
-    /// Cuts lists to what a record may carry, the hottest teams kept.
-    pub(crate) fn bounded(mut self) -> PeerItem {
+    /// Truncates lists to their maximum length, keeping the most active teams.
+    pub(crate) fn truncated(mut self) -> PeerItem {
         match &mut self {
             PeerItem::CrashVerdict { servers, .. } => servers.truncate(VERDICT_SERVERS),
             PeerItem::TeamUsage { teams, .. } | PeerItem::ZoneUsage { teams, .. } => {
-                keep_hottest(teams);
+                keep_most_active(teams);
             }
             _ => {}
         }
         self
     }
 
-    /// Whether it is too long to travel; nobody can shorten a word but who wrote it.
-    pub(crate) fn is_too_long(&self) -> bool {
+    /// Whether the payload exceeds `WORD_BYTES`.
+    pub(crate) fn is_oversized(&self) -> bool {
         matches!(self, PeerItem::HostWord { bytes, .. } if bytes.len() > WORD_BYTES)
     }
 
-    /// The order of a new record that replaces `held`, a record under the same key with its order.
+    /// The order value for a record of this item that replaces `held`, given as the order and item
+    /// stored under the same key.
     pub(crate) fn next_order(&self, held: Option<(u64, &PeerItem)>) -> u64 {
         match self.kind().row().order {
             OrderRule::SingleWriter => 0,
@@ -228,8 +231,8 @@
         }
     }
 
-    /// Writes are counted in the high bits. The rank in the low ones settles writes made without
-    /// knowledge of each other: a conviction is not lost to a clearing or a suspicion.
+    /// The high bits count writes. The low bits rank concurrent writes by severity, so that a
+    /// conviction is not overwritten by a concurrent clearing or suspicion.
     fn counted_order(&self, held: Option<(u64, &PeerItem)>) -> u64 {
         let writes = held.map_or(0, |(order, _)| order >> RANK_BITS);
         let rank = match self {
@@ -240,10 +243,10 @@
     }
 }
 
-/// Bits of a counted order that hold the rank.
+/// Number of low bits of a counted order that hold the rank.
 pub(crate) const RANK_BITS: u32 = 2;
 
-fn keep_hottest(teams: &mut Vec<TeamRate>) {
+fn keep_most_active(teams: &mut Vec<TeamRate>) {
     teams.sort_by_key(|rate| std::cmp::Reverse((rate.tokens_per_s, rate.milli_requests_per_s)));
     teams.truncate(TOP_TEAMS);
 }
--- a/crates/peers/src/peer_news.rs
+++ b/crates/peers/src/peer_news.rs
@@ -1,4 +1,4 @@
-//! What the exchange tells its router.
+//! Events reported to the router.
 
 use fulmargate_names::ConfigVersion;
 use fulmargate_names::HostName;
@@ -7,59 +7,59 @@
 use crate::ItemRecord;
 use crate::MemberRecord;
 
-/// News for the router, in the order in which it came.
+/// Events for the router, in the order in which they occurred.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PeerNews {
-    /// A peer has told all it knows, after a start or a pause.
+    /// A peer has sent all its records, after a start or a pause.
     Joined {
         /// The peer.
         from: HostName,
     },
-    /// An entry host was met or changed its state.
+    /// A host was discovered or changed its state.
     Member {
-        /// Its new record.
+        /// The new record.
         member: MemberRecord,
     },
-    /// An incarnation of an entry host is over, as far as is known.
+    /// An incarnation of a host has ended, as far as this host can tell.
     IncarnationOver {
         /// The host.
         host: HostName,
         /// The incarnation.
         incarnation: Incarnation,
-        /// How it is known.
+        /// The reason for this conclusion.
         cause: OverCause,
     },
-    /// A newer item came from another host, or a sum over this zone was made here.
+    /// A newer item was received, or the usage of this zone was aggregated here.
     Item {
-        /// The item with its origin and what is left of its life.
+        /// The item with its origin and remaining TTL.
         record: ItemRecord,
     },
-    /// A peer has a newer configuration in force: ask it for the records.
+    /// A peer has a newer configuration in force; fetch it from there.
     ConfigAhead {
         /// The peer.
         host: HostName,
-        /// The version that it has in force.
+        /// The version in force at the peer.
         version: ConfigVersion,
     },
-    /// A later process runs under this host's name. This one tells and takes nothing any more.
+    /// A newer incarnation of this host is running. This process no longer takes part.
     Superseded {
-        /// The later process.
+        /// The newer incarnation.
         by: Incarnation,
     },
-    /// This process was not run for a while; leases and other timed things may have lapsed.
+    /// This process was suspended; leases and other timeouts may have expired.
     Paused {
-        /// How long, in milliseconds.
+        /// Duration in milliseconds.
         for_ms: u64,
     },
 }
 
-/// How it is known that an incarnation is over.
+/// Why an incarnation is considered to have ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OverCause {
-    /// It said that it leaves.
+    /// The host announced its departure.
     Left,
-    /// A later process runs under its name.
+    /// A newer incarnation of the host is running.
     Replaced,
-    /// It does not answer. It may be frozen or cut off, and go on.
+    /// The host did not answer. It may still be running, suspended or behind a network partition.
     Gone,
 }
--- a/crates/peers/src/peer_pace.rs
+++ b/crates/peers/src/peer_pace.rs
@@ -1,30 +1,30 @@
-//! How often and how much the exchange sends.
+//! Timing and rate limits of the protocol.
 
-/// Times and sizes of the exchange. All hosts of a fleet should use the same.
+/// Protocol intervals and limits. All hosts of a fleet should use the same values.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerPace {
-    /// Between two rounds of handing on news.
+    /// Gossip interval.
     pub tick_ms: u64,
-    /// Between two probes.
+    /// Probe interval.
     pub period_ms: u64,
-    /// Before others are asked to probe too.
+    /// Time without an answer after which indirect probes are requested.
     pub probe_timeout_ms: u64,
-    /// Between two digests.
+    /// Anti-entropy interval.
     pub digest_ms: u64,
-    /// How many neighbours get news in a round.
+    /// Number of neighbors that receive gossip per round.
     pub fanout: usize,
-    /// Most bytes of records in one frame of news.
+    /// Maximum bytes of records in one gossip frame.
     pub frame_bytes: usize,
-    /// What may be spent on news and answers, on average.
+    /// Sustained limit for bytes sent, not counting probes.
     pub bytes_per_s: u64,
-    /// What may be spent at once after a quiet time.
+    /// Burst limit for bytes sent, not counting probes.
     pub burst_bytes: u64,
-    /// A host that was not run for so long has been paused.
+    /// Time between calls after which the process is considered to have been suspended.
     pub pause_ms: u64,
-    /// A link that was not used for so long is closed by who opened it; the other side waits three
+    /// Idle time after which the side that opened a link closes it. The accepting side waits three
     /// times as long.
     pub idle_ms: u64,
-    /// Between two calls on a seed that is not known as a member, and on a member that is gone.
+    /// Interval of attempts to contact seeds that are not members, and members that are gone.
     pub seed_ms: u64,
 }
 
@@ -47,17 +47,17 @@
 }
 
 impl PeerPace {
-    /// How long a suspected host has to refute: time for the suspicion to reach it and for its
-    /// answer to come back, both growing with the logarithm of the fleet.
+    /// Time that a suspected host has to refute. Both the suspicion and its refutation take a time
+    /// logarithmic in the fleet size to spread.
     pub fn suspicion_ms(&self, hosts: usize) -> u64 {
         self.period_ms * (3 + log2_ceil(hosts))
     }
 }
 
-/// How often a host hands on an urgent record: once to each neighbour, with two to spare for those
-/// that change meanwhile.
+/// Number of times a host sends an urgent record: once per neighbor, and two more for neighbors
+/// that are replaced meanwhile.
 pub(crate) const URGENT_SENDS: u32 = 10;
-/// How often a host hands on a lazy record.
+/// Number of times a host sends a lazy record.
 pub(crate) const LAZY_SENDS: u32 = 3;
 
 fn log2_ceil(hosts: usize) -> u64 {
--- a/crates/peers/src/record_key.rs
+++ b/crates/peers/src/record_key.rs
@@ -5,27 +5,25 @@
 
 use crate::RecordKind;
 
-/// What a record is about: its kind and the hash of the name within it.
+/// Identifies the subject of a record: its kind and a hash of its name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct RecordKey {
-    /// The kind.
+    /// The record kind.
     pub kind: RecordKind,
-    /// Hash of the name, the same on every host.
+    /// Hash of the name, identical on all hosts.
     pub id: u64,
 }
 
-/// The hash of a name.
-pub(crate) fn name_id(name: &str) -> u64 {
+pub(crate) fn name_hash(name: &str) -> u64 {
     xxh3_64(name.as_bytes())
 }
 
-/// The hash of a number and a name.
-pub(crate) fn pair_id(number: u64, name: &str) -> u64 {
+pub(crate) fn numbered_name_hash(number: u64, name: &str) -> u64 {
     xxh3_64_with_seed(name.as_bytes(), number)
 }
 
-/// A short hash of numbers.
-pub(crate) fn mix(numbers: &[u64]) -> u32 {
+/// A 32-bit hash of a sequence of numbers.
+pub(crate) fn hash_numbers(numbers: &[u64]) -> u32 {
     let hash =
         numbers.iter().fold(0, |seed, number| xxh3_64_with_seed(&number.to_le_bytes(), seed));
     hash as u32
--- a/crates/peers/src/state.rs
+++ b/crates/peers/src/state.rs
@@ -1,4 +1,4 @@
-//! What one host holds, and the rules by which it changes.
+//! Protocol state of one host.
 
 pub(crate) mod digest_buckets;
 pub(crate) mod gossip_queue;
--- a/crates/peers/src/state/digest_buckets.rs
+++ b/crates/peers/src/state/digest_buckets.rs
@@ -2,7 +2,7 @@
 
 use crate::DigestGroup;
 use crate::RecordKey;
-use crate::record_key::mix;
+use crate::record_key::hash_numbers;
 
 const STABLE_BUCKETS: usize = 32;
 const VOLATILE_BUCKETS: usize = 16;
@@ -24,7 +24,8 @@
     /// Adds a record to its bucket, or removes it if it was added before.
     pub(crate) fn toggle(&mut self, key: RecordKey, stamp: u32) {
         if let Some(bucket) = bucket_of(key) {
-            self.hashes[usize::from(bucket)] ^= mix(&[key.kind as u64, key.id, u64::from(stamp)]);
+            self.hashes[usize::from(bucket)] ^=
+                hash_numbers(&[key.kind as u64, key.id, u64::from(stamp)]);
         }
     }
 
@@ -37,8 +38,8 @@
 /// The bucket of a key; `None` for kinds excluded from digests.
 pub(crate) fn bucket_of(key: RecordKey) -> Option<u16> {
     match key.kind.row().group {
-        DigestGroup::Steady => Some((key.id % STABLE_BUCKETS as u64) as u16),
-        DigestGroup::Moving => {
+        DigestGroup::Stable => Some((key.id % STABLE_BUCKETS as u64) as u16),
+        DigestGroup::Volatile => {
             Some((STABLE_BUCKETS as u64 + key.id % VOLATILE_BUCKETS as u64) as u16)
         }
         DigestGroup::None => None,
@@ -58,7 +59,7 @@
 pub(crate) fn stable_digest(buckets: &[u32]) -> u32 {
     let stable: Vec<u64> =
         buckets.iter().take(STABLE_BUCKETS).map(|&hash| u64::from(hash)).collect();
-    mix(&stable)
+    hash_numbers(&stable)
 }
 
 /// Whether a bucket holds rarely changing records.
--- a/crates/peers/src/state/member_table.rs
+++ b/crates/peers/src/state/member_table.rs
@@ -9,7 +9,7 @@
 use crate::MemberRecord;
 use crate::MemberState;
 use crate::RecordKind;
-use crate::record_key::name_id;
+use crate::record_key::name_hash;
 use crate::state::digest_buckets::DigestBuckets;
 use crate::state::digest_buckets::bucket_of;
 use crate::wire::SummaryEntry;
@@ -167,7 +167,7 @@
     }
 
     pub(crate) fn by_host(&self, host: &HostName) -> Option<&MemberRecord> {
-        self.get(name_id(host.as_str()))
+        self.get(name_hash(host.as_str()))
     }
 
     /// The record with its current age.
--- a/crates/peers/src/wire.rs
+++ b/crates/peers/src/wire.rs
@@ -1,4 +1,4 @@
-//! What goes over a link: frames, messages, their encoding.
+//! Wire format: frames, messages and their encoding.
 
 mod frame_codec;
 mod item_codec;
