--- a/crates/peers/tests/bounds.rs
+++ b/crates/peers/tests/bounds.rs
@@ -1,4 +1,4 @@
-//! What hosts hold and send is bounded, on the core alone.
+//! Limits on table sizes and traffic, tested on the protocol core.
 
 mod support;
 
@@ -16,45 +16,45 @@
 use fulmargate_peers::WordTopic;
 use support::SimNet;
 
-fn leaving(server: &str, incarnation: u64) -> PeerItem {
+fn server_leaving(server: &str, incarnation: u64) -> PeerItem {
     PeerItem::ServerLeaving {
         server: ServerName::new(server),
         incarnation: Incarnation(incarnation),
     }
 }
 
-fn seen(server: &str, incarnation: u64) -> PeerItem {
+fn server_seen(server: &str, incarnation: u64) -> PeerItem {
     PeerItem::ServerSeen { server: ServerName::new(server), incarnation: Incarnation(incarnation) }
 }
 
-fn hot(prefix: u64, server: &str) -> PeerItem {
+fn hot_prefix(prefix: u64, server: &str) -> PeerItem {
     let (prefix, server) = (PromptHash(prefix), ServerName::new(server));
     PeerItem::HotPrefix { prefix, server, incarnation: Incarnation(1) }
 }
 
-fn rate(team: &str, tokens_per_s: u64) -> TeamRate {
+fn team_rate(team: &str, tokens_per_s: u64) -> TeamRate {
     TeamRate { team: TeamName::new(team), milli_requests_per_s: 10, tokens_per_s }
 }
 
-fn settled(hosts: usize, zones: usize, seed: u64) -> SimNet {
+fn converged_net(hosts: usize, zones: usize, seed: u64) -> SimNet {
     let mut net = SimNet::new(hosts, zones, seed);
     assert!(net.run_until(15_000, SimNet::all_alive).is_some());
     net.run(2_000);
     net
 }
 
-fn word(net: &SimNet, index: usize, part: u64, length: usize) -> PeerItem {
+fn host_word(net: &SimNet, index: usize, part: u64, length: usize) -> PeerItem {
     let host = net.nodes[index].conf.host.clone();
     PeerItem::HostWord { topic: WordTopic::TeamUse, host, part, bytes: vec![1; length].into() }
 }
 
 #[test]
-fn lists_and_tables_are_bounded() {
-    let mut net = settled(2, 1, 1);
+fn tables_and_lists_stay_within_limits() {
+    let mut net = converged_net(2, 1, 1);
     for count in 0..3_000 {
-        net.put(0, hot(count, "s"));
-        net.put(0, seen(&format!("s-{count}"), 1));
-        net.put(0, seen(&format!("t-{count}"), 1));
+        net.put(0, hot_prefix(count, "s"));
+        net.put(0, server_seen(&format!("s-{count}"), 1));
+        net.put(0, server_seen(&format!("t-{count}"), 1));
         net.run(100);
     }
     let limit = |kind: RecordKind| kind.row().limit;
@@ -65,7 +65,7 @@
         assert_eq!(count(RecordKind::ServerSeen), limit(RecordKind::ServerSeen));
     }
     let host = net.nodes[1].conf.host.clone();
-    let teams = (0..100).map(|team| rate(&format!("team-{team}"), team)).collect();
+    let teams = (0..100).map(|team| team_rate(&format!("team-{team}"), team)).collect();
     net.put(1, PeerItem::TeamUsage { host, teams });
     net.run(5_000);
     let hottest = |item: &PeerItem| match item {
@@ -77,18 +77,19 @@
     assert!(net.has(0, hottest));
 }
 
-/// A router has far more to tell than the allowance holds: a zone's servers all restart at once, again
-/// and again. What it sends stays within the allowance, and probes go on, so that nobody is suspected.
+/// A host that publishes far more than its byte budget must stay within it and keep probing, so
+/// that no host is suspected.
 #[test]
-fn a_flood_of_news_stays_within_the_allowance() {
+fn heavy_publishing_stays_within_the_byte_budget() {
     const SECONDS: u64 = 60;
-    let mut net = settled(6, 3, 1);
+    let mut net = converged_net(6, 3, 1);
     net.clear_news();
     let sent =
         |net: &SimNet| -> u64 { net.nodes[0].counters.rows().iter().map(|row| row.sent).sum() };
     let before = sent(&net);
     for second in 0..SECONDS {
-        (0..500).for_each(|server| net.put(0, seen(&format!("server-{server}"), second + 1)));
+        (0..500)
+            .for_each(|server| net.put(0, server_seen(&format!("server-{server}"), second + 1)));
         net.run(1_000);
     }
     let pace = PeerPace::default();
@@ -97,7 +98,7 @@
     let answers = 16 * 1024;
     assert!(
         sent(&net) - before <= allowed + probes + answers,
-        "{} of {allowed}",
+        "sent {} bytes, limit {allowed}",
         sent(&net) - before
     );
     for holder in 0..6 {
@@ -105,13 +106,12 @@
     }
 }
 
-/// Each router has words of the longest kind to tell, many times a second, in a fleet of today's size and
-/// in a larger one. They are paced by their bytes: what a host sends stays within the budget, and a
-/// leaving server is known to all as fast as ever.
+/// Hosts that publish payloads of the maximum length at a high rate must stay within the byte
+/// budget, without delaying urgent items.
 #[test]
-fn words_are_paced_and_do_not_hold_up_what_is_urgent() {
+fn large_payloads_are_rate_limited_and_do_not_delay_urgent_items() {
     for (hosts, zones) in [(6, 3), (48, 3)] {
-        let mut net = settled(hosts, zones, 1);
+        let mut net = converged_net(hosts, zones, 1);
         net.run(10_000);
         let sent = |net: &SimNet| -> u64 {
             let rows = net.nodes.iter().flat_map(|node| node.counters.rows());
@@ -119,38 +119,43 @@
         };
         let before = sent(&net);
         let all: Vec<usize> = (0..hosts).collect();
-        let mut longest_ms = 0;
+        let mut max_elapsed_ms = 0;
         for second in 0..60 {
             for part in 0..5 {
-                all.iter().for_each(|&index| net.put(index, word(&net, index, part, WORD_BYTES)));
+                all.iter()
+                    .for_each(|&index| net.put(index, host_word(&net, index, part, WORD_BYTES)));
                 net.run(150);
             }
-            let item = leaving(&format!("s-{second}"), 1);
+            let item = server_leaving(&format!("s-{second}"), 1);
             net.put(second % hosts, item.clone());
-            let took = net.run_until(10_000, |net| net.all_have(&all, |held| *held == item));
-            longest_ms = longest_ms.max(took.expect("it is known to all"));
+            let elapsed_ms = net.run_until(10_000, |net| net.all_have(&all, |held| *held == item));
+            max_elapsed_ms = max_elapsed_ms.max(elapsed_ms.expect("the item reaches all hosts"));
         }
-        let per_host_s = (sent(&net) - before) / hosts as u64 / 48;
+        let bytes_per_host_s = (sent(&net) - before) / hosts as u64 / 48;
         assert!(
-            per_host_s <= PeerPace::default().bytes_per_s,
-            "{per_host_s} bytes/s, {hosts} hosts"
+            bytes_per_host_s <= PeerPace::default().bytes_per_s,
+            "{bytes_per_host_s} bytes/s, {hosts} hosts"
         );
-        assert!(longest_ms <= 3_000, "{longest_ms} ms, {hosts} hosts");
-        let is_word = |news: &PeerNews| match news {
+        assert!(max_elapsed_ms <= 3_000, "{max_elapsed_ms} ms, {hosts} hosts");
+        let is_host_word = |news: &PeerNews| match news {
             PeerNews::Item { record } => record.item.kind() == RecordKind::TeamUseWord,
             _ => false,
         };
-        assert!(all.iter().all(|&index| net.heard(index, is_word) > 0), "{hosts} hosts");
+        assert!(all.iter().all(|&index| net.heard(index, is_host_word) > 0), "{hosts} hosts");
     }
 }
 
 #[test]
-fn a_word_beyond_the_limit_is_not_told() {
-    for (length, told) in [(WORD_BYTES, true), (WORD_BYTES + 1, false)] {
-        let mut net = settled(2, 1, 1);
-        net.put(0, word(&net, 0, 1, length));
+fn an_oversized_payload_is_not_published() {
+    for (length, is_published) in [(WORD_BYTES, true), (WORD_BYTES + 1, false)] {
+        let mut net = converged_net(2, 1, 1);
+        net.put(0, host_word(&net, 0, 1, length));
         net.run(5_000);
-        let is_word = |held: &PeerItem| matches!(held, PeerItem::HostWord { .. });
-        assert_eq!(net.has(0, is_word) && net.has(1, is_word), told, "{length} bytes");
+        let is_host_word = |held: &PeerItem| matches!(held, PeerItem::HostWord { .. });
+        assert_eq!(
+            net.has(0, is_host_word) && net.has(1, is_host_word),
+            is_published,
+            "{length} bytes"
+        );
     }
 }
--- a/crates/peers/tests/items.rs
+++ b/crates/peers/tests/items.rs
@@ -1,4 +1,4 @@
-//! What hosts tell each other, under failures, on the core alone.
+//! Propagation of items under failures, tested on the protocol core.
 
 mod support;
 
@@ -15,22 +15,22 @@
 use fulmargate_peers::VerdictState;
 use support::SimNet;
 
-fn leaving(server: &str, incarnation: u64) -> PeerItem {
+fn server_leaving(server: &str, incarnation: u64) -> PeerItem {
     PeerItem::ServerLeaving {
         server: ServerName::new(server),
         incarnation: Incarnation(incarnation),
     }
 }
 
-fn seen(server: &str, incarnation: u64) -> PeerItem {
+fn server_seen(server: &str, incarnation: u64) -> PeerItem {
     PeerItem::ServerSeen { server: ServerName::new(server), incarnation: Incarnation(incarnation) }
 }
 
-fn gone(host: &str, incarnation: u64) -> PeerItem {
+fn claimer_gone(host: &str, incarnation: u64) -> PeerItem {
     PeerItem::ClaimerGone { host: HostName::new(host), incarnation: Incarnation(incarnation) }
 }
 
-fn hot(prefix: u64, server: &str) -> PeerItem {
+fn hot_prefix(prefix: u64, server: &str) -> PeerItem {
     let (prefix, server) = (PromptHash(prefix), ServerName::new(server));
     PeerItem::HotPrefix { prefix, server, incarnation: Incarnation(1) }
 }
@@ -43,11 +43,11 @@
     }
 }
 
-fn rate(team: &str, tokens_per_s: u64) -> TeamRate {
+fn team_rate(team: &str, tokens_per_s: u64) -> TeamRate {
     TeamRate { team: TeamName::new(team), milli_requests_per_s: 10, tokens_per_s }
 }
 
-fn settled(hosts: usize, zones: usize, seed: u64) -> SimNet {
+fn converged_net(hosts: usize, zones: usize, seed: u64) -> SimNet {
     let mut net = SimNet::new(hosts, zones, seed);
     assert!(net.run_until(15_000, SimNet::all_alive).is_some());
     net.run(2_000);
@@ -55,57 +55,57 @@
 }
 
 #[test]
-fn each_kind_reaches_whom_it_is_for() {
+fn each_kind_reaches_the_hosts_in_its_scope() {
     let items = [
-        leaving("s", 3),
-        seen("s", 3),
-        gone("h", 3),
-        hot(9, "s"),
+        server_leaving("s", 3),
+        server_seen("s", 3),
+        claimer_gone("h", 3),
+        hot_prefix(9, "s"),
         verdict(VerdictState::Suspect, &["s"]),
     ];
     for item in items {
-        let mut net = settled(24, 3, 1);
+        let mut net = converged_net(24, 3, 1);
         net.put(4, item.clone());
         let all: Vec<usize> = (0..24).collect();
         let zone = net.zone("zone-1");
         let is_zonal = item.kind().row().scope == SpreadScope::Zone;
         let wanted = if is_zonal { &zone } else { &all };
-        let took = net.run_until(8_000, |net| net.all_have(wanted, |held| *held == item));
-        assert!(took.is_some(), "{item:?}");
+        let elapsed_ms = net.run_until(8_000, |net| net.all_have(wanted, |held| *held == item));
+        assert!(elapsed_ms.is_some(), "{item:?}");
         let holders = all.iter().filter(|&&index| net.has(index, |held| *held == item)).count();
         assert_eq!(holders, wanted.len(), "{item:?}");
     }
 }
 
-/// Two writers of one key that do not know of each other, the later one last, and who prevails.
+/// Two concurrent writes under one key, and the item on which all hosts must agree.
 struct WriteCase {
     name: &'static str,
     first: fn() -> PeerItem,
     second: fn() -> PeerItem,
-    stands: fn() -> PeerItem,
+    expected: fn() -> PeerItem,
 }
 
 impl WriteCase {
-    /// The writers are cut off from each other while they write.
+    /// Writes from two zones that are partitioned from each other, then heals the partition.
     fn check(&self) {
         for (writers, seed) in [([0, 1], 1), ([1, 0], 2), ([4, 3], 3)] {
-            let mut net = settled(6, 3, seed);
+            let mut net = converged_net(6, 3, seed);
             let (a, b) = (net.zone("zone-0"), net.zone("zone-1"));
             net.cut_both(&a, &b);
-            let third = net.zone("zone-2");
-            net.cut_both(&third, &b);
+            let c = net.zone("zone-2");
+            net.cut_both(&c, &b);
             net.put(writers[0], (self.first)());
             net.put(writers[1], (self.second)());
             net.run(3_000);
             net.heal();
             let all: Vec<usize> = (0..6).collect();
-            let took =
-                net.run_until(10_000, |net| net.all_have(&all, |held| *held == (self.stands)()));
-            assert!(took.is_some(), "{}: seed {seed}", self.name);
+            let elapsed_ms =
+                net.run_until(10_000, |net| net.all_have(&all, |held| *held == (self.expected)()));
+            assert!(elapsed_ms.is_some(), "{}: seed {seed}", self.name);
             net.run(10_000);
             assert!(
-                net.all_have(&all, |held| *held == (self.stands)()),
-                "{}: it reverts, seed {seed}",
+                net.all_have(&all, |held| *held == (self.expected)()),
+                "{}: reverted, seed {seed}",
                 self.name
             );
         }
@@ -114,54 +114,53 @@
 
 const WRITE_CASES: [WriteCase; 6] = [
     WriteCase {
-        name: "leaving is not undone by an earlier incarnation's leaving",
-        first: || leaving("s", 9),
-        second: || leaving("s", 3),
-        stands: || leaving("s", 9),
+        name: "leaving: the higher incarnation wins",
+        first: || server_leaving("s", 9),
+        second: || server_leaving("s", 3),
+        expected: || server_leaving("s", 9),
     },
     WriteCase {
-        name: "an old incarnation does not come back",
-        first: || seen("s", 9),
-        second: || seen("s", 3),
-        stands: || seen("s", 9),
+        name: "server seen: the higher incarnation wins",
+        first: || server_seen("s", 9),
+        second: || server_seen("s", 3),
+        expected: || server_seen("s", 9),
     },
     WriteCase {
-        name: "the last claimer gone",
-        first: || gone("h", 9),
-        second: || gone("h", 3),
-        stands: || gone("h", 9),
+        name: "claimer gone: the higher incarnation wins",
+        first: || claimer_gone("h", 9),
+        second: || claimer_gone("h", 3),
+        expected: || claimer_gone("h", 9),
     },
     WriteCase {
-        name: "a conviction is not covered by a suspicion",
+        name: "a conviction is not replaced by a suspicion",
         first: || verdict(VerdictState::Convicted, &["s", "t"]),
         second: || verdict(VerdictState::Suspect, &["s"]),
-        stands: || verdict(VerdictState::Convicted, &["s", "t"]),
+        expected: || verdict(VerdictState::Convicted, &["s", "t"]),
     },
     WriteCase {
-        name: "two crashes at two routers are two",
+        name: "crashes seen by two routers are combined",
         first: || verdict(VerdictState::Suspect, &["s"]),
         second: || verdict(VerdictState::Suspect, &["t"]),
-        stands: || verdict(VerdictState::Suspect, &["s", "t"]),
+        expected: || verdict(VerdictState::Suspect, &["s", "t"]),
     },
     WriteCase {
-        name: "a suspicion is not covered by a clearing elsewhere",
+        name: "a suspicion is not replaced by a concurrent clearing",
         first: || verdict(VerdictState::Suspect, &["s"]),
         second: || verdict(VerdictState::Cleared, &["s"]),
-        stands: || verdict(VerdictState::Suspect, &["s"]),
+        expected: || verdict(VerdictState::Suspect, &["s"]),
     },
 ];
 
-/// Two hosts of cut-off zones write under one key, neither knowing of the other's record. When they
-/// meet again each host must come to the same record, and to the one that is safe to act on: a lower
-/// incarnation, a clearing or a suspicion must not cover what is worse.
+/// After concurrent writes all hosts must converge on the safe record: a lower incarnation, a
+/// clearing or a suspicion must not replace a more severe one.
 #[test]
-fn writes_in_ignorance_of_each_other_settle_on_the_safe_one() {
+fn concurrent_writes_converge_on_the_safe_record() {
     WRITE_CASES.iter().for_each(WriteCase::check);
 }
 
 #[test]
-fn a_clearing_that_knows_of_the_suspicion_stands() {
-    let mut net = settled(6, 3, 1);
+fn a_clearing_written_after_a_suspicion_replaces_it() {
+    let mut net = converged_net(6, 3, 1);
     let all: Vec<usize> = (0..6).collect();
     net.put(0, verdict(VerdictState::Suspect, &["s"]));
     net.run(3_000);
@@ -170,11 +169,11 @@
     assert!(net.all_have(&all, |held| *held == verdict(VerdictState::Cleared, &["s"])));
 }
 
-/// A host restarts, so that its sequence starts anew. Its first words must count for more than the
-/// hundredth of its earlier process, which others still hold.
+/// A restart resets the sequence; records of the new incarnation must still replace those of the
+/// old one.
 #[test]
-fn a_new_process_is_believed_over_its_forerunner() {
-    let mut net = settled(6, 3, 1);
+fn records_of_a_new_incarnation_replace_those_of_the_old_one() {
+    let mut net = converged_net(6, 3, 1);
     for version in 1..=100 {
         net.put_config(0, version);
         net.run(400);
@@ -188,52 +187,58 @@
     for index in 0..6 {
         let items = net.nodes[index].core.items(net.now_ms);
         let of_host = |item: &PeerItem| matches!(item, PeerItem::ConfigInForce { host: of, .. } if *of == host);
-        let record = items.iter().find(|record| of_host(&record.item)).expect("it is held");
+        let record =
+            items.iter().find(|record| of_host(&record.item)).expect("the record is stored");
         assert_eq!(record.incarnation, incarnation, "host {index}");
     }
 }
 
-/// A hint lives for a minute, counted by each holder on its own clock. A host that joins late gets it
-/// with what is left of its life, and hands it to nobody after: it is forgotten by all in the same
-/// minute, however often it was handed on.
+/// The remaining TTL travels with the item: forwarding it, also to a host that joins late, must
+/// not extend its life.
 #[test]
-fn an_item_expires_everywhere_at_its_age() {
+fn an_item_expires_on_all_hosts_after_its_ttl() {
     let ttl_ms = RecordKind::HotPrefix.row().ttl_ms;
-    let mut net = settled(6, 1, 1);
-    net.put(0, hot(9, "s"));
+    let mut net = converged_net(6, 1, 1);
+    net.put(0, hot_prefix(9, "s"));
     let all: Vec<usize> = (0..6).collect();
     net.run(ttl_ms - 10_000);
     net.restart(5);
-    assert!(net.run_until(5_000, |net| net.all_have(&all, |held| *held == hot(9, "s"))).is_some());
+    assert!(
+        net.run_until(5_000, |net| net.all_have(&all, |held| *held == hot_prefix(9, "s")))
+            .is_some()
+    );
     net.run(15_000);
-    assert!(!all.iter().any(|&index| net.has(index, |held| *held == hot(9, "s"))));
+    assert!(!all.iter().any(|&index| net.has(index, |held| *held == hot_prefix(9, "s"))));
     net.run(60_000);
-    assert!(!all.iter().any(|&index| net.has(index, |held| *held == hot(9, "s"))));
+    assert!(!all.iter().any(|&index| net.has(index, |held| *held == hot_prefix(9, "s"))));
 }
 
-/// A third of all frames is lost while a server begins to leave. Whoever missed the news hears of it by
-/// comparing: work for a leaving server must end everywhere within seconds.
+/// Anti-entropy must repair lost gossip within seconds when a third of the frames is lost.
 #[test]
-fn lost_news_is_made_good_by_comparing() {
+fn lost_updates_are_repaired_by_anti_entropy() {
     for seed in 1..=5 {
-        let mut net = settled(24, 3, seed);
+        let mut net = converged_net(24, 3, seed);
         net.loss = 0.33;
-        net.put(4, leaving("s", 1));
+        net.put(4, server_leaving("s", 1));
         let all: Vec<usize> = (0..24).collect();
-        let took = net.run_until(10_000, |net| net.all_have(&all, |held| *held == leaving("s", 1)));
-        assert!(took.is_some(), "seed {seed}");
+        let elapsed_ms =
+            net.run_until(10_000, |net| net.all_have(&all, |held| *held == server_leaving("s", 1)));
+        assert!(elapsed_ms.is_some(), "seed {seed}");
     }
 }
 
 #[test]
-fn use_is_summed_up_for_each_zone() {
-    let mut net = settled(6, 3, 1);
+fn usage_is_aggregated_per_zone() {
+    let mut net = converged_net(6, 3, 1);
     for round in 0..10 {
         for index in 0..6 {
             let host = net.nodes[index].conf.host.clone();
             net.put(
                 index,
-                PeerItem::TeamUsage { host, teams: vec![rate("shop", 100), rate("small", round)] },
+                PeerItem::TeamUsage {
+                    host,
+                    teams: vec![team_rate("shop", 100), team_rate("small", round)],
+                },
             );
         }
         net.run(1_000);
@@ -248,46 +253,46 @@
                 _ => false,
             };
             assert!(net.has(index, is_sum), "{name} at host {index}");
-            let told =
+            let is_reported =
                 |news: &PeerNews| matches!(news, PeerNews::Item { record } if is_sum(&record.item));
-            assert!(net.heard(index, told) > 0, "{name} at host {index}");
+            assert!(net.heard(index, is_reported) > 0, "{name} at host {index}");
         }
     }
 }
 
-/// The host that sums up a zone is killed while its last sum is still held. The next one takes over as
-/// soon as that one is found gone, and its sum must stand, whichever of the two processes is older.
+/// When the aggregator is killed, another host must take over and its report must replace the old
+/// one, regardless of which incarnation is higher.
 #[test]
-fn use_is_summed_up_again_after_the_reporter_is_lost() {
+fn usage_is_aggregated_after_the_aggregator_is_lost() {
     for restarts in [0, 1] {
-        let mut net = settled(6, 2, 1);
+        let mut net = converged_net(6, 2, 1);
         (0..restarts).for_each(|_| net.restart(0));
         let is_sum = |item: &PeerItem| match item {
             PeerItem::ZoneUsage { hosts, teams, .. } => *hosts == 2 && teams[0].tokens_per_s == 100,
             _ => false,
         };
-        let mut stands = false;
+        let mut is_aggregated = false;
         for second in 0..35 {
             if second == 10 {
                 net.kill(0);
             }
             for index in net.running().into_iter().filter(|index| index % 2 == 0) {
                 let host = net.nodes[index].conf.host.clone();
-                net.put(index, PeerItem::TeamUsage { host, teams: vec![rate("shop", 50)] });
+                net.put(index, PeerItem::TeamUsage { host, teams: vec![team_rate("shop", 50)] });
             }
             net.run(1_000);
-            stands |= net.all_have(&[1, 2, 3, 4, 5], is_sum);
+            is_aggregated |= net.all_have(&[1, 2, 3, 4, 5], is_sum);
         }
-        assert!(stands, "after {restarts} restarts");
+        assert!(is_aggregated, "after {restarts} restarts");
     }
 }
 
-/// A zone is cut off from the rest while the rest moves on, and restarts in part. When the cut ends it
-/// comes to the newest configuration, and at no time does any host go back.
+/// Hosts in a partitioned zone must reach the newest configuration after the partition heals, and
+/// no host may revert to an older one.
 #[test]
-fn configurations_converge_on_the_newest_and_never_go_back() {
+fn configuration_versions_converge_and_never_decrease() {
     for seed in 1..=3 {
-        let mut net = settled(6, 3, seed);
+        let mut net = converged_net(6, 3, seed);
         net.put_config(0, 5);
         net.run(2_000);
         assert!(net.all_in_force(5));
--- a/crates/peers/tests/partitions.rs
+++ b/crates/peers/tests/partitions.rs
@@ -1,4 +1,4 @@
-//! Who is held to be there while hosts are frozen or cut off, on the core alone.
+//! Membership under suspended processes and network partitions, tested on the protocol core.
 
 mod support;
 
@@ -7,12 +7,10 @@
 use support::HeldFrames;
 use support::SimNet;
 
-/// A host is frozen for a minute, just after it has probed another, and then goes on. Meanwhile the
-/// others have found it gone. On waking its probe is late, and what stands in its links is a minute old
-/// or lost. It must not accuse anyone by that, and must be alive for all soon after. Its router hears
-/// how long it slept, since leases have lapsed.
+/// A process that resumes must not suspect hosts because of probes that timed out meanwhile. It
+/// must report the pause, since leases may have expired, and be alive for all hosts soon.
 #[test]
-fn a_frozen_host_wakes_and_accuses_nobody() {
+fn a_resumed_host_suspects_no_peer() {
     for (held, seed) in [(HeldFrames::Delivered, 1), (HeldFrames::Lost, 2), (HeldFrames::Lost, 3)] {
         let mut net = SimNet::new(6, 3, seed);
         net.run(10_000);
@@ -24,9 +22,9 @@
         net.thaw(5, held);
         assert!(net.run_until(5_000, SimNet::all_alive).is_some(), "seed {seed}");
         net.run(20_000);
-        let slept =
+        let paused =
             |news: &PeerNews| matches!(news, PeerNews::Paused { for_ms } if *for_ms >= 60_000);
-        assert_eq!(net.heard(5, slept), 1, "seed {seed}");
+        assert_eq!(net.heard(5, paused), 1, "seed {seed}");
         assert_eq!(net.nodes[5].links_dropped, 1, "seed {seed}");
         for holder in 0..6 {
             let accused = net
@@ -38,11 +36,10 @@
     }
 }
 
-/// A host is suspected for a moment and refutes. Another one is frozen between the two: when it wakes,
-/// the time to refute is long over by its clock. It must not take the suspected host for gone, since it
-/// could not have heard the refutation.
+/// A process suspended during a suspicion must not conclude on resuming that the suspected host is
+/// gone: it may have missed the refutation.
 #[test]
-fn a_host_frozen_during_a_suspicion_does_not_conclude_it() {
+fn a_host_suspended_during_a_suspicion_does_not_conclude_it() {
     let mut net = SimNet::new(6, 3, 1);
     net.run(10_000);
     net.cut_both(&[0], &[1, 2, 3, 4, 5]);
@@ -59,11 +56,10 @@
     assert_eq!(gone.count(), 0);
 }
 
-/// A zone is cut off for ten minutes: each side holds the other to be gone. When the cut ends, each
-/// side's word reaches the other and says of its neighbours that they are gone. Were it believed,
-/// each host would drop the hosts beside it, which never failed, until each of them had objected.
+/// When a partition heals, reports that the other side's hosts are gone must not make any host
+/// drop healthy neighbors.
 #[test]
-fn a_healed_partition_costs_nobody_its_neighbors() {
+fn a_healed_partition_does_not_drop_healthy_neighbors() {
     for (hosts, zones, seed) in [(6, 3, 1), (6, 3, 2), (24, 3, 3), (30, 10, 4)] {
         let mut net = SimNet::new(hosts, zones, seed);
         net.run(15_000);
@@ -94,10 +90,10 @@
     }
 }
 
-/// Frames from one zone to another are lost, those back arrive, and both reach the third zone. Probes
-/// across the cut fail, but those made through the third zone don't: nobody is even suspected.
+/// If only the path between two zones is cut, and only in one direction, indirect probes through
+/// the third zone must prevent suspicions.
 #[test]
-fn a_cut_one_way_leaves_all_alive() {
+fn a_one_way_cut_between_two_zones_causes_no_suspicion() {
     for seed in 1..=3 {
         let mut net = SimNet::new(6, 3, seed);
         net.run(10_000);
@@ -111,10 +107,10 @@
     }
 }
 
-/// A host hears all and reaches nobody. The others cannot tell it from a dead one, and it cannot tell
-/// them from dead ones. It must not talk the others into its view, and all is well once it is heard.
+/// A host that receives but cannot send must not convince the others that their peers are gone,
+/// and must recover.
 #[test]
-fn a_host_that_is_not_heard_harms_only_itself() {
+fn a_host_that_cannot_send_does_not_affect_others() {
     for seed in 1..=3 {
         let mut net = SimNet::new(6, 3, seed);
         net.run(10_000);
