--- a/crates/peers/src/member_record.rs
+++ b/crates/peers/src/member_record.rs
@@ -19,7 +19,7 @@
     Alive = 0,
     /// The host did not answer a probe. It may still refute the suspicion.
     Suspected = 1,
-    /// The host did not refute the suspicion in time. It may still be running, suspended or behind
+    /// The host did not refute the suspicion in time. It may still be running, paused or behind
     /// a network partition.
     Gone = 2,
     /// The host announced its departure. Final for this incarnation.
--- a/crates/peers/src/peer_core.rs
+++ b/crates/peers/src/peer_core.rs
@@ -76,22 +76,29 @@
     gossip_queue: GossipQueue,
     paced_queue: PacedQueue,
     probes: ProbeTracker,
+    /// Hosts to probe out of turn.
     priority_probes: Vec<u64>,
+    /// Notices to hosts reported gone that may still be sent in this period.
     gone_notices_left: u32,
     neighbors: NeighborSet,
     byte_budget: TokenBucket,
     seeds: Vec<SocketAddr>,
+    /// A peer has sent all its records.
     joined: bool,
     join_attempts: u32,
     full_welcomes_left: u32,
     in_force: ConfigVersion,
+    /// Version last reported by `ConfigAhead`, and when.
     reported_ahead: (ConfigVersion, u64),
     version_announcements_left: u32,
+    /// Urgent records queued since the last gossip round.
     new_urgent: u32,
     sequence: u64,
+    /// Latest time passed in.
     latest_ms: u64,
     next_period_ms: u64,
     next_digest_ms: u64,
+    /// Limits the comparisons started by probes to one per period.
     can_start_comparison: bool,
     next_reconnect_ms: u64,
     next_rotation_ms: u64,
@@ -232,14 +239,14 @@
         if self.detect_pause(now_ms) || self.participation != Participation::Active {
             return;
         }
-        let held = self
+        let member_id = self
             .members
             .present_peers()
             .find(|record| record.address == address)
             .map(MemberRecord::id);
         let is_full = self.priority_probes.len() >= probing::MAX_PRIORITY_PROBES;
-        let known = held.filter(|id| !is_full && !self.priority_probes.contains(id));
-        self.priority_probes.extend(known);
+        let queued = member_id.filter(|id| !is_full && !self.priority_probes.contains(id));
+        self.priority_probes.extend(queued);
         if !self.joined && self.join_attempts < joining::MAX_FAST_JOIN_ATTEMPTS {
             self.send_join();
         }
@@ -277,9 +284,9 @@
 
     /// Adds addresses to contact when they belong to no known member.
     pub fn add_seeds(&mut self, seeds: &[SocketAddr]) {
-        let fresh: Vec<SocketAddr> =
+        let new_seeds: Vec<SocketAddr> =
             seeds.iter().copied().filter(|seed| !self.seeds.contains(seed)).collect();
-        self.seeds.extend(fresh);
+        self.seeds.extend(new_seeds);
         let excess = self.seeds.len().saturating_sub(joining::MAX_SEEDS);
         self.seeds.drain(..excess);
     }
@@ -333,7 +340,7 @@
         self.gossip_queue.len()
     }
 
-    /// Detects that the process was suspended. Probes and suspicions that timed out meanwhile say
+    /// Detects that the process was paused. Probes and suspicions that timed out meanwhile say
     /// nothing about the peers, and frames buffered in the links are outdated, so they are
     /// discarded and the host joins again.
     fn detect_pause(&mut self, now_ms: u64) -> bool {
--- a/crates/peers/src/peer_core/joining.rs
+++ b/crates/peers/src/peer_core/joining.rs
@@ -51,10 +51,10 @@
     /// Contacts one seed that is not a present member and one member that is gone, so that the two
     /// sides of a healed partition find each other.
     pub(super) fn contact_missing_peers(&mut self, now_ms: u64) {
-        let held: Vec<SocketAddr> =
+        let known_addresses: Vec<SocketAddr> =
             self.members.present_peers().map(|record| record.address).collect();
         let own = self.members.own().address;
-        let is_unknown = |seed: &&SocketAddr| !held.contains(*seed) && **seed != own;
+        let is_unknown = |seed: &&SocketAddr| !known_addresses.contains(*seed) && **seed != own;
         let unknown_seeds: Vec<SocketAddr> =
             self.seeds.iter().filter(is_unknown).copied().collect();
         if let Some(&address) = unknown_seeds.choose(&mut self.rng) {
--- a/crates/peers/src/peer_core/merging.rs
+++ b/crates/peers/src/peer_core/merging.rs
@@ -30,8 +30,8 @@
             self.merge_member(from, from, now_ms);
             return false;
         }
-        let held = self.members.get(from.id()).map(|held| held.incarnation);
-        match held {
+        let stored = self.members.get(from.id()).map(|stored| stored.incarnation);
+        match stored {
             Some(incarnation) if incarnation > from.incarnation => {
                 // The sender was superseded by a newer incarnation; the newer record tells it to
                 // stop.
--- a/crates/peers/src/peer_core/probing.rs
+++ b/crates/peers/src/peer_core/probing.rs
@@ -30,8 +30,8 @@
 impl PeerCore {
     /// Sends one regular probe, and a few to hosts whose links failed or that were reported gone.
     pub(super) fn send_probes(&mut self, now_ms: u64) {
-        let priority_probes = self.priority_probes.len().min(PRIORITY_PROBES_PER_PERIOD);
-        let mut targets: Vec<u64> = self.priority_probes.drain(..priority_probes).collect();
+        let priority_count = self.priority_probes.len().min(PRIORITY_PROBES_PER_PERIOD);
+        let mut targets: Vec<u64> = self.priority_probes.drain(..priority_count).collect();
         targets.extend(self.probes.next_target(&self.members, &mut self.rng));
         for target in targets {
             let present = self.members.get(target).filter(|record| record.is_present()).cloned();
--- a/crates/peers/src/peer_item.rs
+++ b/crates/peers/src/peer_item.rs
@@ -211,13 +211,13 @@
         matches!(self, PeerItem::HostWord { bytes, .. } if bytes.len() > WORD_BYTES)
     }
 
-    /// The order value for a record of this item that replaces `held`, given as the order and item
+    /// The order value for a record of this item that replaces `stored`, given as the order and item
     /// stored under the same key.
-    pub(crate) fn next_order(&self, held: Option<(u64, &PeerItem)>) -> u64 {
+    pub(crate) fn next_order(&self, stored: Option<(u64, &PeerItem)>) -> u64 {
         match self.kind().row().order {
             OrderRule::SingleWriter => 0,
             OrderRule::HigherValue => self.value(),
-            OrderRule::CountedWrites => self.counted_order(held),
+            OrderRule::CountedWrites => self.counted_order(stored),
         }
     }
 
@@ -233,8 +233,8 @@
 
     /// The high bits count writes. The low bits rank concurrent writes by severity, so that a
     /// conviction is not overwritten by a concurrent clearing or suspicion.
-    fn counted_order(&self, held: Option<(u64, &PeerItem)>) -> u64 {
-        let writes = held.map_or(0, |(order, _)| order >> RANK_BITS);
+    fn counted_order(&self, stored: Option<(u64, &PeerItem)>) -> u64 {
+        let writes = stored.map_or(0, |(order, _)| order >> RANK_BITS);
         let rank = match self {
             PeerItem::CrashVerdict { state, .. } => *state as u64,
             _ => 0,
--- a/crates/peers/src/peer_news.rs
+++ b/crates/peers/src/peer_news.rs
@@ -46,7 +46,7 @@
         /// The newer incarnation.
         by: Incarnation,
     },
-    /// This process was suspended; leases and other timeouts may have expired.
+    /// This process was paused; leases and other timeouts may have expired.
     Paused {
         /// Duration in milliseconds.
         for_ms: u64,
@@ -60,6 +60,6 @@
     Left,
     /// A newer incarnation of the host is running.
     Replaced,
-    /// The host did not answer. It may still be running, suspended or behind a network partition.
+    /// The host did not answer. It may still be running, paused or behind a network partition.
     Gone,
 }
--- a/crates/peers/src/peer_pace.rs
+++ b/crates/peers/src/peer_pace.rs
@@ -19,7 +19,7 @@
     pub bytes_per_s: u64,
     /// Burst limit for bytes sent, not counting probes.
     pub burst_bytes: u64,
-    /// Time between calls after which the process is considered to have been suspended.
+    /// Time between calls after which the process is considered to have been paused.
     pub pause_ms: u64,
     /// Idle time after which the side that opened a link closes it. The accepting side waits three
     /// times as long.
--- a/crates/peers/src/state/item_table.rs
+++ b/crates/peers/src/state/item_table.rs
@@ -58,14 +58,16 @@
         if item.kind().row().order == OrderRule::SingleWriter {
             return false;
         }
-        let held = self.entries.get(&item.key());
-        held.is_some_and(|held| held.record.item == *item && held.expires_ms > now_ms + ttl_ms / 2)
+        let stored = self.entries.get(&item.key());
+        stored.is_some_and(|stored| {
+            stored.record.item == *item && stored.expires_ms > now_ms + ttl_ms / 2
+        })
     }
 
     /// The order value for a record that replaces the stored one.
     pub(crate) fn next_order(&self, item: &PeerItem) -> u64 {
-        let held = self.entries.get(&item.key());
-        item.next_order(held.map(|held| (held.record.order, &held.record.item)))
+        let stored = self.entries.get(&item.key());
+        item.next_order(stored.map(|stored| (stored.record.order, &stored.record.item)))
     }
 
     /// Stores a record if it is newer than the stored one.
@@ -73,9 +75,9 @@
         if record.remaining_ms == 0 {
             return ItemMergeResult::Stale;
         }
-        let held = self.entries.get(&record.item.key());
-        let combined = held.and_then(|held| merge_concurrent_verdicts(&held.record, &record));
-        let order = held.map_or(Ordering::Greater, |held| record.compare(&held.record));
+        let stored = self.entries.get(&record.item.key());
+        let combined = stored.and_then(|stored| merge_concurrent_verdicts(&stored.record, &record));
+        let order = stored.map_or(Ordering::Greater, |stored| record.compare(&stored.record));
         if order == Ordering::Greater && !self.insert(record, now_ms) {
             return ItemMergeResult::Stale;
         }
@@ -139,8 +141,8 @@
 
     fn evict(&mut self, kind: RecordKind) {
         let entries = self.entries.iter().filter(|(key, _)| key.kind == kind);
-        let first = entries.min_by_key(|(_, entry)| entry.expires_ms).map(|(&key, _)| key);
-        first.into_iter().for_each(|key| self.remove(key));
+        let earliest = entries.min_by_key(|(_, entry)| entry.expires_ms).map(|(&key, _)| key);
+        earliest.into_iter().for_each(|key| self.remove(key));
     }
 
     fn remove(&mut self, key: RecordKey) {
@@ -154,16 +156,19 @@
 /// Combines two verdicts written concurrently by routers that each saw a different server crash.
 /// If one write replaced the other, a crash would go uncounted. All hosts derive the same result,
 /// so this converges.
-fn merge_concurrent_verdicts(held: &ItemRecord, record: &ItemRecord) -> Option<PeerItem> {
-    let PeerItem::CrashVerdict { fingerprint, state, servers } = &held.item else {
+fn merge_concurrent_verdicts(stored: &ItemRecord, record: &ItemRecord) -> Option<PeerItem> {
+    let PeerItem::CrashVerdict { fingerprint, state, servers } = &stored.item else {
         return None;
     };
     let PeerItem::CrashVerdict { state: other_state, servers: other_servers, .. } = &record.item
     else {
         return None;
     };
-    let same_write = held.order >> RANK_BITS == record.order >> RANK_BITS;
-    if !same_write || is_superset(servers, other_servers) || is_superset(other_servers, servers) {
+    let same_write_count = stored.order >> RANK_BITS == record.order >> RANK_BITS;
+    if !same_write_count
+        || is_superset(servers, other_servers)
+        || is_superset(other_servers, servers)
+    {
         return None;
     }
     let mut combined = servers.clone();
--- a/crates/peers/src/state/member_table.rs
+++ b/crates/peers/src/state/member_table.rs
@@ -17,6 +17,7 @@
 #[derive(Clone, Debug)]
 struct MemberEntry {
     record: MemberRecord,
+    /// When the host entered its current state.
     since_ms: u64,
     suspected_until_ms: u64,
 }
@@ -76,7 +77,7 @@
         }
         let previous = self.entries.get(&record.id()).map(|entry| entry.record.clone());
         let newer = match &previous {
-            Some(held) => match compare_records(held, record) {
+            Some(stored) => match compare_records(stored, record) {
                 RecordComparison::Newer(newer) => newer,
                 RecordComparison::Known => return MemberMergeResult::Known,
                 RecordComparison::Stale => return MemberMergeResult::Stale,
@@ -157,7 +158,7 @@
         gone
     }
 
-    /// Extends suspicions by the time for which this process was suspended.
+    /// Extends suspicions by the time for which this process was paused.
     pub(crate) fn extend_suspicion_timeouts(&mut self, paused_ms: u64) {
         self.entries.values_mut().for_each(|entry| entry.suspected_until_ms += paused_ms);
     }
@@ -247,25 +248,25 @@
     Unconfirmed,
 }
 
-fn compare_records(held: &MemberRecord, record: MemberRecord) -> RecordComparison {
-    match record.incarnation.cmp(&held.incarnation) {
+fn compare_records(stored: &MemberRecord, record: MemberRecord) -> RecordComparison {
+    match record.incarnation.cmp(&stored.incarnation) {
         Ordering::Less => return RecordComparison::Stale,
         Ordering::Greater => return RecordComparison::Newer(record),
         Ordering::Equal => {}
     }
-    match (held.state, record.state) {
+    match (stored.state, record.state) {
         (MemberState::Left, MemberState::Left) => return RecordComparison::Known,
         (MemberState::Left, _) => return RecordComparison::Stale,
         (_, MemberState::Left) => return RecordComparison::Newer(record),
         _ => {}
     }
-    match record.heartbeat.cmp(&held.heartbeat).then(record.state.cmp(&held.state)) {
+    match record.heartbeat.cmp(&stored.heartbeat).then(record.state.cmp(&stored.state)) {
         Ordering::Less => RecordComparison::Stale,
         Ordering::Equal => RecordComparison::Known,
         // Each host concludes by its own probes that a peer is gone. After a partition each side
         // considers the other gone; accepting these reports would make hosts drop healthy
         // neighbors until they refute.
-        Ordering::Greater if record.state == MemberState::Gone => match held.state {
+        Ordering::Greater if record.state == MemberState::Gone => match stored.state {
             MemberState::Alive => RecordComparison::Unconfirmed,
             MemberState::Suspected => RecordComparison::Known,
             MemberState::Gone | MemberState::Left => RecordComparison::Newer(record),
--- a/crates/peers/src/state/neighbor_set.rs
+++ b/crates/peers/src/state/neighbor_set.rs
@@ -68,12 +68,12 @@
     }
 }
 
-/// Keeps up to `count` of `held` that are still in `all` and adds random others.
-fn top_up(held: &[u64], all: &[u64], count: usize, rng: &mut StdRng) -> Vec<u64> {
+/// Keeps up to `count` of `current` that are still in `all` and adds random others.
+fn top_up(current: &[u64], all: &[u64], count: usize, rng: &mut StdRng) -> Vec<u64> {
     let mut chosen: Vec<u64> =
-        held.iter().copied().filter(|id| all.contains(id)).take(count).collect();
-    let fresh: Vec<u64> = all.iter().copied().filter(|id| !chosen.contains(id)).collect();
+        current.iter().copied().filter(|id| all.contains(id)).take(count).collect();
+    let candidates: Vec<u64> = all.iter().copied().filter(|id| !chosen.contains(id)).collect();
     let missing = count.saturating_sub(chosen.len());
-    chosen.extend(fresh.choose_multiple(rng, missing));
+    chosen.extend(candidates.choose_multiple(rng, missing));
     chosen
 }
--- a/crates/peers/src/state/token_bucket.rs
+++ b/crates/peers/src/state/token_bucket.rs
@@ -1,7 +1,6 @@
 //! Rate limit for the bytes that a host sends.
 
-/// Maximum debt, in seconds of refill. A full welcome may exceed this; charging all of it would
-/// block gossip for too long.
+/// Maximum debt, in seconds of refill. Limits how long a full welcome can block gossip.
 const MAX_DEBT_S: u64 = 2;
 
 /// A token bucket that may be overdrawn.
--- a/crates/peers/tests/bounds.rs
+++ b/crates/peers/tests/bounds.rs
@@ -128,7 +128,8 @@
             }
             let item = server_leaving(&format!("s-{second}"), 1);
             net.put(second % hosts, item.clone());
-            let elapsed_ms = net.run_until(10_000, |net| net.all_have(&all, |held| *held == item));
+            let elapsed_ms =
+                net.run_until(10_000, |net| net.all_have(&all, |stored| *stored == item));
             max_elapsed_ms = max_elapsed_ms.max(elapsed_ms.expect("the item reaches all hosts"));
         }
         let bytes_per_host_s = (sent(&net) - before) / hosts as u64 / 48;
@@ -151,7 +152,7 @@
         let mut net = converged_net(2, 1, 1);
         net.put(0, host_word(&net, 0, 1, length));
         net.run(5_000);
-        let is_host_word = |held: &PeerItem| matches!(held, PeerItem::HostWord { .. });
+        let is_host_word = |stored: &PeerItem| matches!(stored, PeerItem::HostWord { .. });
         assert_eq!(
             net.has(0, is_host_word) && net.has(1, is_host_word),
             is_published,
--- a/crates/peers/tests/items.rs
+++ b/crates/peers/tests/items.rs
@@ -70,9 +70,9 @@
         let zone = net.zone("zone-1");
         let is_zonal = item.kind().row().scope == SpreadScope::Zone;
         let wanted = if is_zonal { &zone } else { &all };
-        let elapsed_ms = net.run_until(8_000, |net| net.all_have(wanted, |held| *held == item));
+        let elapsed_ms = net.run_until(8_000, |net| net.all_have(wanted, |stored| *stored == item));
         assert!(elapsed_ms.is_some(), "{item:?}");
-        let holders = all.iter().filter(|&&index| net.has(index, |held| *held == item)).count();
+        let holders = all.iter().filter(|&&index| net.has(index, |stored| *stored == item)).count();
         assert_eq!(holders, wanted.len(), "{item:?}");
     }
 }
@@ -99,12 +99,12 @@
             net.run(3_000);
             net.heal();
             let all: Vec<usize> = (0..6).collect();
-            let elapsed_ms =
-                net.run_until(10_000, |net| net.all_have(&all, |held| *held == (self.expected)()));
+            let elapsed_ms = net
+                .run_until(10_000, |net| net.all_have(&all, |stored| *stored == (self.expected)()));
             assert!(elapsed_ms.is_some(), "{}: seed {seed}", self.name);
             net.run(10_000);
             assert!(
-                net.all_have(&all, |held| *held == (self.expected)()),
+                net.all_have(&all, |stored| *stored == (self.expected)()),
                 "{}: reverted, seed {seed}",
                 self.name
             );
@@ -166,7 +166,7 @@
     net.run(3_000);
     net.put(5, verdict(VerdictState::Cleared, &["s"]));
     net.run(3_000);
-    assert!(net.all_have(&all, |held| *held == verdict(VerdictState::Cleared, &["s"])));
+    assert!(net.all_have(&all, |stored| *stored == verdict(VerdictState::Cleared, &["s"])));
 }
 
 /// A restart resets the sequence; records of the new incarnation must still replace those of the
@@ -204,13 +204,13 @@
     net.run(ttl_ms - 10_000);
     net.restart(5);
     assert!(
-        net.run_until(5_000, |net| net.all_have(&all, |held| *held == hot_prefix(9, "s")))
+        net.run_until(5_000, |net| net.all_have(&all, |stored| *stored == hot_prefix(9, "s")))
             .is_some()
     );
     net.run(15_000);
-    assert!(!all.iter().any(|&index| net.has(index, |held| *held == hot_prefix(9, "s"))));
+    assert!(!all.iter().any(|&index| net.has(index, |stored| *stored == hot_prefix(9, "s"))));
     net.run(60_000);
-    assert!(!all.iter().any(|&index| net.has(index, |held| *held == hot_prefix(9, "s"))));
+    assert!(!all.iter().any(|&index| net.has(index, |stored| *stored == hot_prefix(9, "s"))));
 }
 
 /// Anti-entropy must repair lost gossip within seconds when a third of the frames is lost.
@@ -221,8 +221,9 @@
         net.loss = 0.33;
         net.put(4, server_leaving("s", 1));
         let all: Vec<usize> = (0..24).collect();
-        let elapsed_ms =
-            net.run_until(10_000, |net| net.all_have(&all, |held| *held == server_leaving("s", 1)));
+        let elapsed_ms = net.run_until(10_000, |net| {
+            net.all_have(&all, |stored| *stored == server_leaving("s", 1))
+        });
         assert!(elapsed_ms.is_some(), "seed {seed}");
     }
 }
--- a/crates/peers/tests/membership.rs
+++ b/crates/peers/tests/membership.rs
@@ -185,7 +185,7 @@
     FAULT_CASES.iter().for_each(FaultCase::check);
 }
 
-/// A suspended process that was replaced must stop when it resumes, without disturbing its
+/// A paused process that was replaced must stop when it resumes, without disturbing its
 /// replacement.
 #[test]
 fn a_resumed_process_yields_to_its_replacement() {
@@ -215,9 +215,13 @@
             "seed {seed}"
         );
         for holder in [0, 1, 2, 3, 5] {
-            let held =
+            let stored =
                 net.nodes[holder].core.member(&net.nodes[4].conf.host).expect("the host is known");
-            assert_eq!((held.incarnation, held.state), (new, MemberState::Alive), "seed {seed}");
+            assert_eq!(
+                (stored.incarnation, stored.state),
+                (new, MemberState::Alive),
+                "seed {seed}"
+            );
             assert_eq!(net.told_states(holder), [], "host {holder}, seed {seed}");
         }
     }
@@ -272,8 +276,8 @@
             PeerFrame { in_force: ConfigVersion(0), message: PeerMessage::Update { records } };
         let now_ms = net.now_ms;
         net.nodes[0].core.receive(&sender, frame, now_ms);
-        let held = net.nodes[0].core.member(&earlier.host).expect("the host is known");
-        assert_eq!((held.incarnation, held.state), (later, MemberState::Alive), "{state:?}");
+        let stored = net.nodes[0].core.member(&earlier.host).expect("the host is known");
+        assert_eq!((stored.incarnation, stored.state), (later, MemberState::Alive), "{state:?}");
     }
 }
 
@@ -287,8 +291,10 @@
         net.kill(4);
         let dead_host = net.take_address(4, "entry-host-new");
         let is_gone = |net: &SimNet| {
-            let held = net.nodes.iter().map(|node| node.core.member(&dead_host));
-            held.into_iter().all(|held| held.is_some_and(|held| held.state == MemberState::Gone))
+            let stored = net.nodes.iter().map(|node| node.core.member(&dead_host));
+            stored
+                .into_iter()
+                .all(|stored| stored.is_some_and(|stored| stored.state == MemberState::Gone))
         };
         assert!(net.run_until(30_000, is_gone).is_some(), "seed {seed}");
         assert!(net.all_alive(), "seed {seed}");
@@ -314,7 +320,7 @@
         let now_ms = net.now_ms;
         let core = &mut net.nodes[0].core;
         core.receive(&sender, frame, now_ms);
-        assert_eq!(core.member(&gone.host).map(|held| held.state), Some(MemberState::Alive));
+        assert_eq!(core.member(&gone.host).map(|stored| stored.state), Some(MemberState::Alive));
         for tick in 1..=6 {
             core.tick(now_ms + tick * 200);
             for output in core.take_outputs() {
--- a/crates/peers/tests/partitions.rs
+++ b/crates/peers/tests/partitions.rs
@@ -1,4 +1,4 @@
-//! Membership under suspended processes and network partitions, tested on the protocol core.
+//! Membership under paused processes and network partitions, tested on the protocol core.
 
 mod support;
 
@@ -36,10 +36,10 @@
     }
 }
 
-/// A process suspended during a suspicion must not conclude on resuming that the suspected host is
+/// A process paused during a suspicion must not conclude on resuming that the suspected host is
 /// gone: it may have missed the refutation.
 #[test]
-fn a_host_suspended_during_a_suspicion_does_not_conclude_it() {
+fn a_host_paused_during_a_suspicion_does_not_conclude_it() {
     let mut net = SimNet::new(6, 3, 1);
     net.run(10_000);
     net.cut_both(&[0], &[1, 2, 3, 4, 5]);
