--- a/crates/peers/src/peer_core/zone_usage.rs
+++ b/crates/peers/src/peer_core/zone_usage.rs
@@ -17,7 +17,7 @@
 use crate::wire::PeerMessage;
 use crate::wire::PeerRecord;
 
-/// Report interval per zone in the fleet.
+/// Report interval, multiplied by the number of zones that have present peers.
 const REPORT_INTERVAL_PER_ZONE_MS: u64 = 400;
 const MIN_REPORT_INTERVAL_MS: u64 = 1_000;
 
