--- a/crates/peers/src/net/peer_question.rs
+++ b/crates/peers/src/net/peer_question.rs
@@ -12,12 +12,12 @@
 use fulmargate_names::HostName;
 use fulmargate_names::LogOffset;
 
-use crate::wire::CONFIG;
+use crate::wire::BINCODE_CONFIG;
 use crate::wire::PROTOCOL_VERSION;
-use crate::wire::put_name;
-use crate::wire::take_name;
-use crate::wire::take_number;
-use crate::wire::take_tag;
+use crate::wire::decode_name;
+use crate::wire::decode_tag;
+use crate::wire::decode_u64;
+use crate::wire::encode_name;
 use crate::wire::unknown_tag;
 
 /// What one router may ask another. The list is closed.
@@ -72,13 +72,13 @@
 impl QuestionFrame {
     pub(crate) fn to_bytes(&self) -> Bytes {
         let mut bytes = vec![PROTOCOL_VERSION];
-        bytes.extend(bincode::encode_to_vec(self, CONFIG).expect("questions are short"));
+        bytes.extend(bincode::encode_to_vec(self, BINCODE_CONFIG).expect("questions are short"));
         Bytes::from(bytes)
     }
 
     pub(crate) fn from_bytes(bytes: &[u8]) -> Option<QuestionFrame> {
         let (&version, body) = bytes.split_first()?;
-        let decoded = bincode::borrow_decode_from_slice(body, CONFIG).ok();
+        let decoded = bincode::borrow_decode_from_slice(body, BINCODE_CONFIG).ok();
         decoded.filter(|_| version == PROTOCOL_VERSION).map(|(frame, _)| frame)
     }
 }
@@ -88,8 +88,8 @@
 
 impl Encode for QuestionFrame {
     fn encode<E: Encoder>(&self, encoder: &mut E) -> Result<(), EncodeError> {
-        put_name(encoder, &self.fleet)?;
-        put_name(encoder, self.host.as_str())?;
+        encode_name(encoder, &self.fleet)?;
+        encode_name(encoder, self.host.as_str())?;
         match self.question {
             PeerQuestion::ConfigRecords { from_offset } => {
                 (CONFIG_RECORDS, from_offset.0).encode(encoder)
@@ -103,11 +103,11 @@
     fn borrow_decode<D: BorrowDecoder<'de, Context = C>>(
         decoder: &mut D,
     ) -> Result<Self, DecodeError> {
-        let fleet = take_name(decoder)?;
-        let host = take_name(decoder)?;
-        let question = match take_tag(decoder)? {
+        let fleet = decode_name(decoder)?;
+        let host = decode_name(decoder)?;
+        let question = match decode_tag(decoder)? {
             CONFIG_RECORDS => {
-                PeerQuestion::ConfigRecords { from_offset: LogOffset(take_number(decoder)?) }
+                PeerQuestion::ConfigRecords { from_offset: LogOffset(decode_u64(decoder)?) }
             }
             WARM_STATE => PeerQuestion::WarmState,
             tag => return unknown_tag(tag, WARM_STATE),
--- a/crates/peers/src/wire.rs
+++ b/crates/peers/src/wire.rs
@@ -1,13 +1,13 @@
-//! What goes over a link: frames, messages, their encoding.
+//! Wire protocol between routers: framing, messages and their binary encoding.
 
 mod frame_codec;
 mod item_codec;
 mod message_codec;
-mod name_codec;
 mod peer_message;
+mod primitive_codec;
 mod record_codec;
 
-pub(crate) use frame_codec::CONFIG;
+pub(crate) use frame_codec::BINCODE_CONFIG;
 pub use frame_codec::FRAME_LIMIT;
 pub use frame_codec::FrameError;
 pub use frame_codec::FrameReader;
@@ -16,14 +16,14 @@
 pub use frame_codec::decode_frame;
 pub use frame_codec::encode_frame;
 pub(crate) use item_codec::item_len;
-pub(crate) use name_codec::put_name;
-pub(crate) use name_codec::take_name;
-pub(crate) use name_codec::take_number;
-pub(crate) use name_codec::take_tag;
-pub(crate) use name_codec::unknown_tag;
 pub use peer_message::PeerFrame;
 pub use peer_message::PeerMessage;
 pub use peer_message::PeerRecord;
 pub use peer_message::SummaryEntry;
 pub use peer_message::WelcomePart;
+pub(crate) use primitive_codec::decode_name;
+pub(crate) use primitive_codec::decode_tag;
+pub(crate) use primitive_codec::decode_u64;
+pub(crate) use primitive_codec::encode_name;
+pub(crate) use primitive_codec::unknown_tag;
 pub(crate) use record_codec::encoded_len;
--- a/crates/peers/src/wire/frame_codec.rs
+++ b/crates/peers/src/wire/frame_codec.rs
@@ -1,4 +1,4 @@
-//! Frames: a length, the protocol's version, and the message in bincode.
+//! Framing: a big-endian length prefix, the protocol version and a bincode-encoded message.
 
 use bincode::config::Configuration;
 use bincode::config::Limit;
@@ -11,53 +11,53 @@
 
 use crate::wire::peer_message::PeerFrame;
 
-/// Version of the protocol, the first byte of each frame.
+/// Protocol version, sent as the first byte of every frame.
 pub const PROTOCOL_VERSION: u8 = 1;
-/// A longer frame is not read.
+/// Maximum length of a frame in bytes, without its length prefix.
 pub const FRAME_LIMIT: usize = 256 * 1024;
-/// Length of the length.
+/// Size of the length prefix in bytes.
 pub const LENGTH_BYTES: usize = 4;
 
-/// Numbers take one byte when small, and nothing longer than a frame is allocated.
-pub(crate) const CONFIG: Configuration<
+/// Variable-length integers; the limit bounds what a corrupt length can make the decoder allocate.
+pub(crate) const BINCODE_CONFIG: Configuration<
     bincode::config::LittleEndian,
     bincode::config::Varint,
     Limit<FRAME_LIMIT>,
 > = bincode::config::standard().with_limit::<FRAME_LIMIT>();
 
-/// Why a frame could not be read. The link is of no use after it.
+/// Error reading a frame. The stream cannot be resynchronized afterwards, so the link is closed.
 #[derive(Debug, Display, Error)]
 pub enum FrameError {
-    /// Longer than any frame may be, or empty.
-    #[display("frame of {length} bytes")]
+    /// The frame is empty or longer than `FRAME_LIMIT`.
+    #[display("invalid frame length: {length} bytes")]
     Length {
-        /// The length it claims.
+        /// Length given by the prefix.
         length: usize,
     },
-    /// Another version of the protocol.
-    #[display("protocol version {version}, expected {PROTOCOL_VERSION}")]
+    /// The sender uses a different protocol version.
+    #[display("unsupported protocol version {version}, expected {PROTOCOL_VERSION}")]
     Version {
-        /// The version it claims.
+        /// Version given in the frame.
         version: u8,
     },
-    /// Not a message.
-    #[display("unreadable message: {source}")]
+    /// The message could not be decoded.
+    #[display("cannot decode message: {source}")]
     Message {
-        /// What the decoder says.
+        /// Error from the decoder.
         source: bincode::error::DecodeError,
     },
-    /// Bytes stand after the message.
-    #[display("{excess} bytes after the message")]
+    /// Bytes remain in the frame after the message.
+    #[display("{excess} unexpected bytes after the message")]
     Excess {
-        /// How many.
+        /// Number of remaining bytes.
         excess: usize,
     },
 }
 
-/// Writes a frame with its length.
+/// Encodes a frame, including its length prefix.
 pub fn encode_frame(frame: &PeerFrame) -> Bytes {
-    let body =
-        bincode::encode_to_vec(frame, CONFIG).expect("messages are bounded when they are made");
+    let body = bincode::encode_to_vec(frame, BINCODE_CONFIG)
+        .expect("messages are kept below the frame limit");
     let mut out = BytesMut::with_capacity(LENGTH_BYTES + 1 + body.len());
     out.put_u32(1 + body.len() as u32);
     out.put_u8(PROTOCOL_VERSION);
@@ -65,7 +65,7 @@
     out.freeze()
 }
 
-/// Reads a frame without its length.
+/// Decodes a frame whose length prefix has been removed.
 pub fn decode_frame(bytes: &[u8]) -> Result<PeerFrame, FrameError> {
     let Some((&version, body)) = bytes.split_first() else {
         return Err(FrameError::Length { length: 0 });
@@ -73,7 +73,7 @@
     if version != PROTOCOL_VERSION {
         return Err(FrameError::Version { version });
     }
-    let (frame, read) = bincode::borrow_decode_from_slice(body, CONFIG)
+    let (frame, read) = bincode::borrow_decode_from_slice(body, BINCODE_CONFIG)
         .map_err(|source| FrameError::Message { source })?;
     if read < body.len() {
         return Err(FrameError::Excess { excess: body.len() - read });
@@ -81,19 +81,19 @@
     Ok(frame)
 }
 
-/// Cuts a byte stream into frames.
+/// Splits a byte stream into frames.
 #[derive(Debug, Default)]
 pub struct FrameReader {
     buffer: BytesMut,
 }
 
 impl FrameReader {
-    /// Takes in what came.
+    /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next whole frame without its length, if there is one.
+    /// Removes the next complete frame from the buffer, without its length prefix.
     pub fn next_frame(&mut self) -> Result<Option<Bytes>, FrameError> {
         if self.buffer.len() < LENGTH_BYTES {
             return Ok(None);
--- a/crates/peers/src/wire/message_codec.rs
+++ b/crates/peers/src/wire/message_codec.rs
@@ -1,4 +1,4 @@
-//! Hand-written encoding of frames and messages.
+//! Binary encoding of frames and messages.
 
 use bincode::BorrowDecode;
 use bincode::Encode;
@@ -10,15 +10,15 @@
 
 use crate::RecordKind;
 use crate::record_key::RecordKey;
-use crate::wire::name_codec::put_name;
-use crate::wire::name_codec::take_name;
-use crate::wire::name_codec::take_number;
-use crate::wire::name_codec::take_tag;
-use crate::wire::name_codec::unknown_tag;
 use crate::wire::peer_message::PeerFrame;
 use crate::wire::peer_message::PeerMessage;
 use crate::wire::peer_message::SummaryEntry;
 use crate::wire::peer_message::WelcomePart;
+use crate::wire::primitive_codec::decode_name;
+use crate::wire::primitive_codec::decode_tag;
+use crate::wire::primitive_codec::decode_u64;
+use crate::wire::primitive_codec::encode_name;
+use crate::wire::primitive_codec::unknown_tag;
 use crate::wire::record_codec::decode_member;
 use crate::wire::record_codec::decode_records;
 use crate::wire::record_codec::encode_records;
@@ -46,7 +46,7 @@
         decoder: &mut D,
     ) -> Result<Self, DecodeError> {
         Ok(PeerFrame {
-            in_force: ConfigVersion(take_number(decoder)?),
+            in_force: ConfigVersion(decode_u64(decoder)?),
             message: decode_message(decoder)?,
         })
     }
@@ -57,7 +57,7 @@
         match self {
             PeerMessage::Hello { fleet, member } => {
                 HELLO.encode(encoder)?;
-                put_name(encoder, fleet)?;
+                encode_name(encoder, fleet)?;
                 member.encode(encoder)
             }
             PeerMessage::Probe { number, digest } => {
@@ -66,7 +66,7 @@
             PeerMessage::ProbeAck { number } => (PROBE_ACK, *number).encode(encoder),
             PeerMessage::ProbeVia { number, host, address } => {
                 (PROBE_VIA, *number).encode(encoder)?;
-                put_name(encoder, host.as_str())?;
+                encode_name(encoder, host.as_str())?;
                 address.encode(encoder)
             }
             PeerMessage::Join => JOIN.encode(encoder),
@@ -96,19 +96,22 @@
 }
 
 fn decode_message<'de, D: BorrowDecoder<'de>>(decoder: &mut D) -> Result<PeerMessage, DecodeError> {
-    let message = match take_tag(decoder)? {
-        HELLO => PeerMessage::Hello { fleet: take_name(decoder)?, member: decode_member(decoder)? },
-        PROBE => PeerMessage::Probe { number: take_number(decoder)?, digest: take_hash(decoder)? },
-        PROBE_ACK => PeerMessage::ProbeAck { number: take_number(decoder)? },
+    let message = match decode_tag(decoder)? {
+        HELLO => {
+            PeerMessage::Hello { fleet: decode_name(decoder)?, member: decode_member(decoder)? }
+        }
+        PROBE => PeerMessage::Probe { number: decode_u64(decoder)?, digest: decode_hash(decoder)? },
+        PROBE_ACK => PeerMessage::ProbeAck { number: decode_u64(decoder)? },
         PROBE_VIA => PeerMessage::ProbeVia {
-            number: take_number(decoder)?,
-            host: take_name(decoder)?,
+            number: decode_u64(decoder)?,
+            host: decode_name(decoder)?,
             address: BorrowDecode::borrow_decode(decoder)?,
         },
         JOIN => PeerMessage::Join,
-        WELCOME => {
-            PeerMessage::Welcome { part: decode_part(decoder)?, records: decode_records(decoder)? }
-        }
+        WELCOME => PeerMessage::Welcome {
+            part: decode_welcome_part(decoder)?,
+            records: decode_records(decoder)?,
+        },
         DIGEST => PeerMessage::Digest { buckets: decode_buckets(decoder)? },
         SUMMARY => PeerMessage::Summary {
             buckets: BorrowDecode::borrow_decode(decoder)?,
@@ -121,8 +124,10 @@
     Ok(message)
 }
 
-fn decode_part<'de, D: BorrowDecoder<'de>>(decoder: &mut D) -> Result<WelcomePart, DecodeError> {
-    match take_tag(decoder)? {
+fn decode_welcome_part<'de, D: BorrowDecoder<'de>>(
+    decoder: &mut D,
+) -> Result<WelcomePart, DecodeError> {
+    match decode_tag(decoder)? {
         0 => Ok(WelcomePart::More),
         1 => Ok(WelcomePart::Last),
         2 => Ok(WelcomePart::Sample),
@@ -130,19 +135,19 @@
     }
 }
 
-/// Hashes use all their bits: a fixed length is the shorter one.
+/// Hashes have a fixed length, because a varint would be longer for most of them.
 fn encode_buckets<E: Encoder>(buckets: &[u32], encoder: &mut E) -> Result<(), EncodeError> {
     (buckets.len() as u64).encode(encoder)?;
     buckets.iter().try_for_each(|hash| hash.to_le_bytes().encode(encoder))
 }
 
-fn take_hash<'de, D: BorrowDecoder<'de>>(decoder: &mut D) -> Result<u32, DecodeError> {
+fn decode_hash<'de, D: BorrowDecoder<'de>>(decoder: &mut D) -> Result<u32, DecodeError> {
     Ok(u32::from_le_bytes(BorrowDecode::borrow_decode(decoder)?))
 }
 
 fn decode_buckets<'de, D: BorrowDecoder<'de>>(decoder: &mut D) -> Result<Vec<u32>, DecodeError> {
-    let count = take_number(decoder)?;
-    (0..count).map(|_| take_hash(decoder)).collect()
+    let count = decode_u64(decoder)?;
+    (0..count).map(|_| decode_hash(decoder)).collect()
 }
 
 impl Encode for RecordKey {
@@ -159,9 +164,9 @@
     }
 }
 
-/// Keys of kinds that a newer release has added are skipped.
+/// Skips keys of unknown kinds, which a newer release may send.
 fn decode_keys<'de, D: BorrowDecoder<'de>>(decoder: &mut D) -> Result<Vec<RecordKey>, DecodeError> {
-    let count = take_number(decoder)?;
+    let count = decode_u64(decoder)?;
     let mut keys = Vec::new();
     for _ in 0..count {
         keys.extend(decode_key(decoder)?);
@@ -172,7 +177,7 @@
 fn decode_key<'de, D: BorrowDecoder<'de>>(
     decoder: &mut D,
 ) -> Result<Option<RecordKey>, DecodeError> {
-    let tag = take_tag(decoder)?;
+    let tag = decode_tag(decoder)?;
     let id = u64::from_le_bytes(BorrowDecode::borrow_decode(decoder)?);
     Ok(RecordKind::from_tag(tag).map(|kind| RecordKey { kind, id }))
 }
@@ -180,11 +185,11 @@
 fn decode_entries<'de, D: BorrowDecoder<'de>>(
     decoder: &mut D,
 ) -> Result<Vec<SummaryEntry>, DecodeError> {
-    let count = take_number(decoder)?;
+    let count = decode_u64(decoder)?;
     let mut entries = Vec::new();
     for _ in 0..count {
         let key = decode_key(decoder)?;
-        let stamp = take_hash(decoder)?;
+        let stamp = decode_hash(decoder)?;
         entries.extend(key.map(|key| SummaryEntry { key, stamp }));
     }
     Ok(entries)
--- a/crates/peers/src/wire/peer_message.rs
+++ b/crates/peers/src/wire/peer_message.rs
@@ -1,4 +1,4 @@
-//! What one frame between routers says.
+//! Frames and messages exchanged between routers.
 
 use std::net::SocketAddr;
 
@@ -10,102 +10,104 @@
 use crate::RecordKind;
 use crate::record_key::RecordKey;
 
-/// One frame: a message and the configuration that its sender has in force.
+/// A message together with the sender's active configuration version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerFrame {
-    /// Carried by every frame, so that a host that is behind learns it from whoever speaks to it.
+    /// Active configuration version. It is part of every frame so that an outdated host learns of a
+    /// newer one from any peer.
     pub in_force: ConfigVersion,
     /// The message.
     pub message: PeerMessage,
 }
 
-/// What routers say to each other.
+/// Messages between routers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PeerMessage {
-    /// First frame on a link, each way.
+    /// Identifies the sender; the first frame in each direction of a link.
     Hello {
-        /// Hosts of another fleet are turned away.
+        /// Fleet of the sender. The receiver rejects hosts of other fleets.
         fleet: String,
-        /// Who speaks.
+        /// Member record of the sender.
         member: MemberRecord,
     },
-    /// Answer, if you live.
+    /// Failure-detector probe, to be answered with `ProbeAck`.
     Probe {
-        /// Comes back in the answer.
+        /// Probe number, repeated in the acknowledgement.
         number: u64,
-        /// Hash over the sender's rarely changing records.
+        /// Hash of the sender's rarely changing records.
         digest: u32,
     },
-    /// I live; or, to the sender of `ProbeVia`: it lives.
+    /// Acknowledges a `Probe`, or reports to the sender of `ProbeVia` that its target is alive.
     ProbeAck {
-        /// The probe's number.
+        /// Number of the acknowledged probe.
         number: u64,
     },
-    /// Probe this host for me: I get no answer from it.
+    /// Requests an indirect probe of a host that did not acknowledge a direct one.
     ProbeVia {
-        /// Comes back in the answer.
+        /// Probe number, repeated in the acknowledgement.
         number: u64,
-        /// The host.
+        /// Host to probe.
         host: HostName,
-        /// Where it listens.
+        /// Address of the host.
         address: SocketAddr,
     },
-    /// I am new here: tell me what you know.
+    /// Requests all known records, sent by a host that joins.
     Join,
-    /// Part of the answer to `Join`.
+    /// Part of the response to `Join`.
     Welcome {
-        /// Which part.
+        /// Whether more parts follow.
         part: WelcomePart,
-        /// What is known.
+        /// Known records.
         records: Vec<PeerRecord>,
     },
-    /// Hashes over all that I know, bucket by bucket.
+    /// Hashes of all records held by the sender, for anti-entropy.
     Digest {
-        /// One for each bucket.
+        /// One hash per bucket.
         buckets: Vec<u32>,
     },
-    /// What I hold in buckets that differ.
+    /// Lists the sender's records in buckets whose hashes differ.
     Summary {
-        /// The buckets.
+        /// Indices of the buckets.
         buckets: Vec<u16>,
-        /// What is in them.
+        /// Keys and stamps of the records in these buckets.
         entries: Vec<SummaryEntry>,
     },
-    /// Send me these.
+    /// Requests records by key.
     Want {
-        /// Their keys.
+        /// Keys of the requested records.
         keys: Vec<RecordKey>,
     },
-    /// Take these in.
+    /// Carries records to be merged by the receiver.
     Update {
-        /// Newest records.
+        /// Latest known versions of the records.
         records: Vec<PeerRecord>,
     },
 }
 
-/// Which part of a welcome a frame is.
+/// Position of a frame within the response to `Join`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum WelcomePart {
-    /// More follows.
+    /// More parts follow.
     More = 0,
-    /// The last part of all that is known.
+    /// Final part of the full set of records.
     Last = 1,
-    /// A few members only, for the host is busy with others: ask one of these.
+    /// A sample of members only, because the host is serving other joins. The joining host retries
+    /// with one of them.
     Sample = 2,
 }
 
-/// A record as it travels.
+/// A replicated record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PeerRecord {
-    /// On an entry host.
+    /// State of an entry host.
     Member(MemberRecord),
-    /// On anything else.
+    /// Any other replicated item.
     Item(ItemRecord),
 }
 
 impl PeerRecord {
-    /// The record's kind.
+    /// The kind tag of the record.
     pub fn kind(&self) -> RecordKind {
         match self {
             PeerRecord::Member(_) => RecordKind::Member,
@@ -114,11 +116,11 @@
     }
 }
 
-/// A record's key and stamp.
+/// Key and version stamp of a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SummaryEntry {
-    /// The key.
+    /// Key of the record.
     pub key: RecordKey,
-    /// Differs between any two records with the same key.
+    /// Version stamp, different for any two versions of a record.
     pub stamp: u32,
 }
