--- a/crates/peers/src/net.rs
+++ b/crates/peers/src/net.rs
@@ -1,9 +1,7 @@
-//! Links to other routers: `h2` over TCP, all on the control thread.
+//! Links to other routers over HTTP/2, run on the control thread.
 
-mod answer_side;
-mod ask_side;
-mod counted_stream;
-mod frame_pump;
+mod counting_stream;
+mod frame_io;
 mod link_error;
 mod link_table;
 mod link_task;
@@ -12,6 +10,8 @@
 mod net_state;
 mod peer_handle;
 mod peer_question;
+mod query_client;
+mod query_server;
 
 pub use peer_handle::PeerHandle;
 pub use peer_handle::PeerNet;
--- a/crates/peers/src/net/counted_stream.rs
+++ b/crates/peers/src/net/counting_stream.rs
@@ -1,4 +1,4 @@
-//! A TCP stream that counts what goes through it.
+//! A TCP stream that counts the bytes read and written.
 
 use std::io;
 use std::pin::Pin;
@@ -14,19 +14,19 @@
 
 use crate::PeerCounters;
 
-/// Counts bytes as the socket sees them: what the frames cost with `h2` around them.
-pub(crate) struct CountedStream {
+/// Counts bytes at the socket, which include the overhead of HTTP/2.
+pub(crate) struct CountingStream {
     stream: TcpStream,
     counters: Arc<PeerCounters>,
 }
 
-impl CountedStream {
-    pub(crate) fn new(stream: TcpStream, counters: Arc<PeerCounters>) -> CountedStream {
-        CountedStream { stream, counters }
+impl CountingStream {
+    pub(crate) fn new(stream: TcpStream, counters: Arc<PeerCounters>) -> CountingStream {
+        CountingStream { stream, counters }
     }
 }
 
-impl AsyncRead for CountedStream {
+impl AsyncRead for CountingStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -40,7 +40,7 @@
     }
 }
 
-impl AsyncWrite for CountedStream {
+impl AsyncWrite for CountingStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
--- a/crates/peers/src/net/frame_pump.rs
+++ b/crates/peers/src/net/frame_io.rs
@@ -1,4 +1,4 @@
-//! Frames into and out of an `h2` stream.
+//! Reads and writes frames on an HTTP/2 stream.
 
 use std::cell::Cell;
 use std::future::poll_fn;
@@ -20,22 +20,23 @@
 use crate::wire::PeerMessage;
 use crate::wire::decode_frame;
 
-/// Time for each step until a link is up.
+/// Timeout of each step of connection setup.
 pub(crate) const SETUP_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// The reading side of an exchange.
-pub(crate) struct FrameSource {
+/// Receiving half of a link.
+pub(crate) struct FrameReceiver {
     body: RecvStream,
     reader: FrameReader,
     state: Rc<NetState>,
 }
 
-impl FrameSource {
-    pub(crate) fn new(body: RecvStream, state: Rc<NetState>) -> FrameSource {
-        FrameSource { body, reader: FrameReader::default(), state }
+impl FrameReceiver {
+    pub(crate) fn new(body: RecvStream, state: Rc<NetState>) -> FrameReceiver {
+        FrameReceiver { body, reader: FrameReader::default(), state }
     }
 
-    /// The next frame. An unreadable one ends the link: what follows it cannot be trusted.
+    /// Receives the next frame. Framing is lost after an invalid frame, so every error closes the
+    /// link.
     pub(crate) async fn next(&mut self) -> Result<PeerFrame, LinkError> {
         loop {
             if let Some(bytes) = self.reader.next_frame()? {
@@ -43,55 +44,57 @@
                 self.state.counters.count_frame(Direction::Received, &frame, bytes.len());
                 return Ok(frame);
             }
-            let chunk = self.body.data().await.ok_or(LinkError::Closed)??;
+            let chunk = self.body.data().await.ok_or(LinkError::ClosedByPeer)??;
             self.body.flow_control().release_capacity(chunk.len())?;
             self.reader.push(&chunk);
         }
     }
 
-    /// The first frame, which says who speaks.
-    pub(crate) async fn hello(&mut self) -> Result<MemberRecord, LinkError> {
+    /// Receives the first frame, which identifies the peer.
+    pub(crate) async fn receive_hello(&mut self) -> Result<MemberRecord, LinkError> {
         let frame = timeout(SETUP_TIMEOUT, self.next()).await.map_err(|_| LinkError::Timeout)??;
         let PeerMessage::Hello { fleet, member } = frame.message else {
-            return Err(LinkError::NoHello);
+            return Err(LinkError::MissingHello);
         };
         if fleet != self.state.fleet {
-            return Err(LinkError::OtherFleet);
+            return Err(LinkError::FleetMismatch);
         }
         if self.state.is_own(&member) {
-            return Err(LinkError::OwnHost);
+            return Err(LinkError::SelfConnection);
         }
         Ok(member)
     }
 }
 
-/// The writing side's queue, and how many frames of it are not written yet.
+/// Frames to be sent, with the number of those not yet written.
 pub(crate) struct FrameQueue {
     pub(crate) frames: mpsc::Receiver<Bytes>,
-    pub(crate) waiting: Rc<Cell<usize>>,
+    pub(crate) pending: Rc<Cell<usize>>,
 }
 
-/// Writes frames until the queue's other end is dropped.
-pub(crate) async fn write_queue(
+/// Writes queued frames until the sender of the queue is dropped.
+pub(crate) async fn write_queued_frames(
     stream: &mut SendStream<Bytes>,
     queue: &mut FrameQueue,
 ) -> Result<(), LinkError> {
     while let Some(frame) = queue.frames.recv().await {
-        write_bytes(stream, frame).await?;
-        queue.waiting.set(queue.waiting.get().saturating_sub(1));
+        write_all(stream, frame).await?;
+        queue.pending.set(queue.pending.get().saturating_sub(1));
     }
-    Err(LinkError::Dropped)
+    Err(LinkError::ClosedLocally)
 }
 
-/// Waits for the peer's window before it hands bytes to `h2`, which would else keep any amount.
-pub(crate) async fn write_bytes(
+/// Writes all bytes. Waits for flow-control capacity first, because `h2` would otherwise buffer any
+/// amount.
+pub(crate) async fn write_all(
     stream: &mut SendStream<Bytes>,
     mut bytes: Bytes,
 ) -> Result<(), LinkError> {
     while !bytes.is_empty() {
         stream.reserve_capacity(bytes.len());
-        let granted =
-            poll_fn(|context| stream.poll_capacity(context)).await.ok_or(LinkError::Closed)??;
+        let granted = poll_fn(|context| stream.poll_capacity(context))
+            .await
+            .ok_or(LinkError::ClosedByPeer)??;
         let part = bytes.split_to(granted.min(bytes.len()));
         stream.send_data(part, false)?;
     }
--- a/crates/peers/src/net/link_error.rs
+++ b/crates/peers/src/net/link_error.rs
@@ -1,4 +1,4 @@
-//! Why a link ended.
+//! Errors of links.
 
 use std::io;
 
@@ -8,53 +8,56 @@
 
 use crate::wire::FrameError;
 
-/// Why a link ended, or never was.
+/// Reason why a link was closed or could not be established.
 #[derive(Debug, Display, Error, From)]
 pub(crate) enum LinkError {
-    /// The connection could not be made or broke.
-    #[display("connection: {_0}")]
+    /// The connection failed.
+    #[display("connection failed: {_0}")]
     Io(io::Error),
-    /// `h2` found a fault.
-    #[display("h2: {_0}")]
+    /// HTTP/2 error.
+    #[display("HTTP/2 error: {_0}")]
     H2(h2::Error),
-    /// A frame could not be read.
+    /// An invalid frame was received.
     #[display("{_0}")]
     Frame(FrameError),
     /// The first frame was not `Hello`.
-    #[display("no hello")]
-    NoHello,
+    #[display("the first frame is not a Hello")]
+    MissingHello,
     /// The peer belongs to another fleet.
-    #[display("another fleet")]
-    OtherFleet,
-    /// The peer is this process.
-    #[display("this host itself")]
-    OwnHost,
-    /// The peer turned the link away.
-    #[display("turned away with status {status}")]
+    #[display("the peer belongs to another fleet")]
+    FleetMismatch,
+    /// The host connected to itself.
+    #[display("the host connected to itself")]
+    SelfConnection,
+    /// The peer rejected the link.
+    #[display("rejected by the peer with status {status}")]
     #[from(ignore)]
     Refused {
-        /// The status of its answer.
+        /// HTTP status of the response.
         status: u16,
     },
-    /// The peer did not do its part in time.
-    #[display("no answer in time")]
+    /// The peer did not respond in time.
+    #[display("timed out")]
     Timeout,
     /// The peer closed the link.
     #[display("closed by the peer")]
-    Closed,
+    ClosedByPeer,
     /// This host closed the link.
-    #[display("closed here")]
-    Dropped,
+    #[display("closed locally")]
+    ClosedLocally,
 }
 
 impl LinkError {
-    /// Whether the peer does not speak as it should.
-    pub(crate) fn is_unreadable(&self) -> bool {
-        matches!(self, LinkError::Frame(_) | LinkError::NoHello)
+    /// Whether the peer violated the protocol.
+    pub(crate) fn is_protocol_error(&self) -> bool {
+        matches!(self, LinkError::Frame(_) | LinkError::MissingHello)
     }
 
-    /// Whether the peer must not be linked with.
-    pub(crate) fn is_refusal(&self) -> bool {
-        matches!(self, LinkError::OtherFleet | LinkError::OwnHost | LinkError::Refused { .. })
+    /// Whether one of the two hosts rejected the link.
+    pub(crate) fn is_rejection(&self) -> bool {
+        matches!(
+            self,
+            LinkError::FleetMismatch | LinkError::SelfConnection | LinkError::Refused { .. }
+        )
     }
 }
--- a/crates/peers/src/net/link_table.rs
+++ b/crates/peers/src/net/link_table.rs
@@ -1,4 +1,4 @@
-//! The links of one host.
+//! Table of open links.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -12,206 +12,217 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::MemberRecord;
-use crate::net::frame_pump::FrameQueue;
+use crate::net::frame_io::FrameQueue;
 use crate::net::link_task::LinkContext;
-use crate::net::link_task::open_link;
-use crate::net::net_state::AcceptedLink;
+use crate::net::link_task::run_outgoing_link;
+use crate::net::net_state::IncomingLink;
 use crate::net::net_state::LinkEvent;
 use crate::net::net_state::NetState;
 use crate::wire::PeerFrame;
 
-/// Frames that wait for one peer. Beyond it the link is dropped: comparing heals what is lost, and
-/// a peer that does not read must not hold this host's memory.
-pub(crate) const LINK_QUEUE: usize = 64;
-/// Links that a host keeps open to others; the one least used makes room.
-const OPEN_LIMIT: usize = 32;
-/// How much later than the opener the other side closes a link: the opener may have been cut off
-/// without a word.
-const ACCEPTED_PATIENCE: u64 = 3;
+/// Maximum number of frames queued for one peer. When the queue is full, the link is closed, which
+/// bounds the memory used for a peer that does not read. Anti-entropy recovers the lost updates.
+pub(crate) const LINK_QUEUE_CAPACITY: usize = 64;
+/// Beyond this number, the least recently used outgoing link is closed.
+const MAX_OUTGOING_LINKS: usize = 32;
+/// Idle timeout of incoming links, as a multiple of that of outgoing ones. Usually the peer that
+/// opened a link closes it; this timeout covers peers that disappeared without closing.
+const INCOMING_IDLE_FACTOR: u64 = 3;
 
 struct Link {
     address: SocketAddr,
     queue: mpsc::Sender<Bytes>,
-    waiting: Rc<Cell<usize>>,
+    pending: Rc<Cell<usize>>,
     cancellation: CancellationToken,
     member: Option<MemberRecord>,
-    opened_here: bool,
-    used_ms: u64,
+    is_outgoing: bool,
+    last_used_ms: u64,
 }
 
-/// What became of a frame.
+/// Result of sending a frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum SendFate {
-    /// It waits in a link's queue.
+pub(crate) enum SendOutcome {
+    /// The frame was queued on a link.
     Queued,
-    /// The peer did not read: its link was dropped.
-    Overrun,
+    /// The queue was full or closed. The link was closed.
+    QueueFull,
 }
 
-/// Links by number, and which of them to use for an address.
+/// Links by ID and, for each address, the link used for sending.
 pub(crate) struct LinkTable {
     state: Rc<NetState>,
     events: mpsc::Sender<LinkEvent>,
     links: IndexMap<u64, Link>,
-    routes: IndexMap<SocketAddr, u64>,
-    next_link: Rc<Cell<u64>>,
+    links_by_address: IndexMap<SocketAddr, u64>,
+    last_link_id: Rc<Cell<u64>>,
 }
 
 impl LinkTable {
     pub(crate) fn new(
         state: Rc<NetState>,
         events: mpsc::Sender<LinkEvent>,
-        next_link: Rc<Cell<u64>>,
+        last_link_id: Rc<Cell<u64>>,
     ) -> LinkTable {
-        LinkTable { state, events, links: IndexMap::new(), routes: IndexMap::new(), next_link }
+        LinkTable {
+            state,
+            events,
+            links: IndexMap::new(),
+            links_by_address: IndexMap::new(),
+            last_link_id,
+        }
     }
 
-    /// Queues a frame for an address; opens a link when there is none.
-    pub(crate) fn send(&mut self, to: SocketAddr, frame: &PeerFrame, now_ms: u64) -> SendFate {
+    /// Queues a frame for an address, opening a link if there is none.
+    pub(crate) fn send(&mut self, to: SocketAddr, frame: &PeerFrame, now_ms: u64) -> SendOutcome {
         let bytes = self.state.encode(frame);
-        let link = self.route(to).unwrap_or_else(|| self.open(to, now_ms));
-        let Some(held) = self.links.get_mut(&link) else {
-            return SendFate::Overrun;
+        let link_id = self.usable_link(to).unwrap_or_else(|| self.open(to, now_ms));
+        let Some(link) = self.links.get_mut(&link_id) else {
+            return SendOutcome::QueueFull;
         };
-        held.used_ms = now_ms;
-        if held.queue.try_send(bytes).is_ok() {
-            held.waiting.set(held.waiting.get() + 1);
-            return SendFate::Queued;
+        link.last_used_ms = now_ms;
+        if link.queue.try_send(bytes).is_ok() {
+            link.pending.set(link.pending.get() + 1);
+            return SendOutcome::Queued;
         }
         self.state.counters.links_overrun.fetch_add(1, Ordering::Relaxed);
         let kind = EventKind::PeerOverrun;
         tracing::warn!(event = kind.number(), name = kind.name(), address = %to);
-        self.remove(link);
-        SendFate::Overrun
+        self.remove(link_id);
+        SendOutcome::QueueFull
     }
 
-    fn route(&self, to: SocketAddr) -> Option<u64> {
-        let link = *self.routes.get(&to)?;
-        let is_usable = self.links.get(&link).is_some_and(|held| !held.queue.is_closed());
-        is_usable.then_some(link)
+    fn usable_link(&self, to: SocketAddr) -> Option<u64> {
+        let link_id = *self.links_by_address.get(&to)?;
+        let is_usable = self.links.get(&link_id).is_some_and(|link| !link.queue.is_closed());
+        is_usable.then_some(link_id)
     }
 
     fn open(&mut self, to: SocketAddr, now_ms: u64) -> u64 {
-        self.make_room();
-        let link = self.next_link.get() + 1;
-        self.next_link.set(link);
-        let (queue, frames) = mpsc::channel(LINK_QUEUE);
-        let waiting = Rc::new(Cell::new(0));
+        self.evict_least_recently_used();
+        let link_id = self.last_link_id.get() + 1;
+        self.last_link_id.set(link_id);
+        let (queue, frames) = mpsc::channel(LINK_QUEUE_CAPACITY);
+        let pending = Rc::new(Cell::new(0));
         let cancellation = self.state.cancellation.child_token();
         let context = LinkContext {
-            link,
+            link_id,
             state: self.state.clone(),
             events: self.events.clone(),
             cancellation: cancellation.clone(),
         };
-        let frame_queue = FrameQueue { frames, waiting: waiting.clone() };
-        actix_rt::spawn(context.clone().run(open_link(context, to, frame_queue)));
+        let frame_queue = FrameQueue { frames, pending: pending.clone() };
+        actix_rt::spawn(context.clone().run(run_outgoing_link(context, to, frame_queue)));
         self.state.counters.links_opened.fetch_add(1, Ordering::Relaxed);
-        let held = Link {
+        let link = Link {
             address: to,
             queue,
-            waiting,
+            pending,
             cancellation,
             member: None,
-            opened_here: true,
-            used_ms: now_ms,
+            is_outgoing: true,
+            last_used_ms: now_ms,
         };
-        self.links.insert(link, held);
-        self.routes.insert(to, link);
-        link
+        self.links.insert(link_id, link);
+        self.links_by_address.insert(to, link_id);
+        link_id
     }
 
-    fn make_room(&mut self) {
-        let opened = self.links.iter().filter(|(_, held)| held.opened_here);
-        if opened.clone().count() >= OPEN_LIMIT {
-            let oldest = opened.min_by_key(|(_, held)| held.used_ms).map(|(&link, _)| link);
-            if let Some(link) = oldest {
-                self.remove(link);
+    fn evict_least_recently_used(&mut self) {
+        let outgoing = self.links.iter().filter(|(_, link)| link.is_outgoing);
+        if outgoing.clone().count() >= MAX_OUTGOING_LINKS {
+            let oldest =
+                outgoing.min_by_key(|(_, link)| link.last_used_ms).map(|(&link_id, _)| link_id);
+            if let Some(link_id) = oldest {
+                self.remove(link_id);
             }
         }
     }
 
-    /// A link is up. One that a peer has opened is used for answers unless there is another.
-    pub(crate) fn up(
+    /// Records the peer of an established link. An incoming link is also used for sending unless
+    /// the address already has a usable link.
+    pub(crate) fn register(
         &mut self,
-        link: u64,
+        link_id: u64,
         member: MemberRecord,
-        accepted: Option<AcceptedLink>,
+        incoming: Option<IncomingLink>,
         now_ms: u64,
     ) {
-        if let Some(ends) = accepted {
+        if let Some(incoming) = incoming {
             let address = member.address;
-            let AcceptedLink { queue, waiting, cancellation } = ends;
-            let held = Link {
+            let IncomingLink { queue, pending, cancellation } = incoming;
+            let link = Link {
                 address,
                 queue,
-                waiting,
+                pending,
                 cancellation,
                 member: None,
-                opened_here: false,
-                used_ms: now_ms,
+                is_outgoing: false,
+                last_used_ms: now_ms,
             };
-            self.links.insert(link, held);
-            if self.route(address).is_none() {
-                self.routes.insert(address, link);
+            self.links.insert(link_id, link);
+            if self.usable_link(address).is_none() {
+                self.links_by_address.insert(address, link_id);
             }
         }
-        if let Some(held) = self.links.get_mut(&link) {
-            held.member = Some(member);
+        if let Some(link) = self.links.get_mut(&link_id) {
+            link.member = Some(member);
         }
     }
 
-    /// Who speaks on a link; `None` when it was dropped meanwhile.
-    pub(crate) fn speaker(&self, link: u64) -> Option<&MemberRecord> {
-        self.links.get(&link)?.member.as_ref()
+    /// The peer of a link, or `None` if the link is closed or not yet established.
+    pub(crate) fn peer(&self, link_id: u64) -> Option<&MemberRecord> {
+        self.links.get(&link_id)?.member.as_ref()
     }
 
-    /// A frame came on a link.
-    pub(crate) fn touch(&mut self, link: u64, now_ms: u64) {
-        if let Some(held) = self.links.get_mut(&link) {
-            held.used_ms = now_ms;
+    pub(crate) fn mark_used(&mut self, link_id: u64, now_ms: u64) {
+        if let Some(link) = self.links.get_mut(&link_id) {
+            link.last_used_ms = now_ms;
         }
     }
 
-    /// Gives up the links to an address, so that the next frame makes a new one.
-    pub(crate) fn drop_to(&mut self, to: SocketAddr) {
-        let links = self.links.iter().filter(|(_, held)| held.address == to);
-        let links: Vec<u64> = links.map(|(&link, _)| link).collect();
-        for link in links {
-            self.remove(link);
+    /// Closes all links to an address; the next frame opens a new one.
+    pub(crate) fn close_links_to(&mut self, to: SocketAddr) {
+        let links = self.links.iter().filter(|(_, link)| link.address == to);
+        let links: Vec<u64> = links.map(|(&link_id, _)| link_id).collect();
+        for link_id in links {
+            self.remove(link_id);
         }
     }
 
-    /// Forgets a link; its address when it was in use.
-    pub(crate) fn remove(&mut self, link: u64) -> Option<SocketAddr> {
-        let held = self.links.swap_remove(&link)?;
-        held.cancellation.cancel();
-        if self.routes.get(&held.address) == Some(&link) {
-            self.routes.swap_remove(&held.address);
+    /// Closes and removes a link, returning its address if it was in the table.
+    pub(crate) fn remove(&mut self, link_id: u64) -> Option<SocketAddr> {
+        let link = self.links.swap_remove(&link_id)?;
+        link.cancellation.cancel();
+        if self.links_by_address.get(&link.address) == Some(&link_id) {
+            self.links_by_address.swap_remove(&link.address);
         }
-        Some(held.address)
+        Some(link.address)
     }
 
-    pub(crate) fn drop_all(&mut self) {
-        self.links.values().for_each(|held| held.cancellation.cancel());
+    pub(crate) fn close_all(&mut self) {
+        self.links.values().for_each(|link| link.cancellation.cancel());
         self.links.clear();
-        self.routes.clear();
+        self.links_by_address.clear();
     }
 
-    pub(crate) fn drop_idle(&mut self, now_ms: u64) {
+    pub(crate) fn close_idle(&mut self, now_ms: u64) {
         let idle_ms = self.state.idle_ms;
-        let patience = |held: &Link| if held.opened_here { 1 } else { ACCEPTED_PATIENCE };
-        let limit_ms = |held: &Link| patience(held) * idle_ms;
-        let idle = |held: &Link| now_ms.saturating_sub(held.used_ms) >= limit_ms(held);
-        let idle: Vec<u64> =
-            self.links.iter().filter(|(_, held)| idle(held)).map(|(&link, _)| link).collect();
-        for link in idle {
-            self.remove(link);
+        let idle_factor = |link: &Link| if link.is_outgoing { 1 } else { INCOMING_IDLE_FACTOR };
+        let limit_ms = |link: &Link| idle_factor(link) * idle_ms;
+        let is_idle = |link: &Link| now_ms.saturating_sub(link.last_used_ms) >= limit_ms(link);
+        let idle: Vec<u64> = self
+            .links
+            .iter()
+            .filter(|(_, link)| is_idle(link))
+            .map(|(&link_id, _)| link_id)
+            .collect();
+        for link_id in idle {
+            self.remove(link_id);
         }
     }
 
-    /// Frames not written yet.
-    pub(crate) fn waiting(&self) -> usize {
-        self.links.values().map(|held| held.waiting.get()).sum()
+    /// Number of queued frames that have not been written yet.
+    pub(crate) fn pending(&self) -> usize {
+        self.links.values().map(|link| link.pending.get()).sum()
     }
 }
--- a/crates/peers/src/net/link_task.rs
+++ b/crates/peers/src/net/link_task.rs
@@ -1,4 +1,4 @@
-//! One exchange with one peer, seen from either side.
+//! Tasks that run outgoing and incoming links.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -17,54 +17,54 @@
 use tokio::time::timeout;
 use tokio_util::sync::CancellationToken;
 
-use crate::net::counted_stream::CountedStream;
-use crate::net::frame_pump::FrameQueue;
-use crate::net::frame_pump::FrameSource;
-use crate::net::frame_pump::SETUP_TIMEOUT;
-use crate::net::frame_pump::write_bytes;
-use crate::net::frame_pump::write_queue;
+use crate::net::counting_stream::CountingStream;
+use crate::net::frame_io::FrameQueue;
+use crate::net::frame_io::FrameReceiver;
+use crate::net::frame_io::SETUP_TIMEOUT;
+use crate::net::frame_io::write_all;
+use crate::net::frame_io::write_queued_frames;
 use crate::net::link_error::LinkError;
-use crate::net::net_state::AcceptedLink;
+use crate::net::net_state::IncomingLink;
 use crate::net::net_state::LinkEvent;
 use crate::net::net_state::NetState;
 
-/// Path of the exchange.
+/// HTTP path of links.
 pub(crate) const EXCHANGE_PATH: &str = "/exchange";
 
-/// A link's number, where it reports to, and what ends it.
+/// ID, event channel and cancellation token of a link.
 #[derive(Clone)]
 pub(crate) struct LinkContext {
-    pub(crate) link: u64,
+    pub(crate) link_id: u64,
     pub(crate) state: Rc<NetState>,
     pub(crate) events: mpsc::Sender<LinkEvent>,
     pub(crate) cancellation: CancellationToken,
 }
 
 impl LinkContext {
-    /// Runs a link to its end and reports it.
+    /// Runs a link until it closes, then reports `LinkEvent::Down`.
     pub(crate) async fn run(self, body: impl Future<Output = Result<(), LinkError>>) {
-        let ended = tokio::select! {
-            ended = body => ended,
-            () = self.cancellation.cancelled() => Err(LinkError::Dropped),
+        let result = tokio::select! {
+            result = body => result,
+            () = self.cancellation.cancelled() => Err(LinkError::ClosedLocally),
         };
-        let error = ended.err().unwrap_or(LinkError::Closed);
-        let _ = self.events.send(LinkEvent::Down { link: self.link, error }).await;
+        let error = result.err().unwrap_or(LinkError::ClosedByPeer);
+        let _ = self.events.send(LinkEvent::Down { link_id: self.link_id, error }).await;
     }
 
     async fn report(&self, event: LinkEvent) -> Result<(), LinkError> {
-        self.events.send(event).await.map_err(|_| LinkError::Dropped)
+        self.events.send(event).await.map_err(|_| LinkError::ClosedLocally)
     }
 
-    async fn read_frames(&self, source: &mut FrameSource) -> Result<(), LinkError> {
+    async fn read_frames(&self, receiver: &mut FrameReceiver) -> Result<(), LinkError> {
         loop {
-            let frame = source.next().await?;
-            self.report(LinkEvent::Frame { link: self.link, frame }).await?;
+            let frame = receiver.next().await?;
+            self.report(LinkEvent::Frame { link_id: self.link_id, frame }).await?;
         }
     }
 }
 
-/// Connects to a peer and exchanges frames with it.
-pub(crate) async fn open_link(
+/// Connects to a peer and exchanges frames until the link closes.
+pub(crate) async fn run_outgoing_link(
     context: LinkContext,
     address: SocketAddr,
     mut queue: FrameQueue,
@@ -73,12 +73,12 @@
         .await
         .map_err(|_| LinkError::Timeout)??;
     stream.set_nodelay(true)?;
-    let stream = CountedStream::new(stream, context.state.counters.clone());
+    let stream = CountingStream::new(stream, context.state.counters.clone());
     let (client, connection) =
         h2::client::Builder::new().enable_push(false).handshake(stream).await?;
     tokio::select! {
-        ended = connection => Err(ended.err().map_or(LinkError::Closed, LinkError::H2)),
-        ended = exchange_as_client(&context, client, &mut queue) => ended,
+        result = connection => Err(result.err().map_or(LinkError::ClosedByPeer, LinkError::H2)),
+        result = exchange_as_client(&context, client, &mut queue) => result,
     }
 }
 
@@ -91,57 +91,61 @@
         .method(Method::POST)
         .uri(EXCHANGE_PATH)
         .body(())
-        .expect("a fixed request");
-    let (answer, mut stream) = client.ready().await?.send_request(request, false)?;
-    write_bytes(&mut stream, context.state.hello()).await?;
+        .expect("a valid request");
+    let (response, mut stream) = client.ready().await?.send_request(request, false)?;
+    write_all(&mut stream, context.state.encode_hello()).await?;
     let read = async {
-        let answer = timeout(SETUP_TIMEOUT, answer).await.map_err(|_| LinkError::Timeout)??;
-        if answer.status() != StatusCode::OK {
-            return Err(LinkError::Refused { status: answer.status().as_u16() });
+        let response = timeout(SETUP_TIMEOUT, response).await.map_err(|_| LinkError::Timeout)??;
+        if response.status() != StatusCode::OK {
+            return Err(LinkError::Refused { status: response.status().as_u16() });
         }
-        let mut source = FrameSource::new(answer.into_body(), context.state.clone());
-        let member = source.hello().await?;
-        context.report(LinkEvent::Up { link: context.link, member, accepted: None }).await?;
-        context.read_frames(&mut source).await
+        let mut receiver = FrameReceiver::new(response.into_body(), context.state.clone());
+        let member = receiver.receive_hello().await?;
+        context.report(LinkEvent::Up { link_id: context.link_id, member, incoming: None }).await?;
+        context.read_frames(&mut receiver).await
     };
     tokio::select! {
-        ended = read => ended,
-        ended = write_queue(&mut stream, queue) => ended,
+        result = read => result,
+        result = write_queued_frames(&mut stream, queue) => result,
     }
 }
 
-/// Exchanges frames with a peer that has connected.
-pub(crate) async fn accept_link(
+/// Exchanges frames with a connected peer until the link closes.
+pub(crate) async fn run_incoming_link(
     context: LinkContext,
     body: RecvStream,
     mut respond: SendResponse<Bytes>,
-    ends: AcceptedLink,
+    incoming_link: IncomingLink,
     mut queue: FrameQueue,
 ) -> Result<(), LinkError> {
-    let mut source = FrameSource::new(body, context.state.clone());
-    let member = match source.hello().await {
+    let mut receiver = FrameReceiver::new(body, context.state.clone());
+    let member = match receiver.receive_hello().await {
         Ok(member) => member,
         Err(error) => {
-            let refusal =
-                Response::builder().status(StatusCode::FORBIDDEN).body(()).expect("a fixed answer");
+            let refusal = Response::builder()
+                .status(StatusCode::FORBIDDEN)
+                .body(())
+                .expect("a valid response");
             respond.send_response(refusal, true)?;
             return Err(error);
         }
     };
     let mut stream = respond.send_response(Response::new(()), false)?;
-    write_bytes(&mut stream, context.state.hello()).await?;
-    context.report(LinkEvent::Up { link: context.link, member, accepted: Some(ends) }).await?;
-    pump(&context, &mut source, &mut stream, &mut queue).await
+    write_all(&mut stream, context.state.encode_hello()).await?;
+    context
+        .report(LinkEvent::Up { link_id: context.link_id, member, incoming: Some(incoming_link) })
+        .await?;
+    exchange_frames(&context, &mut receiver, &mut stream, &mut queue).await
 }
 
-async fn pump(
+async fn exchange_frames(
     context: &LinkContext,
-    source: &mut FrameSource,
+    receiver: &mut FrameReceiver,
     stream: &mut SendStream<Bytes>,
     queue: &mut FrameQueue,
 ) -> Result<(), LinkError> {
     tokio::select! {
-        ended = context.read_frames(source) => ended,
-        ended = write_queue(stream, queue) => ended,
+        result = context.read_frames(receiver) => result,
+        result = write_queued_frames(stream, queue) => result,
     }
 }
--- a/crates/peers/src/net/listener_task.rs
+++ b/crates/peers/src/net/listener_task.rs
@@ -1,4 +1,4 @@
-//! Connections that peers open.
+//! Accepts connections from peers.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -18,31 +18,29 @@
 use tokio::time::timeout;
 use tokio_util::sync::CancellationToken;
 
-use crate::net::answer_side::ASK_PATH;
-use crate::net::answer_side::answer;
-use crate::net::counted_stream::CountedStream;
-use crate::net::frame_pump::FrameQueue;
-use crate::net::frame_pump::SETUP_TIMEOUT;
+use crate::net::counting_stream::CountingStream;
+use crate::net::frame_io::FrameQueue;
+use crate::net::frame_io::SETUP_TIMEOUT;
 use crate::net::link_error::LinkError;
-use crate::net::link_table::LINK_QUEUE;
+use crate::net::link_table::LINK_QUEUE_CAPACITY;
 use crate::net::link_task::EXCHANGE_PATH;
 use crate::net::link_task::LinkContext;
-use crate::net::link_task::accept_link;
-use crate::net::net_state::AcceptedLink;
+use crate::net::link_task::run_incoming_link;
+use crate::net::net_state::IncomingLink;
 use crate::net::net_state::LinkEvent;
 use crate::net::net_state::NetState;
+use crate::net::query_server::QUERY_PATH;
+use crate::net::query_server::serve_query;
 
-/// Connections that peers may hold open.
-const ACCEPT_LIMIT: usize = 256;
-/// Pause after a failure to accept.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
+const MAX_CONNECTIONS: usize = 256;
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Accepts connections until the host stops.
 pub(crate) struct ListenerTask {
     pub(crate) state: Rc<NetState>,
     pub(crate) events: mpsc::Sender<LinkEvent>,
-    pub(crate) next_link: Rc<Cell<u64>>,
-    pub(crate) open: Rc<Cell<usize>>,
+    pub(crate) last_link_id: Rc<Cell<u64>>,
+    pub(crate) open_connections: Rc<Cell<usize>>,
 }
 
 impl ListenerTask {
@@ -54,7 +52,7 @@
                 () = task.state.cancellation.cancelled() => return,
             };
             match accepted {
-                Ok((stream, _)) if task.open.get() < ACCEPT_LIMIT => {
+                Ok((stream, _)) if task.open_connections.get() < MAX_CONNECTIONS => {
                     actix_rt::spawn(task.clone().serve(stream));
                 }
                 Ok(_) => {
@@ -62,42 +60,42 @@
                 }
                 Err(error) => {
                     tracing::debug!(%error, "accept failed");
-                    tokio::time::sleep(ACCEPT_PAUSE).await;
+                    tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 }
             }
         }
     }
 
     async fn serve(self: Rc<Self>, stream: TcpStream) {
-        self.open.set(self.open.get() + 1);
+        self.open_connections.set(self.open_connections.get() + 1);
         tokio::select! {
-            ended = self.serve_streams(stream) => {
-                if let Err(error) = ended {
-                    tracing::debug!(%error, "a peer's connection ended");
+            result = self.serve_streams(stream) => {
+                if let Err(error) = result {
+                    tracing::debug!(%error, "peer connection failed");
                 }
             }
             () = self.state.cancellation.cancelled() => {}
         }
-        self.open.set(self.open.get() - 1);
+        self.open_connections.set(self.open_connections.get() - 1);
     }
 
     async fn serve_streams(&self, stream: TcpStream) -> Result<(), LinkError> {
         stream.set_nodelay(true)?;
-        let stream = CountedStream::new(stream, self.state.counters.clone());
+        let stream = CountingStream::new(stream, self.state.counters.clone());
         let handshake = h2::server::Builder::new().max_concurrent_streams(4).handshake(stream);
         let mut connection =
             timeout(SETUP_TIMEOUT, handshake).await.map_err(|_| LinkError::Timeout)??;
         let cancellation = self.state.cancellation.child_token();
-        let ended = self.serve_requests(&mut connection, &cancellation).await;
+        let result = self.serve_requests(&mut connection, &cancellation).await;
         cancellation.cancel();
-        ended
+        result
     }
 
-    /// A connection on which nothing is open is closed after a while. A peer that was cut off sends
-    /// no end; kept, such connections would fill the number allowed, and no peer could come in.
+    /// Serves requests until the connection ends or is idle without open streams. Otherwise,
+    /// connections of unreachable peers would accumulate up to `MAX_CONNECTIONS`.
     async fn serve_requests(
         &self,
-        connection: &mut Connection<CountedStream, Bytes>,
+        connection: &mut Connection<CountingStream, Bytes>,
         cancellation: &CancellationToken,
     ) -> Result<(), LinkError> {
         let idle = Duration::from_millis(self.state.idle_ms);
@@ -122,46 +120,46 @@
     ) {
         match request.uri().path() {
             EXCHANGE_PATH => {
-                self.serve_exchange(request.into_body(), respond, cancellation.child_token());
+                self.serve_link(request.into_body(), respond, cancellation.child_token());
             }
-            ASK_PATH => {
-                actix_rt::spawn(answer(self.state.clone(), request.into_body(), respond));
+            QUERY_PATH => {
+                actix_rt::spawn(serve_query(self.state.clone(), request.into_body(), respond));
             }
             _ => {
                 let refusal = Response::builder()
                     .status(StatusCode::NOT_FOUND)
                     .body(())
-                    .expect("a fixed answer");
+                    .expect("a valid response");
                 let _ = respond.send_response(refusal, true);
             }
         }
     }
 
-    fn serve_exchange(
+    fn serve_link(
         &self,
         body: RecvStream,
         respond: SendResponse<Bytes>,
         cancellation: CancellationToken,
     ) {
         self.state.counters.links_accepted.fetch_add(1, Ordering::Relaxed);
-        let link = self.next_link.get() + 1;
-        self.next_link.set(link);
-        let (queue, frames) = mpsc::channel(LINK_QUEUE);
-        let waiting = Rc::new(Cell::new(0));
-        let ends =
-            AcceptedLink { queue, waiting: waiting.clone(), cancellation: cancellation.clone() };
+        let link_id = self.last_link_id.get() + 1;
+        self.last_link_id.set(link_id);
+        let (queue, frames) = mpsc::channel(LINK_QUEUE_CAPACITY);
+        let pending = Rc::new(Cell::new(0));
+        let incoming_link =
+            IncomingLink { queue, pending: pending.clone(), cancellation: cancellation.clone() };
         let context = LinkContext {
-            link,
+            link_id,
             state: self.state.clone(),
             events: self.events.clone(),
             cancellation,
         };
-        let frame_queue = FrameQueue { frames, waiting };
-        actix_rt::spawn(context.clone().run(accept_link(
+        let frame_queue = FrameQueue { frames, pending };
+        actix_rt::spawn(context.clone().run(run_incoming_link(
             context,
             body,
             respond,
-            ends,
+            incoming_link,
             frame_queue,
         )));
     }
--- a/crates/peers/src/net/net_loop.rs
+++ b/crates/peers/src/net/net_loop.rs
@@ -1,4 +1,4 @@
-//! The loop that carries out what the core decides.
+//! Event loop that drives the core and applies its outputs.
 
 use std::rc::Rc;
 use std::sync::atomic::Ordering;
@@ -16,29 +16,29 @@
 use crate::PeerNews;
 use crate::net::link_error::LinkError;
 use crate::net::link_table::LinkTable;
-use crate::net::link_table::SendFate;
+use crate::net::link_table::SendOutcome;
 use crate::net::net_state::LinkEvent;
 use crate::net::net_state::NetState;
 
-/// How long a host that leaves waits at most for its last frames to be written.
-const LEAVE_WAIT: Duration = Duration::from_secs(1);
-/// What `h2` gets to bring written frames to the socket.
-const FLUSH_WAIT: Duration = Duration::from_millis(50);
+/// Maximum time to wait for the last frames to be written when leaving.
+const LEAVE_TIMEOUT: Duration = Duration::from_secs(1);
+/// Minimum time given to `h2` to flush written frames to the socket.
+const FLUSH_DELAY: Duration = Duration::from_millis(50);
 
-/// A planned stop waits for this.
+/// Request to leave the fleet; `done` is completed when the last frames have been written.
 pub(crate) struct LeaveRequest {
     pub(crate) done: oneshot::Sender<()>,
 }
 
-/// Drives the core: ticks, frames, items from other threads.
+/// Passes ticks, link events and items from other threads to the core.
 pub(crate) struct NetLoop {
     pub(crate) state: Rc<NetState>,
     pub(crate) links: LinkTable,
     pub(crate) events: mpsc::Receiver<LinkEvent>,
     pub(crate) items: mpsc::UnboundedReceiver<PeerItem>,
-    pub(crate) leaves: mpsc::UnboundedReceiver<LeaveRequest>,
+    pub(crate) leave_requests: mpsc::UnboundedReceiver<LeaveRequest>,
     pub(crate) news: mpsc::UnboundedSender<PeerNews>,
-    pub(crate) leaving: Vec<(LeaveRequest, Instant)>,
+    pub(crate) pending_leaves: Vec<(LeaveRequest, Instant)>,
 }
 
 impl NetLoop {
@@ -51,57 +51,57 @@
                 () = state.cancellation.cancelled() => break,
                 _ = ticks.tick() => self.tick(),
                 () = state.wake.notified() => {}
-                Some(event) = self.events.recv() => self.take_event(event),
+                Some(event) = self.events.recv() => self.handle_event(event),
                 Some(item) = self.items.recv() => state.core.borrow_mut().put(item, state.now_ms()),
-                Some(request) = self.leaves.recv() => self.leave(request),
+                Some(request) = self.leave_requests.recv() => self.leave(request),
             }
-            self.carry_out();
-            self.end_leaves();
+            self.apply_outputs();
+            self.complete_leaves();
         }
-        self.links.drop_all();
+        self.links.close_all();
     }
 
     fn tick(&mut self) {
         let now_ms = self.state.now_ms();
         self.state.core.borrow_mut().tick(now_ms);
-        self.links.drop_idle(now_ms);
+        self.links.close_idle(now_ms);
     }
 
-    fn take_event(&mut self, event: LinkEvent) {
+    fn handle_event(&mut self, event: LinkEvent) {
         let now_ms = self.state.now_ms();
         match event {
-            LinkEvent::Up { link, member, accepted } => {
-                self.links.up(link, member, accepted, now_ms);
+            LinkEvent::Up { link_id, member, incoming } => {
+                self.links.register(link_id, member, incoming, now_ms);
             }
-            LinkEvent::Frame { link, frame } => {
-                // Frames of links that were dropped meanwhile are old: nobody speaks on them.
-                if let Some(speaker) = self.links.speaker(link).cloned() {
-                    self.links.touch(link, now_ms);
-                    self.state.core.borrow_mut().receive(&speaker, frame, now_ms);
+            LinkEvent::Frame { link_id, frame } => {
+                // Ignore frames queued before their link was closed.
+                if let Some(peer) = self.links.peer(link_id).cloned() {
+                    self.links.mark_used(link_id, now_ms);
+                    self.state.core.borrow_mut().receive(&peer, frame, now_ms);
                 }
             }
-            LinkEvent::Down { link, error } => self.end_link(link, &error, now_ms),
+            LinkEvent::Down { link_id, error } => self.handle_link_down(link_id, &error, now_ms),
         }
     }
 
-    fn end_link(&mut self, link: u64, error: &LinkError, now_ms: u64) {
-        if error.is_unreadable() {
+    fn handle_link_down(&mut self, link_id: u64, error: &LinkError, now_ms: u64) {
+        if error.is_protocol_error() {
             self.state.counters.frames_unreadable.fetch_add(1, Ordering::Relaxed);
             let kind = EventKind::PeerUnreadable;
-            let host = self.links.speaker(link).map(|member| member.host.clone());
+            let host = self.links.peer(link_id).map(|member| member.host.clone());
             tracing::warn!(event = kind.number(), name = kind.name(), ?host, %error);
         }
-        if error.is_refusal() {
+        if error.is_rejection() {
             self.state.counters.links_refused.fetch_add(1, Ordering::Relaxed);
         }
-        let address = self.links.remove(link);
-        if let Some(address) = address.filter(|_| !matches!(error, LinkError::Dropped)) {
-            tracing::debug!(%address, %error, "link ended");
+        let address = self.links.remove(link_id);
+        if let Some(address) = address.filter(|_| !matches!(error, LinkError::ClosedLocally)) {
+            tracing::debug!(%address, %error, "link closed");
             self.state.core.borrow_mut().link_failed(address, now_ms);
         }
     }
 
-    fn carry_out(&mut self) {
+    fn apply_outputs(&mut self) {
         let now_ms = self.state.now_ms();
         loop {
             let outputs = self.state.core.borrow_mut().take_outputs();
@@ -111,38 +111,39 @@
             for output in outputs {
                 match output {
                     CoreOutput::Send { to, frame } => {
-                        if self.links.send(to, &frame, now_ms) == SendFate::Overrun {
+                        if self.links.send(to, &frame, now_ms) == SendOutcome::QueueFull {
                             self.state.core.borrow_mut().link_failed(to, now_ms);
                         }
                     }
-                    CoreOutput::News(news) => self.tell(news),
-                    CoreOutput::DropLink { to } => self.links.drop_to(to),
-                    CoreOutput::DropLinks => self.links.drop_all(),
+                    CoreOutput::News(news) => self.publish(news),
+                    CoreOutput::DropLink { to } => self.links.close_links_to(to),
+                    CoreOutput::DropLinks => self.links.close_all(),
                 }
             }
         }
     }
 
-    fn tell(&self, news: PeerNews) {
+    fn publish(&self, news: PeerNews) {
         log_news(&news);
-        // The router may have stopped listening before it stops the exchange.
+        // The receiver may be dropped before the loop is cancelled.
         let _ = self.news.send(news);
     }
 
     fn leave(&mut self, request: LeaveRequest) {
         self.state.core.borrow_mut().leave(self.state.now_ms());
-        self.leaving.push((request, Instant::now()));
+        self.pending_leaves.push((request, Instant::now()));
     }
 
-    fn end_leaves(&mut self) {
-        let is_written = self.links.waiting() == 0;
+    fn complete_leaves(&mut self) {
+        let all_written = self.links.pending() == 0;
         let now = Instant::now();
-        let is_over = |asked: Instant| {
-            let passed = now.duration_since(asked);
-            passed >= LEAVE_WAIT || (is_written && passed >= FLUSH_WAIT)
+        let is_complete = |requested_at: Instant| {
+            let elapsed = now.duration_since(requested_at);
+            elapsed >= LEAVE_TIMEOUT || (all_written && elapsed >= FLUSH_DELAY)
         };
-        let over = self.leaving.extract_if(.., |(_, asked)| is_over(*asked));
-        for (request, _) in over {
+        let completed =
+            self.pending_leaves.extract_if(.., |(_, requested_at)| is_complete(*requested_at));
+        for (request, _) in completed {
             let _ = request.done.send(());
         }
     }
--- a/crates/peers/src/net/net_state.rs
+++ b/crates/peers/src/net/net_state.rs
@@ -1,4 +1,4 @@
-//! What the tasks of the control thread share.
+//! State shared by the tasks of the control thread.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -21,22 +21,22 @@
 use crate::wire::PeerMessage;
 use crate::wire::encode_frame;
 
-/// Answers questions of peers; `None` when there is nothing to say.
-pub(crate) type Answerer = Rc<dyn Fn(PeerQuestion) -> Option<Bytes>>;
+/// Answers queries of peers, or returns `None` if there is no answer.
+pub(crate) type QueryHandler = Rc<dyn Fn(PeerQuestion) -> Option<Bytes>>;
 
-/// Frames of all links that wait for the loop; when it is full, links stop reading.
-pub(crate) const EVENT_QUEUE: usize = 1_024;
+/// Capacity of the event queue shared by all links. Links stop reading while it is full.
+pub(crate) const EVENT_QUEUE_CAPACITY: usize = 1_024;
 
-/// The core, with what links and questions need of it.
+/// The core and the state needed by links and queries.
 pub(crate) struct NetState {
     pub(crate) core: RefCell<PeerCore>,
     pub(crate) fleet: String,
-    /// After this an unused link is closed.
+    /// Idle timeout of links.
     pub(crate) idle_ms: u64,
     pub(crate) counters: Arc<PeerCounters>,
-    pub(crate) answerer: RefCell<Option<Answerer>>,
-    pub(crate) answers_open: Cell<usize>,
-    /// Wakes the loop when the core was called from elsewhere.
+    pub(crate) query_handler: RefCell<Option<QueryHandler>>,
+    pub(crate) active_queries: Cell<usize>,
+    /// Wakes the loop after a call to the core from outside it.
     pub(crate) wake: Notify,
     pub(crate) started: Instant,
     pub(crate) cancellation: CancellationToken,
@@ -52,36 +52,36 @@
         core.own().host == member.host && core.own().incarnation == member.incarnation
     }
 
-    /// Encodes a frame and counts it.
+    /// Encodes a frame and counts it as sent.
     pub(crate) fn encode(&self, frame: &PeerFrame) -> Bytes {
         let bytes = encode_frame(frame);
         self.counters.count_frame(Direction::Sent, frame, bytes.len());
         bytes
     }
 
-    /// The first frame of a link.
-    pub(crate) fn hello(&self) -> Bytes {
+    /// Encodes the first frame of a link.
+    pub(crate) fn encode_hello(&self) -> Bytes {
         let core = self.core.borrow();
         let message = PeerMessage::Hello { fleet: self.fleet.clone(), member: core.own().clone() };
         self.encode(&PeerFrame { in_force: core.in_force(), message })
     }
 }
 
-/// What links tell the loop.
+/// Events reported by links to the loop.
 #[derive(Debug)]
 pub(crate) enum LinkEvent {
-    /// A link is up; for one that a peer opened, with the queue to write to it.
-    Up { link: u64, member: MemberRecord, accepted: Option<AcceptedLink> },
-    /// A frame came.
-    Frame { link: u64, frame: PeerFrame },
-    /// A link is over.
-    Down { link: u64, error: LinkError },
+    /// A link is established. `incoming` is set if the peer opened it.
+    Up { link_id: u64, member: MemberRecord, incoming: Option<IncomingLink> },
+    /// A frame was received.
+    Frame { link_id: u64, frame: PeerFrame },
+    /// A link closed.
+    Down { link_id: u64, error: LinkError },
 }
 
-/// The loop's ends of a link that a peer opened.
+/// Handles with which the loop sends on a link opened by a peer, or closes it.
 #[derive(Debug)]
-pub(crate) struct AcceptedLink {
+pub(crate) struct IncomingLink {
     pub(crate) queue: mpsc::Sender<Bytes>,
-    pub(crate) waiting: Rc<Cell<usize>>,
+    pub(crate) pending: Rc<Cell<usize>>,
     pub(crate) cancellation: CancellationToken,
 }
--- a/crates/peers/src/net/peer_question.rs
+++ b/crates/peers/src/net/peer_question.rs
@@ -1,4 +1,4 @@
-//! Questions between routers. Answers are bytes that this crate does not read.
+//! Queries between routers. Responses are opaque bytes to this crate.
 
 use bincode::BorrowDecode;
 use bincode::Encode;
@@ -20,63 +20,66 @@
 use crate::wire::encode_name;
 use crate::wire::unknown_tag;
 
-/// What one router may ask another. The list is closed.
+/// A query from one router to another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PeerQuestion {
-    /// The configuration stream's records from an offset on, or a snapshot.
+    /// Requests the records of the configuration log from an offset on, or a snapshot.
     ConfigRecords {
-        /// The first record wanted.
+        /// Offset of the first requested record.
         from_offset: LogOffset,
     },
-    /// What a router that has just started needs to place requests as a warm one does.
+    /// Requests the state that lets a newly started router place requests like one that has been
+    /// running for a while.
     WarmState,
 }
 
-/// Why a question got no answer.
+/// Reason why a query failed.
 #[derive(Debug, Display, Error)]
 pub enum AskError {
-    /// No present host has this name.
-    #[display("no such host")]
+    /// No live host has this name.
+    #[display("unknown host")]
     UnknownHost,
-    /// The host has nothing to say to this.
+    /// The host has no answer to the query.
     #[display("the host has no answer")]
     NoAnswer,
-    /// The host answers too many others at the moment; ask another.
+    /// The host is serving too many queries; try another host.
     #[display("the host is busy")]
     Busy,
     /// Another host, or a host of another fleet, listens at the address.
-    #[display("another host listens at the address")]
+    #[display("the address belongs to another host")]
     WrongHost,
-    /// The answer is longer than allowed.
-    #[display("the answer is too long")]
+    /// The response exceeds the maximum length.
+    #[display("the response is too long")]
     TooLong,
-    /// No answer in time.
-    #[display("no answer in time")]
+    /// The response did not arrive in time.
+    #[display("timed out")]
     Timeout,
     /// The connection failed.
     #[display("the connection failed: {reason}")]
     Connection {
-        /// What the library says.
+        /// Error of the connection.
         reason: String,
     },
 }
 
-/// A question with whom it is for: addresses are reused.
+/// A query and its intended recipient, which is checked because addresses are reused.
 #[derive(Debug, PartialEq, Eq)]
-pub(crate) struct QuestionFrame {
+pub(crate) struct QueryFrame {
     pub(crate) fleet: String,
     pub(crate) host: HostName,
-    pub(crate) question: PeerQuestion,
+    pub(crate) query: PeerQuestion,
 }
 
-impl QuestionFrame {
+impl QueryFrame {
     pub(crate) fn to_bytes(&self) -> Bytes {
         let mut bytes = vec![PROTOCOL_VERSION];
-        bytes.extend(bincode::encode_to_vec(self, BINCODE_CONFIG).expect("questions are short"));
+        bytes.extend(
+            bincode::encode_to_vec(self, BINCODE_CONFIG).expect("queries are below the size limit"),
+        );
         Bytes::from(bytes)
     }
 
-    pub(crate) fn from_bytes(bytes: &[u8]) -> Option<QuestionFrame> {
+    pub(crate) fn from_bytes(bytes: &[u8]) -> Option<QueryFrame> {
         let (&version, body) = bytes.split_first()?;
         let decoded = bincode::borrow_decode_from_slice(body, BINCODE_CONFIG).ok();
         decoded.filter(|_| version == PROTOCOL_VERSION).map(|(frame, _)| frame)
@@ -86,11 +89,11 @@
 const CONFIG_RECORDS: u8 = 0;
 const WARM_STATE: u8 = 1;
 
-impl Encode for QuestionFrame {
+impl Encode for QueryFrame {
     fn encode<E: Encoder>(&self, encoder: &mut E) -> Result<(), EncodeError> {
         encode_name(encoder, &self.fleet)?;
         encode_name(encoder, self.host.as_str())?;
-        match self.question {
+        match self.query {
             PeerQuestion::ConfigRecords { from_offset } => {
                 (CONFIG_RECORDS, from_offset.0).encode(encoder)
             }
@@ -99,19 +102,19 @@
     }
 }
 
-impl<'de, C> BorrowDecode<'de, C> for QuestionFrame {
+impl<'de, C> BorrowDecode<'de, C> for QueryFrame {
     fn borrow_decode<D: BorrowDecoder<'de, Context = C>>(
         decoder: &mut D,
     ) -> Result<Self, DecodeError> {
         let fleet = decode_name(decoder)?;
         let host = decode_name(decoder)?;
-        let question = match decode_tag(decoder)? {
+        let query = match decode_tag(decoder)? {
             CONFIG_RECORDS => {
                 PeerQuestion::ConfigRecords { from_offset: LogOffset(decode_u64(decoder)?) }
             }
             WARM_STATE => PeerQuestion::WarmState,
             tag => return unknown_tag(tag, WARM_STATE),
         };
-        Ok(QuestionFrame { fleet, host, question })
+        Ok(QueryFrame { fleet, host, query })
     }
 }
