--- a/crates/peers/examples/sockets.rs
+++ b/crates/peers/examples/sockets.rs
@@ -1,4 +1,4 @@
-//! What frames cost on real links: bytes at the sockets beside bytes of frames.
+//! Measures the overhead of HTTP/2 links: bytes at the sockets compared with bytes of frames.
 //!
 //! `cargo run --release -p fulmargate-peers --example sockets -- 6 24`
 
@@ -17,10 +17,8 @@
 use fulmargate_peers::PeerPace;
 use tokio_util::sync::CancellationToken;
 
-/// Quiet time before a measurement.
-const SETTLE: Duration = Duration::from_secs(5);
-/// Length of a measurement.
-const MEASURE_S: u64 = 30;
+const WARM_UP: Duration = Duration::from_secs(5);
+const MEASUREMENT_S: u64 = 30;
 
 fn main() {
     let sizes: Vec<usize> = std::env::args().skip(1).filter_map(|text| text.parse().ok()).collect();
@@ -40,40 +38,43 @@
         actix_rt::spawn(async move { while news.recv().await.is_some() {} });
         hosts.push(handle);
     }
-    tokio::time::sleep(SETTLE).await;
-    let known: Vec<usize> = hosts.iter().map(|host| host.members().len()).collect();
+    tokio::time::sleep(WARM_UP).await;
+    let member_counts: Vec<usize> = hosts.iter().map(|host| host.members().len()).collect();
     println!(
-        "\n== {count} hosts on real links: {:?} to {:?} members known ==",
-        known.iter().min(),
-        known.iter().max()
+        "\n== {count} hosts: {:?} to {:?} known members ==",
+        member_counts.iter().min(),
+        member_counts.iter().max()
     );
     let before = totals(&hosts);
     let started = std::time::Instant::now();
-    for second in 0..MEASURE_S {
+    for second in 0..MEASUREMENT_S {
         if second % 5 == 0 {
-            hosts.iter().for_each(|handle| put_version(handle, second));
+            hosts.iter().for_each(|handle| publish_version(handle, second));
         }
         tokio::time::sleep(Duration::from_secs(1)).await;
     }
     let per_host_s = started.elapsed().as_secs_f64() * count as f64;
     let after = totals(&hosts);
-    let names = [
+    let labels = [
         "frame bytes sent",
         "frames sent",
         "wire bytes sent",
         "wire bytes received",
         "links opened",
     ];
-    for ((name, after), before) in names.iter().zip(&after).zip(&before) {
-        println!("{name:<20} {:>10.2} a second and host", (after - before) as f64 / per_host_s);
+    for ((label, after), before) in labels.iter().zip(&after).zip(&before) {
+        println!("{label:<20} {:>10.2} per second and host", (after - before) as f64 / per_host_s);
     }
     let overhead = (after[2] - before[2]) as f64 - (after[0] - before[0]) as f64;
-    println!("h2 around a frame    {:>10.2} bytes", overhead / (after[1] - before[1]) as f64);
+    println!(
+        "HTTP/2 overhead      {:>10.2} bytes per frame",
+        overhead / (after[1] - before[1]) as f64
+    );
     token.cancel();
     tokio::time::sleep(Duration::from_millis(100)).await;
 }
 
-fn put_version(handle: &PeerHandle, second: u64) {
+fn publish_version(handle: &PeerHandle, second: u64) {
     let members = handle.members();
     let own = members.into_iter().find(|member| member.address == handle.address());
     if let Some(own) = own {
--- a/crates/peers/examples/traffic.rs
+++ b/crates/peers/examples/traffic.rs
@@ -1,4 +1,4 @@
-//! Bytes and times of the exchange at several sizes of fleet, in one process on a virtual clock.
+//! Measures traffic and propagation times for several fleet sizes, simulated on a virtual clock.
 //!
 //! `cargo run --release -p fulmargate-peers --example traffic -- 6 24 96 740`
 
@@ -20,27 +20,26 @@
 use rand::rngs::StdRng;
 use support::SimNet;
 
-/// Quiet time before a measurement.
-const SETTLE_S: u64 = 60;
-/// Length of a measurement.
-const MEASURE_S: u64 = 120;
-/// Repeats of each time measured.
-const REPEATS: usize = 5;
-/// The sizes of today and of the target: up to here there are three zones, beyond it ten.
-const SMALL_FLEET: usize = 24;
-/// TCP, IP and h2 around a frame, as an estimate.
-const FRAME_OVERHEAD: u64 = 66;
-/// The budget of a host.
-const BUDGET: f64 = 21_000.0;
+const WARM_UP_S: u64 = 60;
+const MEASUREMENT_S: u64 = 120;
+/// Repetitions of each time measurement.
+const REPETITIONS: usize = 5;
+/// Larger fleets are distributed over ten zones.
+const MAX_HOSTS_IN_THREE_ZONES: usize = 24;
+/// Estimated overhead of IP, TCP and HTTP/2 per frame.
+const ESTIMATED_FRAME_OVERHEAD_BYTES: u64 = 66;
+/// Traffic budget of one host.
+const BUDGET_BYTES_PER_S: f64 = 21_000.0;
 
 fn main() {
     let sizes: Vec<usize> = std::env::args().skip(1).filter_map(|text| text.parse().ok()).collect();
     let sizes = if sizes.is_empty() { vec![6, 24, 96] } else { sizes };
-    let rows: Vec<(f64, f64)> = sizes.iter().map(|&hosts| (hosts as f64, measure(hosts))).collect();
-    for pair in rows.windows(2) {
+    let results: Vec<(f64, f64)> =
+        sizes.iter().map(|&hosts| (hosts as f64, measure(hosts))).collect();
+    for pair in results.windows(2) {
         let (hosts, bytes) = (pair[1].0 - pair[0].0, pair[1].1 - pair[0].1);
         println!(
-            "slope {} to {} hosts: {:.1} bytes/s per host for each host more",
+            "slope {} to {} hosts: {:.1} bytes/s per host for each additional host",
             pair[0].0,
             pair[1].0,
             bytes / hosts
@@ -49,35 +48,40 @@
 }
 
 fn measure(hosts: usize) -> f64 {
-    let zones = if hosts <= SMALL_FLEET { 3 } else { 10 };
+    let zones = if hosts <= MAX_HOSTS_IN_THREE_ZONES { 3 } else { 10 };
     let started = std::time::Instant::now();
     let mut net = SimNet::new(hosts, zones, 1);
     let joined = net.run_until(300_000, SimNet::all_alive);
-    net.run(SETTLE_S * 1_000);
+    net.run(WARM_UP_S * 1_000);
     println!("\n== {hosts} hosts in {zones} zones ==");
-    println!("all started at once, all known to all: {}", seconds(joined));
+    println!(
+        "all hosts started at once, full membership on all hosts: {}",
+        format_duration(joined)
+    );
     let bytes = measure_bytes(&mut net, zones);
-    report_cost(&net, started.elapsed().as_secs_f64());
+    report_resource_usage(&net, started.elapsed().as_secs_f64());
     measure_times(&mut net, zones);
-    println!("real time of this run: {:.1} s", started.elapsed().as_secs_f64());
+    println!("elapsed real time: {:.1} s", started.elapsed().as_secs_f64());
     bytes
 }
 
-/// Time of a core and memory of the whole process, network and codec of the harness included.
-fn report_cost(net: &SimNet, real_s: f64) {
+/// Reports CPU time and memory per host, including those of the simulation itself.
+fn report_resource_usage(net: &SimNet, real_s: f64) {
     let simulated_s = (net.now_ms - SimNet::START_MS) as f64 / 1_000.0;
     let per_host_s = real_s / simulated_s / net.nodes.len() as f64;
-    let pages = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
-    let resident: u64 = pages.split(' ').nth(1).and_then(|text| text.parse().ok()).unwrap_or(0);
-    let per_host_kb = resident * 4 / net.nodes.len() as u64;
+    let statm = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
+    let resident_pages: u64 =
+        statm.split(' ').nth(1).and_then(|text| text.parse().ok()).unwrap_or(0);
+    let per_host_kb = resident_pages * 4 / net.nodes.len() as u64;
     println!(
-        "harness included: {:.0} us of a core for each second of a host, {per_host_kb} KB for each host",
+        "including the simulation: {:.0} us of CPU time per host and second, {per_host_kb} KB per host",
         per_host_s * 1e6
     );
 }
 
-/// Changes at the target's rates: 1,000 member changes a day and as many server changes at 740
-/// hosts, 0.19 configurations a second, hot items all the time.
+/// Simulates the load expected at 740 hosts, scaled to the fleet size: 1,000 each of host restarts,
+/// leaving servers and new servers a day. Adds 0.19 configuration changes per second and the items
+/// that every host publishes regularly.
 fn measure_bytes(net: &mut SimNet, zones: usize) -> f64 {
     let hosts = net.nodes.len();
     let mut rng = StdRng::seed_from_u64(2);
@@ -85,7 +89,7 @@
     let frames = frame_total(net);
     let changes_per_s = 1_000.0 / 86_400.0 * hosts as f64 / 740.0;
     let mut version = 1;
-    for second in 0..MEASURE_S {
+    for second in 0..MEASUREMENT_S {
         if rng.random_bool(0.19) {
             version += 1;
             net.put_config(rng.random_range(0..hosts), version);
@@ -103,15 +107,15 @@
             let incarnation = Incarnation(1_700_000_000_000 + second);
             net.put(rng.random_range(0..hosts), PeerItem::ServerSeen { server, incarnation });
         }
-        put_hot_items(net, zones, second, &mut rng);
+        publish_periodic_items(net, zones, second, &mut rng);
         net.run(1_000);
     }
     report_bytes(net, &before, frames)
 }
 
-/// Each host: usage of 16 teams each second; 16 of its zone's 64 hot prefixes each 5 s, a tenth of
-/// which changes each 10 s.
-fn put_hot_items(net: &mut SimNet, zones: usize, second: u64, rng: &mut StdRng) {
+/// Each host publishes the usage of 16 teams every second, and every 5 s the location of 16 of the
+/// 64 hot prefixes of its zone, a tenth of which change every 10 s.
+fn publish_periodic_items(net: &mut SimNet, zones: usize, second: u64, rng: &mut StdRng) {
     for index in net.running() {
         let host = net.nodes[index].conf.host.clone();
         let teams = (0..16).map(|_| TeamRate {
@@ -154,60 +158,63 @@
 }
 
 fn report_bytes(net: &SimNet, before: &[TrafficRow], frames_before: u64) -> f64 {
-    let per_host = |bytes: u64| bytes as f64 / MEASURE_S as f64 / net.nodes.len() as f64;
+    let per_host = |bytes: u64| bytes as f64 / MEASUREMENT_S as f64 / net.nodes.len() as f64;
     println!("{:<18}{:>12}{:>12}", "bytes/s per host", "sent", "received");
     let (mut sent, mut received) = (0.0, 0.0);
-    for (row, old) in totals(net).iter().zip(before) {
-        let (out, back) = (per_host(row.sent - old.sent), per_host(row.received - old.received));
-        sent += out;
-        received += back;
-        println!("{:<18}{out:>12.1}{back:>12.1}", row.kind.name());
+    for (row, previous) in totals(net).iter().zip(before) {
+        let (sent_per_s, received_per_s) =
+            (per_host(row.sent - previous.sent), per_host(row.received - previous.received));
+        sent += sent_per_s;
+        received += received_per_s;
+        println!("{:<18}{sent_per_s:>12.1}{received_per_s:>12.1}", row.kind.name());
     }
     let frames = per_host(frame_total(net) - frames_before);
-    let both = sent + received;
-    let with_overhead = both + 2.0 * frames * FRAME_OVERHEAD as f64;
+    let total = sent + received;
+    let total_with_overhead = total + 2.0 * frames * ESTIMATED_FRAME_OVERHEAD_BYTES as f64;
     println!("{:<18}{sent:>12.1}{received:>12.1}", "all");
     println!(
-        "frames/s sent {frames:.1}; both ways {both:.0} bytes/s, with {FRAME_OVERHEAD} bytes around a frame {with_overhead:.0}: {:.0}% of {BUDGET}",
-        100.0 * with_overhead / BUDGET
+        "frames/s sent {frames:.1}; both directions {total:.0} bytes/s, with {ESTIMATED_FRAME_OVERHEAD_BYTES} bytes of overhead per frame {total_with_overhead:.0}: {:.0}% of {BUDGET_BYTES_PER_S}",
+        100.0 * total_with_overhead / BUDGET_BYTES_PER_S
     );
-    with_overhead
+    total_with_overhead
 }
 
 fn measure_times(net: &mut SimNet, zones: usize) {
     let hosts = net.nodes.len();
     net.run(30_000);
-    let mut leaving = Vec::new();
-    let mut config = Vec::new();
-    for repeat in 0..REPEATS {
-        let server = ServerName::new(&format!("leaving-{repeat}"));
+    let mut leaving_times = Vec::new();
+    let mut config_times = Vec::new();
+    for repetition in 0..REPETITIONS {
+        let server = ServerName::new(&format!("leaving-{repetition}"));
         let item = PeerItem::ServerLeaving { server, incarnation: Incarnation(1) };
-        let everyone = net.running();
-        net.put(repeat % hosts, item.clone());
-        leaving.push(net.run_until(60_000, |net| net.all_have(&everyone, |held| *held == item)));
-        net.put_config((repeat + 1) % hosts, 1_000 + repeat as u64);
-        config.push(net.run_until(60_000, |net| net.all_in_force(1_000 + repeat as u64)));
+        let all_hosts = net.running();
+        net.put(repetition % hosts, item.clone());
+        leaving_times.push(
+            net.run_until(60_000, |net| net.all_have(&all_hosts, |held_item| *held_item == item)),
+        );
+        net.put_config((repetition + 1) % hosts, 1_000 + repetition as u64);
+        config_times.push(net.run_until(60_000, |net| net.all_in_force(1_000 + repetition as u64)));
         net.run(2_000);
     }
-    println!("leaving server known to all: {}", spread(&leaving));
-    println!("configuration in force on all: {}", spread(&config));
+    println!("leaving server known on all hosts: {}", summarize_durations(&leaving_times));
+    println!("configuration active on all hosts: {}", summarize_durations(&config_times));
     net.kill(hosts - 1);
     println!(
-        "killed host gone for all: {}",
-        seconds(net.run_until(120_000, |net| net.all_hold(hosts - 1, MemberState::Gone)))
+        "killed host gone on all hosts: {}",
+        format_duration(net.run_until(120_000, |net| net.all_hold(hosts - 1, MemberState::Gone)))
     );
     net.restart(hosts - 1);
     println!(
-        "restarted host alive for all: {}",
-        seconds(net.run_until(120_000, SimNet::all_alive))
+        "restarted host alive on all hosts: {}",
+        format_duration(net.run_until(120_000, SimNet::all_alive))
     );
     net.run(20_000);
     measure_partition(net, zones);
     net.run(20_000);
     (0..hosts).for_each(|index| net.restart(index));
     println!(
-        "all restarted, all known to all: {}",
-        seconds(net.run_until(300_000, SimNet::all_alive))
+        "all hosts restarted, full membership on all hosts: {}",
+        format_duration(net.run_until(300_000, SimNet::all_alive))
     );
 }
 
@@ -217,30 +224,27 @@
         net.running().into_iter().filter(|index| !inside.contains(index)).collect();
     net.cut_both(&inside, &outside);
     net.run(600_000);
-    let held_gone = inside
+    let seen_as_gone = inside
         .iter()
         .filter(|&&index| net.state(outside[0], index) == Some(MemberState::Gone))
         .count();
     net.heal();
     let healed = net.run_until(300_000, SimNet::all_alive);
     println!(
-        "zone cut off for 600 s: {held_gone} of {} held gone; all alive after the cut ends: {}",
+        "zone partitioned for 600 s: {seen_as_gone} of {} seen as gone; all alive after healing: {}",
         inside.len(),
-        seconds(healed)
+        format_duration(healed)
     );
 }
 
-fn seconds(took: Option<u64>) -> String {
-    took.map_or("not within the limit".to_owned(), |ms| format!("{:.2} s", ms as f64 / 1_000.0))
+fn format_duration(duration_ms: Option<u64>) -> String {
+    duration_ms.map_or("timed out".to_owned(), |ms| format!("{:.2} s", ms as f64 / 1_000.0))
 }
 
-fn spread(times: &[Option<u64>]) -> String {
-    let known: Vec<u64> = times.iter().copied().flatten().collect();
-    let missing = times.len() - known.len();
-    let mean = known.iter().sum::<u64>() as f64 / known.len().max(1) as f64 / 1_000.0;
-    let worst = known.iter().max().copied().unwrap_or(0) as f64 / 1_000.0;
-    format!(
-        "mean {mean:.2} s, worst {worst:.2} s of {} ({missing} not within the limit)",
-        times.len()
-    )
+fn summarize_durations(times: &[Option<u64>]) -> String {
+    let completed: Vec<u64> = times.iter().copied().flatten().collect();
+    let timed_out = times.len() - completed.len();
+    let mean = completed.iter().sum::<u64>() as f64 / completed.len().max(1) as f64 / 1_000.0;
+    let worst = completed.iter().max().copied().unwrap_or(0) as f64 / 1_000.0;
+    format!("mean {mean:.2} s, worst {worst:.2} s of {} ({timed_out} timed out)", times.len())
 }
--- a/crates/peers/tests/support/mod.rs
+++ b/crates/peers/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! Many cores in one process, over in-memory links, on a virtual clock.
+//! Simulates a fleet of `PeerCore`s in one process, with in-memory links and a virtual clock.
 
-// Each test file and the example use a part of it.
+// Each test file and the example use only some of these items.
 #![allow(dead_code, unreachable_pub)]
 
 mod checks;
@@ -31,74 +31,74 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
-/// Failure of a connection that gets no answer.
+/// Delay until a connection to an unreachable host fails.
 const CONNECT_TIMEOUT_MS: u64 = 500;
-/// A peer that is ahead is asked, and what it says put in force, in this time.
-const ASK_MS: u64 = 4;
-/// A frame with a probe is longer than one with an answer to it, and no shorter than this.
-const PROBE_BYTES: u64 = 12;
-/// Frames that a frozen host's sockets hold.
-const SOCKET_FRAMES: usize = 256;
-
-/// Whether a host runs.
+/// Time to fetch a newer configuration from a peer and apply it.
+const CONFIG_FETCH_MS: u64 = 4;
+/// Minimum length of a frame with a probe. Acknowledgements are shorter.
+const MIN_PROBE_BYTES: u64 = 12;
+/// Maximum number of frames held in the sockets of a frozen host; further ones are lost.
+const MAX_INBOX: usize = 256;
+
+/// State of a host's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Power {
+pub enum RunState {
     Running,
     Frozen,
     Down,
 }
 
-/// What becomes of frames that came while a host was frozen.
+/// Whether frames received while a host was frozen are delivered when it resumes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HeldFrames {
     Delivered,
     Lost,
 }
 
-/// One host.
+/// A simulated host.
 pub struct SimNode {
     pub conf: PeerConf,
     pub core: PeerCore,
-    pub power: Power,
+    pub run_state: RunState,
     pub news: Vec<(u64, PeerNews)>,
     pub counters: Arc<PeerCounters>,
     pub links_dropped: u32,
-    held: Vec<(MemberRecord, Bytes)>,
+    inbox: Vec<(MemberRecord, Bytes)>,
 }
 
 enum Event {
     Tick,
     Frame { from: MemberRecord, bytes: Bytes },
-    Failed { address: SocketAddr },
-    InForce { version: ConfigVersion },
+    LinkFailed { address: SocketAddr },
+    ConfigApplied { version: ConfigVersion },
 }
 
-/// The hosts and the network between them.
+/// The simulated hosts and the network between them.
 pub struct SimNet {
     pub now_ms: u64,
     pub nodes: Vec<SimNode>,
     pub loss: f64,
-    cuts: IndexSet<(usize, usize)>,
-    hellos: IndexMap<(usize, usize), MemberRecord>,
+    blocked_routes: IndexSet<(usize, usize)>,
+    link_members: IndexMap<(usize, usize), MemberRecord>,
     events: BTreeMap<(u64, u64), (usize, Event)>,
-    event_count: u64,
+    last_event_id: u64,
     rng: StdRng,
 }
 
 impl SimNet {
-    /// When the virtual clock starts.
+    /// Initial time of the virtual clock.
     pub const START_MS: u64 = 1_000_000;
 
-    /// Hosts spread over zones, each with the first three as seeds, all started at once.
+    /// Starts all hosts at once, distributed over the zones, with the first three hosts as seeds.
     pub fn new(hosts: usize, zones: usize, seed: u64) -> SimNet {
         let mut net = SimNet {
             now_ms: SimNet::START_MS,
             nodes: Vec::new(),
             loss: 0.0,
-            cuts: IndexSet::new(),
-            hellos: IndexMap::new(),
+            blocked_routes: IndexSet::new(),
+            link_members: IndexMap::new(),
             events: BTreeMap::new(),
-            event_count: 0,
+            last_event_id: 0,
             rng: StdRng::seed_from_u64(seed),
         };
         for index in 0..hosts {
@@ -117,43 +117,47 @@
             net.nodes.push(SimNode {
                 conf,
                 core,
-                power: Power::Running,
+                run_state: RunState::Running,
                 news: Vec::new(),
                 counters: Arc::default(),
                 links_dropped: 0,
-                held: Vec::new(),
+                inbox: Vec::new(),
             });
-            let phase_ms = net.rng.random_range(1..200);
-            net.schedule(net.now_ms + phase_ms, index, Event::Tick);
-            net.carry_out(index);
+            let first_tick_ms = net.rng.random_range(1..200);
+            net.schedule(net.now_ms + first_tick_ms, index, Event::Tick);
+            net.apply_outputs(index);
         }
         net
     }
 
-    /// Lets time pass.
-    pub fn run(&mut self, for_ms: u64) {
-        let end_ms = self.now_ms + for_ms;
+    /// Advances the virtual clock.
+    pub fn run(&mut self, duration_ms: u64) {
+        let end_ms = self.now_ms + duration_ms;
         while let Some(entry) = self.events.first_entry() {
             if entry.key().0 > end_ms {
                 break;
             }
-            let ((at_ms, _), (index, event)) = entry.remove_entry();
-            self.now_ms = at_ms;
+            let ((due_ms, _), (index, event)) = entry.remove_entry();
+            self.now_ms = due_ms;
             self.handle(index, event);
         }
         self.now_ms = end_ms;
     }
 
-    /// Lets time pass until something holds; the time it took, or `None` when it took too long.
-    pub fn run_until(&mut self, most_ms: u64, holds: impl Fn(&SimNet) -> bool) -> Option<u64> {
+    /// Advances the clock until a condition holds. Returns the elapsed time, or `None` on timeout.
+    pub fn run_until(
+        &mut self,
+        timeout_ms: u64,
+        condition: impl Fn(&SimNet) -> bool,
+    ) -> Option<u64> {
         let start_ms = self.now_ms;
-        while self.now_ms < start_ms + most_ms {
-            if holds(self) {
+        while self.now_ms < start_ms + timeout_ms {
+            if condition(self) {
                 return Some(self.now_ms - start_ms);
             }
             self.run(50);
         }
-        holds(self).then_some(self.now_ms - start_ms)
+        condition(self).then_some(self.now_ms - start_ms)
     }
 
     fn handle(&mut self, index: usize, event: Event) {
@@ -161,55 +165,59 @@
         let node = &mut self.nodes[index];
         match event {
             Event::Tick => {
-                if node.power == Power::Running {
+                if node.run_state == RunState::Running {
                     node.core.tick(now_ms);
                 }
                 let next_ms = now_ms + node.conf.pace.tick_ms;
                 self.schedule(next_ms, index, Event::Tick);
             }
-            Event::Frame { from, bytes } => match node.power {
-                Power::Running => node.receive(&from, &bytes, now_ms),
-                Power::Frozen if node.held.len() < SOCKET_FRAMES => node.held.push((from, bytes)),
-                Power::Frozen => {}
-                Power::Down => {
+            Event::Frame { from, bytes } => match node.run_state {
+                RunState::Running => node.receive(&from, &bytes, now_ms),
+                RunState::Frozen if node.inbox.len() < MAX_INBOX => node.inbox.push((from, bytes)),
+                RunState::Frozen => {}
+                RunState::Down => {
                     let sender = index_of(from.address);
-                    self.schedule(now_ms + 1, sender, Event::Failed { address: address(index) });
+                    self.schedule(
+                        now_ms + 1,
+                        sender,
+                        Event::LinkFailed { address: address(index) },
+                    );
                 }
             },
-            Event::Failed { address } => {
-                if node.power == Power::Running {
+            Event::LinkFailed { address } => {
+                if node.run_state == RunState::Running {
                     node.core.link_failed(address, now_ms);
                 }
             }
-            Event::InForce { version } => {
+            Event::ConfigApplied { version } => {
                 let host = node.conf.host.clone();
-                if node.power == Power::Running && version > node.core.in_force() {
+                if node.run_state == RunState::Running && version > node.core.in_force() {
                     node.core.put(PeerItem::ConfigInForce { host, version }, now_ms);
                 }
             }
         }
-        self.carry_out(index);
+        self.apply_outputs(index);
     }
 
-    fn carry_out(&mut self, index: usize) {
+    fn apply_outputs(&mut self, index: usize) {
         for output in self.nodes[index].core.take_outputs() {
             match output {
                 CoreOutput::News(news) => {
                     if let PeerNews::ConfigAhead { version, .. } = &news {
                         self.schedule(
-                            self.now_ms + ASK_MS,
+                            self.now_ms + CONFIG_FETCH_MS,
                             index,
-                            Event::InForce { version: *version },
+                            Event::ConfigApplied { version: *version },
                         );
                     }
                     self.nodes[index].news.push((self.now_ms, news));
                 }
                 CoreOutput::DropLink { to } => {
-                    self.hellos.swap_remove(&(index, index_of(to)));
+                    self.link_members.swap_remove(&(index, index_of(to)));
                 }
                 CoreOutput::DropLinks => {
                     self.nodes[index].links_dropped += 1;
-                    self.hellos.retain(|(from, to), _| *from != index && *to != index);
+                    self.link_members.retain(|(from, to), _| *from != index && *to != index);
                 }
                 CoreOutput::Send { to, frame } => self.send(index, index_of(to), &frame),
             }
@@ -220,100 +228,102 @@
         let bytes = wire::encode_frame(frame);
         self.nodes[from].counters.count_frame(Direction::Sent, frame, bytes.len());
         let own = self.nodes[from].core.own().clone();
-        let hello = self.hellos.entry((from, to)).or_insert(own).clone();
-        if self.cuts.contains(&(from, to)) {
-            let failed = Event::Failed { address: address(to) };
-            return self.schedule(self.now_ms + CONNECT_TIMEOUT_MS, from, failed);
+        let sender = self.link_members.entry((from, to)).or_insert(own).clone();
+        if self.blocked_routes.contains(&(from, to)) {
+            let link_failed_event = Event::LinkFailed { address: address(to) };
+            return self.schedule(self.now_ms + CONNECT_TIMEOUT_MS, from, link_failed_event);
         }
         if self.rng.random_bool(self.loss) {
             return;
         }
         let delay_ms = self.rng.random_range(1..=3);
-        self.schedule(self.now_ms + delay_ms, to, Event::Frame { from: hello, bytes });
+        self.schedule(self.now_ms + delay_ms, to, Event::Frame { from: sender, bytes });
     }
 
-    fn schedule(&mut self, at_ms: u64, index: usize, event: Event) {
-        self.event_count += 1;
-        self.events.insert((at_ms, self.event_count), (index, event));
+    fn schedule(&mut self, due_ms: u64, index: usize, event: Event) {
+        self.last_event_id += 1;
+        self.events.insert((due_ms, self.last_event_id), (index, event));
     }
 
-    /// Stops a process without a word.
+    /// Kills a process without notice to its peers.
     pub fn kill(&mut self, index: usize) {
-        self.nodes[index].power = Power::Down;
-        self.hellos.retain(|(from, to), _| *from != index && *to != index);
+        self.nodes[index].run_state = RunState::Down;
+        self.link_members.retain(|(from, to), _| *from != index && *to != index);
     }
 
-    /// Starts a process anew under the same name and address.
+    /// Restarts a process with the same name and address and a new incarnation.
     pub fn restart(&mut self, index: usize) {
-        self.hellos.retain(|(from, to), _| *from != index && *to != index);
+        self.link_members.retain(|(from, to), _| *from != index && *to != index);
         let node = &mut self.nodes[index];
         node.conf.incarnation = Incarnation(node.conf.incarnation.0 + 1_000);
         node.conf.random_seed += 1_000_003;
         node.core = PeerCore::new(&node.conf, node.conf.listen, self.now_ms);
-        node.power = Power::Running;
-        node.held.clear();
+        node.run_state = RunState::Running;
+        node.inbox.clear();
         node.news.clear();
-        self.carry_out(index);
+        self.apply_outputs(index);
     }
 
-    /// Starts another host at the address of one that was killed; the killed one's name.
+    /// Starts a host with another name at the address of a killed one. Returns the killed host's
+    /// name.
     pub fn take_address(&mut self, index: usize, name: &str) -> HostName {
-        let former = std::mem::replace(&mut self.nodes[index].conf.host, HostName::new(name));
+        let previous_name =
+            std::mem::replace(&mut self.nodes[index].conf.host, HostName::new(name));
         self.restart(index);
-        former
+        previous_name
     }
 
-    /// Starts a second process under a host's name, at an address of its own.
-    pub fn start_twin(&mut self, of: usize) -> usize {
+    /// Starts a second process with the name of a host and an address of its own.
+    pub fn start_twin(&mut self, original: usize) -> usize {
         let index = self.nodes.len();
-        let mut conf = self.nodes[of].conf.clone();
+        let mut conf = self.nodes[original].conf.clone();
         conf.incarnation = Incarnation(conf.incarnation.0 + 1_000);
         conf.listen = address(index);
         let core = PeerCore::new(&conf, conf.listen, self.now_ms);
-        let (news, counters, held) = (Vec::new(), Arc::default(), Vec::new());
-        let power = Power::Running;
-        self.nodes.push(SimNode { conf, core, power, news, counters, links_dropped: 0, held });
+        let (news, counters, inbox) = (Vec::new(), Arc::default(), Vec::new());
+        let run_state = RunState::Running;
+        self.nodes.push(SimNode { conf, core, run_state, news, counters, links_dropped: 0, inbox });
         self.schedule(self.now_ms + 1, index, Event::Tick);
-        self.carry_out(index);
+        self.apply_outputs(index);
         index
     }
 
-    /// As SIGSTOP does.
+    /// Suspends a process like SIGSTOP.
     pub fn freeze(&mut self, index: usize) {
-        self.nodes[index].power = Power::Frozen;
+        self.nodes[index].run_state = RunState::Frozen;
     }
 
-    /// As SIGCONT does. What its sockets hold comes first, on links made meanwhile, or is lost with
-    /// the links that the host drops on waking.
-    pub fn thaw(&mut self, index: usize, held: HeldFrames) {
+    /// Resumes a process like SIGCONT. Frames received meanwhile are either delivered first
+    /// or lost, as if their links had been closed on resuming.
+    pub fn thaw(&mut self, index: usize, frame_handling: HeldFrames) {
         let node = &mut self.nodes[index];
-        node.power = Power::Running;
-        let frames = std::mem::take(&mut node.held);
-        let delivered = if held == HeldFrames::Delivered { frames.len() } else { 0 };
+        node.run_state = RunState::Running;
+        let frames = std::mem::take(&mut node.inbox);
+        let delivered = if frame_handling == HeldFrames::Delivered { frames.len() } else { 0 };
         for (from, bytes) in frames.into_iter().take(delivered) {
             node.receive(&from, &bytes, self.now_ms);
         }
-        self.carry_out(index);
+        self.apply_outputs(index);
     }
 
-    /// Lets time pass until a host has just sent a probe of its own.
+    /// Advances the clock until a host has sent a probe.
     pub fn run_to_probe(&mut self, index: usize) {
-        let sent = |net: &SimNet| {
+        let probe_bytes_sent = |net: &SimNet| {
             let rows = net.nodes[index].counters.rows();
             rows.iter()
                 .filter(|row| row.kind == TrafficKind::Probe)
                 .map(|row| row.sent)
                 .sum::<u64>()
         };
-        let before = sent(self);
-        while sent(self) < before + PROBE_BYTES {
+        let before = probe_bytes_sent(self);
+        while probe_bytes_sent(self) < before + MIN_PROBE_BYTES {
             self.run(1);
         }
     }
 
-    /// Cuts one way from each host of one group to each of another.
+    /// Blocks traffic from each host in `from` to each host in `to`, in this direction only.
     pub fn cut(&mut self, from: &[usize], to: &[usize]) {
-        self.cuts.extend(from.iter().flat_map(|&a| to.iter().map(move |&b| (a, b))));
+        self.blocked_routes.extend(from.iter().flat_map(|&a| to.iter().map(move |&b| (a, b))));
     }
 
     pub fn cut_both(&mut self, a: &[usize], b: &[usize]) {
@@ -322,22 +332,22 @@
     }
 
     pub fn heal(&mut self) {
-        self.cuts.clear();
+        self.blocked_routes.clear();
     }
 
     pub fn put(&mut self, index: usize, item: PeerItem) {
         let now_ms = self.now_ms;
         self.nodes[index].core.put(item, now_ms);
-        self.carry_out(index);
+        self.apply_outputs(index);
     }
 
-    /// Puts a configuration in force on one host; the others follow as they hear of it.
+    /// Applies a configuration on one host; the others apply it when they learn of it.
     pub fn put_config(&mut self, index: usize, version: u64) {
         let host = self.nodes[index].conf.host.clone();
         self.put(index, PeerItem::ConfigInForce { host, version: ConfigVersion(version) });
     }
 
-    /// Whether each running host has this configuration in force.
+    /// Whether all running hosts have applied this configuration version or a newer one.
     pub fn all_in_force(&self, version: u64) -> bool {
         self.running().into_iter().all(|index| self.nodes[index].core.in_force().0 >= version)
     }
@@ -345,7 +355,7 @@
     pub fn leave(&mut self, index: usize) {
         let now_ms = self.now_ms;
         self.nodes[index].core.leave(now_ms);
-        self.carry_out(index);
+        self.apply_outputs(index);
     }
 }
 
@@ -357,7 +367,7 @@
     }
 }
 
-/// Where a host listens.
+/// Address of a host.
 pub fn address(index: usize) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 10_000 + index as u16))
 }
