--- a/crates/peers/src/net/frame_io.rs
+++ b/crates/peers/src/net/frame_io.rs
@@ -59,7 +59,7 @@
         if fleet != self.state.fleet {
             return Err(LinkError::FleetMismatch);
         }
-        if self.state.is_own(&member) {
+        if self.state.is_local_process(&member) {
             return Err(LinkError::SelfConnection);
         }
         Ok(member)
@@ -92,10 +92,10 @@
 ) -> Result<(), LinkError> {
     while !bytes.is_empty() {
         stream.reserve_capacity(bytes.len());
-        let granted = poll_fn(|context| stream.poll_capacity(context))
+        let capacity = poll_fn(|context| stream.poll_capacity(context))
             .await
             .ok_or(LinkError::ClosedByPeer)??;
-        let part = bytes.split_to(granted.min(bytes.len()));
+        let part = bytes.split_to(capacity.min(bytes.len()));
         stream.send_data(part, false)?;
     }
     Ok(())
--- a/crates/peers/src/net/link_task.rs
+++ b/crates/peers/src/net/link_task.rs
@@ -29,7 +29,7 @@
 use crate::net::net_state::NetState;
 
 /// HTTP path of links.
-pub(crate) const EXCHANGE_PATH: &str = "/exchange";
+pub(crate) const LINK_PATH: &str = "/exchange";
 
 /// ID, event channel and cancellation token of a link.
 #[derive(Clone)]
@@ -87,11 +87,8 @@
     client: SendRequest<Bytes>,
     queue: &mut FrameQueue,
 ) -> Result<(), LinkError> {
-    let request = Request::builder()
-        .method(Method::POST)
-        .uri(EXCHANGE_PATH)
-        .body(())
-        .expect("a valid request");
+    let request =
+        Request::builder().method(Method::POST).uri(LINK_PATH).body(()).expect("a valid request");
     let (response, mut stream) = client.ready().await?.send_request(request, false)?;
     write_all(&mut stream, context.state.encode_hello()).await?;
     let read = async {
@@ -114,7 +111,7 @@
 pub(crate) async fn run_incoming_link(
     context: LinkContext,
     body: RecvStream,
-    mut respond: SendResponse<Bytes>,
+    mut responder: SendResponse<Bytes>,
     incoming_link: IncomingLink,
     mut queue: FrameQueue,
 ) -> Result<(), LinkError> {
@@ -126,11 +123,11 @@
                 .status(StatusCode::FORBIDDEN)
                 .body(())
                 .expect("a valid response");
-            respond.send_response(refusal, true)?;
+            responder.send_response(refusal, true)?;
             return Err(error);
         }
     };
-    let mut stream = respond.send_response(Response::new(()), false)?;
+    let mut stream = responder.send_response(Response::new(()), false)?;
     write_all(&mut stream, context.state.encode_hello()).await?;
     context
         .report(LinkEvent::Up { link_id: context.link_id, member, incoming: Some(incoming_link) })
--- a/crates/peers/src/net/listener_task.rs
+++ b/crates/peers/src/net/listener_task.rs
@@ -23,7 +23,7 @@
 use crate::net::frame_io::SETUP_TIMEOUT;
 use crate::net::link_error::LinkError;
 use crate::net::link_table::LINK_QUEUE_CAPACITY;
-use crate::net::link_task::EXCHANGE_PATH;
+use crate::net::link_task::LINK_PATH;
 use crate::net::link_task::LinkContext;
 use crate::net::link_task::run_incoming_link;
 use crate::net::net_state::IncomingLink;
@@ -69,7 +69,7 @@
     async fn serve(self: Rc<Self>, stream: TcpStream) {
         self.open_connections.set(self.open_connections.get() + 1);
         tokio::select! {
-            result = self.serve_streams(stream) => {
+            result = self.serve_connection(stream) => {
                 if let Err(error) = result {
                     tracing::debug!(%error, "peer connection failed");
                 }
@@ -79,7 +79,7 @@
         self.open_connections.set(self.open_connections.get() - 1);
     }
 
-    async fn serve_streams(&self, stream: TcpStream) -> Result<(), LinkError> {
+    async fn serve_connection(&self, stream: TcpStream) -> Result<(), LinkError> {
         stream.set_nodelay(true)?;
         let stream = CountingStream::new(stream, self.state.counters.clone());
         let handshake = h2::server::Builder::new().max_concurrent_streams(4).handshake(stream);
@@ -98,12 +98,12 @@
         connection: &mut Connection<CountingStream, Bytes>,
         cancellation: &CancellationToken,
     ) -> Result<(), LinkError> {
-        let idle = Duration::from_millis(self.state.idle_ms);
+        let idle_timeout = Duration::from_millis(self.state.idle_ms);
         loop {
-            match timeout(idle, connection.accept()).await {
+            match timeout(idle_timeout, connection.accept()).await {
                 Ok(Some(accepted)) => {
-                    let (request, respond) = accepted?;
-                    self.serve_request(request, respond, cancellation);
+                    let (request, responder) = accepted?;
+                    self.serve_request(request, responder, cancellation);
                 }
                 Ok(None) => return Ok(()),
                 Err(_) if connection.has_streams() => {}
@@ -115,22 +115,22 @@
     fn serve_request(
         &self,
         request: Request<RecvStream>,
-        mut respond: SendResponse<Bytes>,
+        mut responder: SendResponse<Bytes>,
         cancellation: &CancellationToken,
     ) {
         match request.uri().path() {
-            EXCHANGE_PATH => {
-                self.serve_link(request.into_body(), respond, cancellation.child_token());
+            LINK_PATH => {
+                self.serve_link(request.into_body(), responder, cancellation.child_token());
             }
             QUERY_PATH => {
-                actix_rt::spawn(serve_query(self.state.clone(), request.into_body(), respond));
+                actix_rt::spawn(serve_query(self.state.clone(), request.into_body(), responder));
             }
             _ => {
                 let refusal = Response::builder()
                     .status(StatusCode::NOT_FOUND)
                     .body(())
                     .expect("a valid response");
-                let _ = respond.send_response(refusal, true);
+                let _ = responder.send_response(refusal, true);
             }
         }
     }
@@ -138,7 +138,7 @@
     fn serve_link(
         &self,
         body: RecvStream,
-        respond: SendResponse<Bytes>,
+        responder: SendResponse<Bytes>,
         cancellation: CancellationToken,
     ) {
         self.state.counters.links_accepted.fetch_add(1, Ordering::Relaxed);
@@ -158,7 +158,7 @@
         actix_rt::spawn(context.clone().run(run_incoming_link(
             context,
             body,
-            respond,
+            responder,
             incoming_link,
             frame_queue,
         )));
--- a/crates/peers/src/net/net_state.rs
+++ b/crates/peers/src/net/net_state.rs
@@ -38,16 +38,16 @@
     pub(crate) active_queries: Cell<usize>,
     /// Wakes the loop after a call to the core from outside it.
     pub(crate) wake: Notify,
-    pub(crate) started: Instant,
+    pub(crate) started_at: Instant,
     pub(crate) cancellation: CancellationToken,
 }
 
 impl NetState {
     pub(crate) fn now_ms(&self) -> u64 {
-        self.started.elapsed().as_millis() as u64
+        self.started_at.elapsed().as_millis() as u64
     }
 
-    pub(crate) fn is_own(&self, member: &MemberRecord) -> bool {
+    pub(crate) fn is_local_process(&self, member: &MemberRecord) -> bool {
         let core = self.core.borrow();
         core.own().host == member.host && core.own().incarnation == member.incarnation
     }
--- a/crates/peers/src/net/peer_handle.rs
+++ b/crates/peers/src/net/peer_handle.rs
@@ -65,7 +65,7 @@
             query_handler: RefCell::new(None),
             active_queries: Cell::new(0),
             wake: Notify::new(),
-            started: Instant::now(),
+            started_at: Instant::now(),
             cancellation,
         });
         let (event_sender, events) = mpsc::channel(EVENT_QUEUE_CAPACITY);
--- a/crates/peers/src/net/query_server.rs
+++ b/crates/peers/src/net/query_server.rs
@@ -29,7 +29,7 @@
 pub(crate) async fn serve_query(
     state: Rc<NetState>,
     body: RecvStream,
-    mut respond: SendResponse<Bytes>,
+    mut responder: SendResponse<Bytes>,
 ) {
     let query = timeout(SETUP_TIMEOUT, read_query(body)).await.unwrap_or(None);
     let (status, payload) = match query {
@@ -39,8 +39,8 @@
     state.active_queries.set(state.active_queries.get() + 1);
     state.counters.count(Direction::Sent, TrafficKind::Ask, payload.len());
     tokio::select! {
-        sent = send_response(&mut respond, status, payload) => {
-            if let Err(error) = sent {
+        result = send_response(&mut responder, status, payload) => {
+            if let Err(error) = result {
                 tracing::debug!(%error, "failed to send query response");
             }
         }
@@ -77,12 +77,12 @@
 }
 
 async fn send_response(
-    respond: &mut SendResponse<Bytes>,
+    responder: &mut SendResponse<Bytes>,
     status: StatusCode,
     payload: Bytes,
 ) -> Result<(), LinkError> {
-    let head = Response::builder().status(status).body(()).expect("a valid response");
-    let mut stream = respond.send_response(head, false)?;
+    let response = Response::builder().status(status).body(()).expect("a valid response");
+    let mut stream = responder.send_response(response, false)?;
     write_all(&mut stream, payload).await?;
     stream.send_data(Bytes::new(), true)?;
     Ok(())
--- a/crates/peers/tests/frames.rs
+++ b/crates/peers/tests/frames.rs
@@ -138,14 +138,14 @@
     let bytes: Vec<u8> = frames.iter().flat_map(|frame| encode_frame(frame).to_vec()).collect();
     for chunk_size in [1, 3, 7, 1_000, bytes.len()] {
         let mut reader = FrameReader::default();
-        let mut read = Vec::new();
+        let mut decoded = Vec::new();
         for chunk in bytes.chunks(chunk_size) {
             reader.push(chunk);
             while let Some(bytes) = reader.next_frame().expect("readable") {
-                read.push(decode_frame(&bytes).expect("readable"));
+                decoded.push(decode_frame(&bytes).expect("readable"));
             }
         }
-        assert_eq!(read, frames, "chunks of {chunk_size} bytes");
+        assert_eq!(decoded, frames, "chunks of {chunk_size} bytes");
     }
 }
 
@@ -196,7 +196,7 @@
         message_index: usize,
         byte_index: usize,
         byte: u8,
-        cut: usize,
+        truncate_by: usize,
     ) -> bool {
         let messages = messages();
         let mut bytes = encode_frame(&frame(messages[message_index % messages.len()].clone()))
@@ -204,7 +204,7 @@
             .to_vec();
         let byte_index = 1 + byte_index % (bytes.len() - 1);
         bytes[byte_index] = byte;
-        bytes.truncate(bytes.len() - cut % 3);
+        bytes.truncate(bytes.len() - truncate_by % 3);
         let _ = decode_frame(&bytes);
         true
     }
