--- a/crates/admission/benches/decisions.rs
+++ b/crates/admission/benches/decisions.rs
@@ -13,6 +13,8 @@
 use fulmargate_admission::ClassConf;
 use fulmargate_admission::ClassRule;
 use fulmargate_admission::ClassTable;
+use fulmargate_admission::ConfiguredServer;
+use fulmargate_admission::CrashDetector;
 use fulmargate_admission::Fingerprint;
 use fulmargate_admission::GateConf;
 use fulmargate_admission::GateEntry;
@@ -20,14 +22,12 @@
 use fulmargate_admission::GateRequest;
 use fulmargate_admission::GateTicket;
 use fulmargate_admission::GateWaiter;
-use fulmargate_admission::HealthBook;
 use fulmargate_admission::HealthConf;
+use fulmargate_admission::HealthRegistry;
 use fulmargate_admission::LimiterConf;
 use fulmargate_admission::RequestClass;
 use fulmargate_admission::ServerGate;
 use fulmargate_admission::ServerResult;
-use fulmargate_admission::ServerSpot;
-use fulmargate_admission::SuspectBook;
 use fulmargate_admission::SuspectConf;
 use fulmargate_admission::TeamLimit;
 use fulmargate_admission::TeamLimiter;
@@ -59,9 +59,9 @@
 /// A gate with this request limit.
 fn gate(requests: u32) -> Arc<ServerGate> {
     let conf = GateConf {
-        first_requests: requests,
-        least_requests: requests,
-        first_tokens: 1 << 20,
+        initial_requests: requests,
+        min_requests: requests,
+        initial_tokens: 1 << 20,
         ..GateConf::engine()
     };
     ServerGate::new(ServerName::new("engine-1"), conf)
@@ -191,19 +191,21 @@
     let mut group = c.benchmark_group("suspects: begin and end a run, by other runs in flight");
     for in_flight in [8, 784, 8_000] {
         group.bench_function(BenchmarkId::from_parameter(in_flight), |b| {
-            let book = SuspectBook::new(SuspectConf::default());
+            let detector = CrashDetector::new(SuspectConf::default());
             let now = Instant::now();
             let servers: Vec<ServerName> =
                 (0..16).map(|number| ServerName::new(&format!("engine-{number}"))).collect();
             let begin = |number: u128| {
                 let server = &servers[number as usize % servers.len()];
-                book.begin(Fingerprint(number), server, Incarnation(1), now).expect("not a suspect")
+                detector
+                    .begin(Fingerprint(number), server, Incarnation(1), now)
+                    .expect("not a suspect")
             };
             let _others: Vec<_> = (0..in_flight).map(begin).collect();
             let mut number = 1 << 64;
             b.iter(|| {
                 number += 1;
-                begin(number).ended_well();
+                begin(number).complete();
             });
         });
     }
@@ -218,21 +220,23 @@
 fn bench_health(c: &mut Criterion) {
     let mut group = c.benchmark_group("health: record a result, list all servers");
     for count in [12, 1_200] {
-        let book = HealthBook::new(HealthConf::default());
+        let registry = HealthRegistry::new(HealthConf::default());
         let now = Instant::now();
-        let spot = |number: usize| ServerSpot {
+        let configured = |number: usize| ConfiguredServer {
             server: ServerName::new(&format!("engine-{number}")),
             zone: ZoneName::new("north"),
             pool: Arc::from("describer"),
             drain: fulmargate_admission::DrainState::InUse,
         };
-        let spots: Vec<ServerSpot> = (0..count).map(spot).collect();
-        book.set_servers(&spots, now);
-        let server = &spots[count / 2].server;
+        let configured_servers: Vec<ConfiguredServer> = (0..count).map(configured).collect();
+        registry.set_servers(&configured_servers, now);
+        let server = &configured_servers[count / 2].server;
         group.bench_function(BenchmarkId::new("result", count), |b| {
-            b.iter(|| book.note(server, None, ServerResult::Answered, now));
+            b.iter(|| registry.record_result(server, None, ServerResult::Answered, now));
+        });
+        group.bench_function(BenchmarkId::new("all", count), |b| {
+            b.iter(|| registry.all_availability(now));
         });
-        group.bench_function(BenchmarkId::new("all", count), |b| b.iter(|| book.all_in_use(now)));
     }
     group.finish();
 }
--- a/crates/admission/examples/crash_survey.rs
+++ b/crates/admission/examples/crash_survey.rs
@@ -4,11 +4,11 @@
 #[path = "../tests/support/mod.rs"]
 mod support;
 
-use support::crash_world::RequestKind;
-use support::crash_world::crashing_number;
-use support::crash_world::paused;
-use support::crash_world::random_failures;
-use support::crash_world::random_history;
+use support::crash_simulation::RequestKind;
+use support::crash_simulation::crashing_number;
+use support::crash_simulation::paused;
+use support::crash_simulation::random_failures;
+use support::crash_simulation::random_history;
 
 const SIMULATIONS: u64 = 200;
 
--- a/crates/admission/examples/footprint.rs
+++ b/crates/admission/examples/footprint.rs
@@ -5,6 +5,7 @@
 use std::time::Duration;
 
 use fulmargate_admission::ClassConf;
+use fulmargate_admission::CrashDetector;
 use fulmargate_admission::CrashId;
 use fulmargate_admission::CrashProof;
 use fulmargate_admission::CrashSighting;
@@ -15,7 +16,6 @@
 use fulmargate_admission::LimiterConf;
 use fulmargate_admission::RequestClass;
 use fulmargate_admission::ServerGate;
-use fulmargate_admission::SuspectBook;
 use fulmargate_admission::SuspectConf;
 use fulmargate_admission::SuspectVerdict;
 use fulmargate_admission::TeamLimit;
@@ -35,7 +35,8 @@
         (0..110_000).map(|number| TeamName::new(&format!("team-{number}"))).collect();
     let (limiter, class) = (limiter(), class());
     let gate = ServerGate::new(ServerName::new("engine-1"), GateConf::engine());
-    let book = SuspectBook::new(SuspectConf { most_records: 200_000, ..SuspectConf::default() });
+    let detector =
+        CrashDetector::new(SuspectConf { max_records: 200_000, ..SuspectConf::default() });
     let now = Instant::now();
     let limit = TeamLimit { requests_per_s: 10.0, prompt_tokens_per_s: 1e6 };
     print_bytes_per_item("limiter team", |number| {
@@ -50,11 +51,11 @@
     let mut runs = Vec::new();
     let server = ServerName::new("engine-1");
     print_bytes_per_item("run", |number| {
-        runs.push(book.begin(Fingerprint(number as u128), &server, Incarnation(1), now));
+        runs.push(detector.begin(Fingerprint(number as u128), &server, Incarnation(1), now));
     });
     let from = HostName::new("entry-9");
     print_bytes_per_item("suspect with one crash", |number| {
-        book.learn(&verdict(number), &from, now);
+        detector.merge_verdict(&verdict(number), &from, now);
     });
 }
 
@@ -74,7 +75,7 @@
 }
 
 fn limiter() -> TeamLimiter {
-    let conf = LimiterConf { most_teams: 1 << 20, ..LimiterConf::default() };
+    let conf = LimiterConf { max_teams: 1 << 20, ..LimiterConf::default() };
     TeamLimiter::new(HostName::new("entry-0"), conf)
 }
 
@@ -87,7 +88,7 @@
     let crash = CrashId { server: ServerName::new("engine-1"), incarnation: Incarnation(1) };
     let sighting = CrashSighting { crash, age: Duration::ZERO, proof: CrashProof::Confirmed };
     SuspectVerdict {
-        print: Fingerprint(1 << 64 | number as u128),
+        fingerprint: Fingerprint(1 << 64 | number as u128),
         standing: VerdictStanding::Suspect,
         running_on: None,
         crashes: vec![sighting],
--- a/crates/admission/examples/gate_load.rs
+++ b/crates/admission/examples/gate_load.rs
@@ -18,10 +18,10 @@
 use fulmargate_admission::ServerGate;
 use fulmargate_names::ServerName;
 use support::BATCH;
-use support::Dice;
+use support::TestRng;
 use support::URGENT;
 use support::class;
-use support::crash_world::paused;
+use support::crash_simulation::paused;
 use support::ms;
 use support::request;
 use tokio::sync::Mutex;
@@ -62,12 +62,12 @@
 
 fn main() {
     let fixed = |limit: u32, tokens: u32| GateConf {
-        first_requests: limit,
-        least_requests: limit,
-        most_requests: limit,
-        first_tokens: tokens,
-        least_tokens: tokens,
-        most_tokens: tokens,
+        initial_requests: limit,
+        min_requests: limit,
+        max_requests: limit,
+        initial_tokens: tokens,
+        min_tokens: tokens,
+        max_tokens: tokens,
         ..GateConf::engine()
     };
     let configurations = [
@@ -96,7 +96,7 @@
         (0..ROUTERS).map(|_| ServerGate::new(ServerName::new("engine-1"), conf)).collect();
     let classes = [class(URGENT, 1_500, 200), class(BATCH, 60_000, 2_000)];
     let results = Rc::new(RefCell::new(Results::default()));
-    let mut rng = Dice(7);
+    let mut rng = TestRng(7);
     let mean_tokens = (PROMPT_TOKENS[0] as usize * URGENT_IN_TEN
         + PROMPT_TOKENS[1] as usize * (10 - URGENT_IN_TEN))
         / 10;
--- a/crates/admission/examples/limit_shares.rs
+++ b/crates/admission/examples/limit_shares.rs
@@ -5,7 +5,7 @@
 mod support;
 
 use fulmargate_admission::TeamLimit;
-use support::Dice;
+use support::TestRng;
 use support::limit_simulation::LIMIT;
 use support::limit_simulation::LimitSimulation;
 use support::limit_simulation::conf;
@@ -38,16 +38,16 @@
     LimitSimulation::new(ROUTERS, limit, seed)
 }
 
-fn max_excess(scenario: impl Fn(&mut LimitSimulation, &mut Dice)) -> f64 {
+fn max_excess(scenario: impl Fn(&mut LimitSimulation, &mut TestRng)) -> f64 {
     let run = |seed| {
         let mut simulation = simulation(seed);
-        scenario(&mut simulation, &mut Dice(seed));
+        scenario(&mut simulation, &mut TestRng(seed));
         simulation.max_excess()
     };
     (0..SEEDS).map(run).fold(0.0, f64::max)
 }
 
-fn partitions(simulation: &mut LimitSimulation, dice: &mut Dice) {
+fn partitions(simulation: &mut LimitSimulation, dice: &mut TestRng) {
     for _ in 0..6 {
         simulation.partition(dice.below(ROUTERS));
         for _ in 0..4 {
@@ -57,7 +57,7 @@
     }
 }
 
-fn flapping_links(simulation: &mut LimitSimulation, dice: &mut Dice) {
+fn flapping_links(simulation: &mut LimitSimulation, dice: &mut TestRng) {
     for _ in 0..40 {
         let (to, from) = (dice.below(ROUTERS), dice.below(ROUTERS));
         simulation.links[to][from] = !simulation.links[to][from];
@@ -66,7 +66,7 @@
     }
 }
 
-fn randomize_demand(simulation: &mut LimitSimulation, dice: &mut Dice) {
+fn randomize_demand(simulation: &mut LimitSimulation, dice: &mut TestRng) {
     for demand in &mut simulation.demand {
         *demand = [0.0, 0.0, 5.0, 40.0, 400.0][dice.below(5)];
     }
--- a/crates/admission/src/adaptive_limit.rs
+++ b/crates/admission/src/adaptive_limit.rs
@@ -6,7 +6,7 @@
 
 use crate::EngineReport;
 use crate::GateConf;
-use crate::gate_load::GateRoom;
+use crate::gate_load::GateCapacity;
 
 /// Multiplicative decrease when the estimated queueing time exceeds the target.
 const DECREASE_FACTOR: f64 = 0.8;
@@ -31,15 +31,15 @@
 #[derive(Debug)]
 pub(crate) struct AdaptiveLimit {
     conf: GateConf,
-    max_requests: f64,
-    max_tokens: f64,
+    request_limit: f64,
+    token_limit: f64,
     /// Best observed prefill rate, in tokens per second; 0 while unknown.
     prefill_tokens_per_s: f64,
     /// Lowest observed time to first token without prefill, in seconds; infinite while unknown.
     base_latency_s: f64,
     phase: IncreasePhase,
     last_decrease: Option<Instant>,
-    limiting: Option<GateRoom>,
+    limiting: Option<GateCapacity>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -52,8 +52,8 @@
     pub(crate) fn new(conf: GateConf) -> AdaptiveLimit {
         AdaptiveLimit {
             conf,
-            max_requests: f64::from(conf.first_requests),
-            max_tokens: f64::from(conf.first_tokens),
+            request_limit: f64::from(conf.initial_requests),
+            token_limit: f64::from(conf.initial_tokens),
             prefill_tokens_per_s: 0.0,
             base_latency_s: f64::INFINITY,
             phase: IncreasePhase::SlowStart,
@@ -64,16 +64,16 @@
 
     /// Maximum number of in-flight requests.
     pub(crate) fn requests(&self) -> u32 {
-        (self.max_requests as u32).max(1)
+        (self.request_limit as u32).max(1)
     }
 
     /// Maximum number of prompt tokens that wait for prefill.
     pub(crate) fn tokens(&self) -> f64 {
-        self.max_tokens
+        self.token_limit
     }
 
     /// Records that a limit held a request back, which lets it grow with the next response.
-    pub(crate) fn record_limiting(&mut self, room: GateRoom) {
+    pub(crate) fn record_limiting(&mut self, room: GateCapacity) {
         self.limiting = Some(room);
     }
 
@@ -95,7 +95,7 @@
             return;
         }
         match self.limiting.take() {
-            Some(GateRoom::TokensFull) => self.increase_tokens(computed),
+            Some(GateCapacity::TokensFull) => self.increase_tokens(computed),
             Some(_) => self.increase_requests(),
             None => {}
         }
@@ -144,24 +144,24 @@
         }
         self.last_decrease = Some(now);
         self.phase = IncreasePhase::Additive;
-        self.max_requests =
-            (self.max_requests * factor).max(f64::from(self.conf.least_requests.max(1)));
-        self.max_tokens = (self.max_tokens * factor).max(f64::from(self.conf.least_tokens));
+        self.request_limit =
+            (self.request_limit * factor).max(f64::from(self.conf.min_requests.max(1)));
+        self.token_limit = (self.token_limit * factor).max(f64::from(self.conf.min_tokens));
     }
 
     fn increase_requests(&mut self) {
         let step = match self.phase {
             IncreasePhase::SlowStart => 1.0,
-            IncreasePhase::Additive => 1.0 / self.max_requests,
+            IncreasePhase::Additive => 1.0 / self.request_limit,
         };
-        self.max_requests = (self.max_requests + step).min(f64::from(self.conf.most_requests));
+        self.request_limit = (self.request_limit + step).min(f64::from(self.conf.max_requests));
     }
 
     fn increase_tokens(&mut self, computed: u32) {
         let step = match self.phase {
             IncreasePhase::SlowStart => f64::from(computed),
-            IncreasePhase::Additive => TOKENS_PER_ROUND * f64::from(computed) / self.max_tokens,
+            IncreasePhase::Additive => TOKENS_PER_ROUND * f64::from(computed) / self.token_limit,
         };
-        self.max_tokens = (self.max_tokens + step).min(f64::from(self.conf.most_tokens));
+        self.token_limit = (self.token_limit + step).min(f64::from(self.conf.max_tokens));
     }
 }
--- a/crates/admission/src/class_queue.rs
+++ b/crates/admission/src/class_queue.rs
@@ -8,7 +8,7 @@
 use tokio::time::Instant;
 
 use crate::drain_rate::DrainRate;
-use crate::gate_load::GateRoom;
+use crate::gate_load::GateCapacity;
 use crate::queue_entry::QueueEntry;
 use crate::team_queue::TeamQueue;
 
@@ -46,7 +46,7 @@
     /// The queue is empty.
     Empty,
     /// Requests are waiting, but there is no capacity.
-    Blocked(GateRoom),
+    Blocked(GateCapacity),
     /// The request waited too long for its first token to meet the deadline.
     Expired(QueueEntry),
     /// The next request, for which there is capacity.
@@ -66,13 +66,18 @@
     ///
     /// Based on the team's own drain rate, which accounts for requests of other teams that arrive
     /// later. If it is unknown, based on the requests queued before the new one.
-    pub(crate) fn wait_for(&self, team: &TeamName, cost: u64, now: Instant) -> Option<Duration> {
-        let own = self.teams.get(team).and_then(|queue| queue.wait_for(cost, now));
-        own.or_else(|| self.drain_rate.time_for(self.cost_before(team, cost) + cost, now))
+    pub(crate) fn estimated_wait(
+        &self,
+        team: &TeamName,
+        cost: u64,
+        now: Instant,
+    ) -> Option<Duration> {
+        let own = self.teams.get(team).and_then(|queue| queue.estimated_wait(cost, now));
+        own.or_else(|| self.drain_rate.estimated_time(self.cost_before(team, cost) + cost, now))
     }
 
     /// Discards the measured drain rates.
-    pub(crate) fn forget_pace(&mut self) {
+    pub(crate) fn reset_rate(&mut self) {
         self.drain_rate = DrainRate::default();
         self.teams.values_mut().for_each(TeamQueue::reset_drain_rate);
     }
@@ -82,7 +87,7 @@
         if self.len == 0 {
             self.quantum = 0;
         }
-        self.drain_rate.begin(now);
+        self.drain_rate.record_start(now);
         self.quantum = self.quantum.max(entry.cost);
         self.len += 1;
         self.cost += entry.cost;
@@ -96,7 +101,7 @@
     pub(crate) fn next(
         &mut self,
         now: Instant,
-        room: impl Fn(&TeamName, u32) -> GateRoom,
+        room: impl Fn(&TeamName, u32) -> GateCapacity,
     ) -> QueueStep {
         let mut skipped = 0;
         while let Some(name) = self.round_robin.front() {
@@ -109,12 +114,12 @@
                 continue;
             };
             let cost = head.cost;
-            if head.give_up <= now {
+            if head.expires_at <= now {
                 return self.pop_head(QueueStep::Expired);
             }
             match room(name, head.prefill_tokens) {
-                GateRoom::Free => {}
-                GateRoom::TeamFull if skipped < self.round_robin.len() => {
+                GateCapacity::Free => {}
+                GateCapacity::TeamFull if skipped < self.round_robin.len() => {
                     skipped += 1;
                     self.end_turn();
                     continue;
@@ -128,7 +133,7 @@
             if cost <= queue.deficit {
                 queue.deficit -= cost;
                 queue.record_sent(cost, now);
-                self.drain_rate.granted(cost, now);
+                self.drain_rate.record_grant(cost, now);
                 return self.pop_head(QueueStep::Next);
             }
             self.end_turn();
@@ -192,7 +197,7 @@
         self.len -= 1;
         self.cost -= entry.cost;
         if self.len == 0 {
-            self.drain_rate.end();
+            self.drain_rate.record_end();
         }
     }
 
--- a/crates/admission/src/server_spot.rs
+++ b/crates/admission/src/configured_server.rs
@@ -9,7 +9,7 @@
 
 /// Zone, pool and drain state of a configured server.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ServerSpot {
+pub struct ConfiguredServer {
     /// Name of the server.
     pub server: ServerName,
     /// Availability zone of the server.
--- a/crates/admission/src/suspect_book.rs
+++ b/crates/admission/src/crash_detector.rs
@@ -27,7 +27,7 @@
 /// crashes too and nothing else explains the crash. Suspicions, runs and convictions are shared
 /// with the other routers, so that they also apply to retries sent there.
 #[derive(Debug)]
-pub struct SuspectBook {
+pub struct CrashDetector {
     state: Mutex<SuspectState>,
     changes: watch::Sender<u64>,
 }
@@ -79,10 +79,10 @@
     Convicted,
 }
 
-impl SuspectBook {
+impl CrashDetector {
     /// Creates a detector without suspects.
-    pub fn new(conf: SuspectConf) -> Arc<SuspectBook> {
-        Arc::new(SuspectBook {
+    pub fn new(conf: SuspectConf) -> Arc<CrashDetector> {
+        Arc::new(CrashDetector {
             state: Mutex::new(SuspectState::new(conf)),
             changes: watch::Sender::new(0),
         })
@@ -99,24 +99,19 @@
     }
 
     /// Whether a request may run on a server.
-    pub fn may_run_on(
-        &self,
-        fingerprint: Fingerprint,
-        server: &ServerName,
-        now: Instant,
-    ) -> RunFit {
+    pub fn run_fit(&self, fingerprint: Fingerprint, server: &ServerName, now: Instant) -> RunFit {
         lock(&self.state).run_fit(fingerprint, server, now)
     }
 
     /// Whether a suspect runs on a server. Requests sent there may become suspects.
-    pub fn has_suspect(&self, server: &ServerName, now: Instant) -> bool {
-        lock(&self.state).has_suspect(server, now)
+    pub fn runs_suspect(&self, server: &ServerName, now: Instant) -> bool {
+        lock(&self.state).runs_suspect(server, now)
     }
 
     /// Registers a run before its first byte is sent. Check and registration are atomic, so two
     /// threads can't both find the server free of suspects.
     pub fn begin(
-        self: &Arc<SuspectBook>,
+        self: &Arc<CrashDetector>,
         fingerprint: Fingerprint,
         server: &ServerName,
         incarnation: Incarnation,
@@ -139,20 +134,20 @@
 
     /// Reports that the server answered a probe under this incarnation, sent after connections to it
     /// broke.
-    pub fn seen(&self, server: &ServerName, incarnation: Incarnation, now: Instant) {
-        lock(&self.state).seen(server, incarnation, now);
+    pub fn incarnation_seen(&self, server: &ServerName, incarnation: Incarnation, now: Instant) {
+        lock(&self.state).incarnation_seen(server, incarnation, now);
         self.notify();
     }
 
     /// Merges a verdict from another router.
-    pub fn learn(&self, verdict: &SuspectVerdict, from: &HostName, now: Instant) {
+    pub fn merge_verdict(&self, verdict: &SuspectVerdict, from: &HostName, now: Instant) {
         lock(&self.state).merge(verdict, from, now);
         self.notify();
     }
 
     /// Returns the verdicts changed since the last call, to be sent to other routers, and drops
     /// expired records.
-    pub fn news(&self, now: Instant) -> Vec<SuspectVerdict> {
+    pub fn take_changed_verdicts(&self, now: Instant) -> Vec<SuspectVerdict> {
         lock(&self.state).take_changed_verdicts(now)
     }
 
--- a/crates/admission/src/crash_evidence.rs
+++ b/crates/admission/src/crash_evidence.rs
@@ -113,7 +113,7 @@
             return Assessment::MayRun;
         };
         let elapsed = now.saturating_duration_since(at);
-        if crash_record.proof != CrashProof::Confirmed || elapsed < self.conf.settle {
+        if crash_record.proof != CrashProof::Confirmed || elapsed < self.conf.settle_time {
             return Assessment::Wait;
         }
         let server_faults = self.server_faults(fingerprint, record, at);
@@ -122,7 +122,7 @@
         }
         let has_later_crash = record.latest_crash().is_some_and(|(latest, _)| latest != crash);
         let may_be_innocent = has_later_crash || server_faults == ServerFaults::Possible;
-        if elapsed >= self.conf.trial_limit {
+        if elapsed >= self.conf.max_trial_time {
             return if may_be_innocent { Assessment::MayRun } else { Assessment::Convict };
         }
         let others =
@@ -273,7 +273,7 @@
     /// Drops expired records. A crash that was not confirmed in time is taken for a network failure.
     pub(crate) fn prune(&mut self, now: Instant) {
         let conf = self.conf;
-        let has_timed_out = |at: Instant| now.saturating_duration_since(at) > conf.trial_limit;
+        let has_timed_out = |at: Instant| now.saturating_duration_since(at) > conf.max_trial_time;
         let unconfirmed_crashes = self
             .crashes
             .iter()
@@ -321,7 +321,8 @@
         if record.crashes.len() > 2 {
             return ServerFaults::Unlikely;
         }
-        let is_concurrent = |other: Instant| other.max(at) - other.min(at) <= self.conf.trial_limit;
+        let is_concurrent =
+            |other: Instant| other.max(at) - other.min(at) <= self.conf.max_trial_time;
         let repeated = self.records.values().filter(|record| record.has_multiple_crashes());
         let latest_crashes = repeated.filter_map(SuspectRecord::latest_crash);
         let plausible_causes = latest_crashes
@@ -385,7 +386,7 @@
 
     /// Evicts the oldest record when the limit is reached; convictions last.
     fn evict_if_full(&mut self, now: Instant) {
-        if self.records.len() < self.conf.most_records {
+        if self.records.len() < self.conf.max_records {
             return;
         }
         let eviction_rank =
--- a/crates/admission/src/drain_rate.rs
+++ b/crates/admission/src/drain_rate.rs
@@ -25,7 +25,7 @@
 
 impl DrainRate {
     /// Called when a request is queued.
-    pub(crate) fn begin(&mut self, now: Instant) {
+    pub(crate) fn record_start(&mut self, now: Instant) {
         if self.busy_since.is_some() {
             return;
         }
@@ -38,7 +38,7 @@
     }
 
     /// Called when a queued request of this cost is sent.
-    pub(crate) fn granted(&mut self, cost: u64, now: Instant) {
+    pub(crate) fn record_grant(&mut self, cost: u64, now: Instant) {
         self.cost = self.cost * SAMPLE_DECAY + cost as f64;
         self.seconds = self.seconds * SAMPLE_DECAY + self.since_last_sample(now);
         self.samples = self.samples.saturating_add(1);
@@ -47,13 +47,13 @@
     }
 
     /// Called when the queue becomes empty.
-    pub(crate) fn end(&mut self) {
+    pub(crate) fn record_end(&mut self) {
         self.busy_since = None;
     }
 
     /// Estimated time until `cost` has left the queue; `None` while there are too few samples. The
     /// time since the last sample counts, so that the estimate grows while the server is stalled.
-    pub(crate) fn time_for(&self, cost: u64, now: Instant) -> Option<Duration> {
+    pub(crate) fn estimated_time(&self, cost: u64, now: Instant) -> Option<Duration> {
         let seconds = self.seconds + self.since_last_sample(now);
         if self.samples < MIN_SAMPLES || seconds <= 0.0 {
             return None;
--- a/crates/admission/src/gate_load.rs
+++ b/crates/admission/src/gate_load.rs
@@ -25,7 +25,7 @@
 
 /// Whether one more request fits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum GateRoom {
+pub(crate) enum GateCapacity {
     /// It fits.
     Free,
     /// The request limit is reached.
@@ -52,27 +52,27 @@
         team: &TeamName,
         priority: u8,
         tokens: u32,
-    ) -> GateRoom {
+    ) -> GateCapacity {
         let (requests_limit, tokens_limit) = (limit.requests(), limit.tokens());
         let total_room = self.total.room(requests_limit, tokens_limit, tokens);
-        if total_room != GateRoom::Free {
+        if total_room != GateCapacity::Free {
             return total_room;
         }
         if priority > conf.urgent_priority {
-            let requests_limit = scale_limit(requests_limit, conf.lesser_share);
-            let tokens_limit = tokens_limit * conf.lesser_share;
+            let requests_limit = scale_limit(requests_limit, conf.non_urgent_share);
+            let tokens_limit = tokens_limit * conf.non_urgent_share;
             let non_urgent_room = self.non_urgent.room(requests_limit, tokens_limit, tokens);
-            if non_urgent_room != GateRoom::Free {
+            if non_urgent_room != GateCapacity::Free {
                 return non_urgent_room;
             }
         }
         let Some(team_load) = self.teams.get(team) else {
-            return GateRoom::Free;
+            return GateCapacity::Free;
         };
         let requests_limit = scale_limit(requests_limit, conf.team_share);
         match team_load.room(requests_limit, tokens_limit * conf.team_share, tokens) {
-            GateRoom::Free => GateRoom::Free,
-            _ => GateRoom::TeamFull,
+            GateCapacity::Free => GateCapacity::Free,
+            _ => GateCapacity::TeamFull,
         }
     }
 
@@ -113,15 +113,15 @@
 impl LoadCount {
     /// A request larger than the token limit fits when nothing else waits for prefill; otherwise it
     /// could never run.
-    fn room(self, requests_limit: u32, tokens_limit: f64, tokens: u32) -> GateRoom {
+    fn room(self, requests_limit: u32, tokens_limit: f64, tokens: u32) -> GateCapacity {
         if self.requests >= requests_limit {
-            return GateRoom::RequestsFull;
+            return GateCapacity::RequestsFull;
         }
         let tokens_with_request = self.tokens + u64::from(tokens);
         if self.tokens > 0 && tokens > 0 && tokens_with_request as f64 > tokens_limit {
-            return GateRoom::TokensFull;
+            return GateCapacity::TokensFull;
         }
-        GateRoom::Free
+        GateCapacity::Free
     }
 }
 
--- a/crates/admission/src/gate_queue.rs
+++ b/crates/admission/src/gate_queue.rs
@@ -8,7 +8,7 @@
 
 use crate::class_queue::ClassQueue;
 use crate::class_queue::QueueStep;
-use crate::gate_load::GateRoom;
+use crate::gate_load::GateCapacity;
 use crate::queue_entry::QueueEntry;
 
 /// Queued requests of one gate, in strict order of priority.
@@ -32,19 +32,19 @@
     }
 
     /// Estimated wait of a new request; `None` while unknown.
-    pub(crate) fn wait_for(
+    pub(crate) fn estimated_wait(
         &self,
         priority: u8,
         team: &TeamName,
         cost: u64,
         now: Instant,
     ) -> Option<Duration> {
-        self.classes.get(&priority)?.wait_for(team, cost, now)
+        self.classes.get(&priority)?.estimated_wait(team, cost, now)
     }
 
     /// Discards the throughput estimates.
-    pub(crate) fn forget_pace(&mut self) {
-        self.classes.values_mut().for_each(ClassQueue::forget_pace);
+    pub(crate) fn reset_rate(&mut self) {
+        self.classes.values_mut().for_each(ClassQueue::reset_rate);
     }
 
     /// Removes the next request if it fits. A request that waits for room blocks all less urgent
@@ -52,7 +52,7 @@
     pub(crate) fn next(
         &mut self,
         now: Instant,
-        room: impl Fn(u8, &TeamName, u32) -> GateRoom,
+        room: impl Fn(u8, &TeamName, u32) -> GateCapacity,
     ) -> QueueStep {
         for (priority, class) in &mut self.classes {
             match class.next(now, |team, tokens| room(*priority, team, tokens)) {
--- a/crates/admission/src/gate_state.rs
+++ b/crates/admission/src/gate_state.rs
@@ -8,14 +8,14 @@
 
 use crate::EngineReport;
 use crate::GateConf;
-use crate::GateFigures;
 use crate::GateRefusal;
 use crate::GateRequest;
+use crate::GateSnapshot;
 use crate::MoveReason;
 use crate::adaptive_limit::AdaptiveLimit;
 use crate::class_queue::QueueStep;
+use crate::gate_load::GateCapacity;
 use crate::gate_load::GateLoad;
-use crate::gate_load::GateRoom;
 use crate::gate_queue::GateQueue;
 use crate::gate_slot::GateSlot;
 use crate::queue_entry::QueueEntry;
@@ -97,7 +97,7 @@
         let priority = request.class.conf.priority;
         if !self.queue.has_waiting_up_to(priority) {
             let room = self.room(request);
-            if room == GateRoom::Free {
+            if room == GateCapacity::Free {
                 let slot = self.new_slot(request);
                 self.load.add(&self.conf, &slot);
                 return (EntryAction::Admit(slot), None);
@@ -142,7 +142,7 @@
 
     /// The refusal of a queued request, with the estimated wait as its retry-after.
     pub(crate) fn refusal(&self, kind: ErrorKind, entry: &QueueEntry, now: Instant) -> GateRefusal {
-        let wait = self.queue.wait_for(entry.priority, &entry.team, entry.cost, now);
+        let wait = self.queue.estimated_wait(entry.priority, &entry.team, entry.cost, now);
         GateRefusal { kind, retry_after: wait.unwrap_or(DEFAULT_RETRY_AFTER) }
     }
 
@@ -189,31 +189,31 @@
         self.epoch += 1;
         self.load = GateLoad::default();
         self.limit = AdaptiveLimit::new(self.conf);
-        self.queue.forget_pace();
+        self.queue.reset_rate();
     }
 
     /// Estimated queueing time of a new request; zero while unknown.
     pub(crate) fn expected_wait(&self, request: &GateRequest, now: Instant) -> Duration {
         let priority = request.class.conf.priority;
-        if !self.queue.has_waiting_up_to(priority) && self.room(request) == GateRoom::Free {
+        if !self.queue.has_waiting_up_to(priority) && self.room(request) == GateCapacity::Free {
             return Duration::ZERO;
         }
         self.estimate_wait(request, now).unwrap_or(Duration::ZERO)
     }
 
-    pub(crate) fn figures(&self) -> GateFigures {
+    pub(crate) fn snapshot(&self) -> GateSnapshot {
         let load = self.load.total();
-        GateFigures {
-            under_way: load.requests,
+        GateSnapshot {
+            in_flight: load.requests,
             prefill_tokens: load.tokens,
-            waiting: self.queue.len(),
+            queued: self.queue.len(),
             requests_limit: self.limit.requests(),
             tokens_limit: self.limit.tokens() as u64,
             closed: self.closed,
         }
     }
 
-    fn room(&self, request: &GateRequest) -> GateRoom {
+    fn room(&self, request: &GateRequest) -> GateCapacity {
         let priority = request.class.conf.priority;
         let tokens = request.prefill_tokens;
         self.load.room(&self.conf, &self.limit, &request.team, priority, tokens)
@@ -235,7 +235,7 @@
 
     fn estimate_wait(&self, request: &GateRequest, now: Instant) -> Option<Duration> {
         let priority = request.class.conf.priority;
-        self.queue.wait_for(priority, &request.team, self.cost(request), now)
+        self.queue.estimated_wait(priority, &request.team, self.cost(request), now)
     }
 
     /// Queues a request, unless its deadline can't be met or the queue is full and none of its
@@ -284,7 +284,7 @@
             priority,
             prefill_tokens: request.prefill_tokens,
             cost: self.cost(request),
-            give_up: expires_at,
+            expires_at,
             sender,
         };
         self.queue.class(priority).push(entry, now);
--- a/crates/admission/src/gate_waiter.rs
+++ b/crates/admission/src/gate_waiter.rs
@@ -34,7 +34,7 @@
     }
 
     /// When the request expires: if sent later, its first token would miss the deadline.
-    pub fn give_up(&self) -> Instant {
+    pub fn expires_at(&self) -> Instant {
         self.expires_at
     }
 
--- a/crates/admission/src/health_news.rs
+++ b/crates/admission/src/health_event.rs
@@ -4,7 +4,7 @@
 
 /// A change of a server's health state, to be logged and applied to its gate.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct HealthNews {
+pub struct HealthEvent {
     /// The server.
     pub server: ServerName,
     /// The change.
--- a/crates/admission/src/health_book.rs
+++ b/crates/admission/src/health_registry.rs
@@ -7,12 +7,12 @@
 use indexmap::IndexMap;
 use tokio::time::Instant;
 
+use crate::ConfiguredServer;
 use crate::HealthChange;
 use crate::HealthConf;
-use crate::HealthNews;
+use crate::HealthEvent;
+use crate::ServerAvailability;
 use crate::ServerResult;
-use crate::ServerSpot;
-use crate::ServerUse;
 use crate::lock::lock;
 use crate::server_health::HealthStep;
 use crate::server_health::ServerHealth;
@@ -23,7 +23,7 @@
 /// Health of all servers. A minimum share of each zone's servers of a pool is never ejected, because
 /// a fault of the router or the network can make all servers appear to fail.
 #[derive(Debug)]
-pub struct HealthBook {
+pub struct HealthRegistry {
     conf: HealthConf,
     state: Mutex<HealthState>,
 }
@@ -38,68 +38,75 @@
 
 #[derive(Debug)]
 struct HealthEntry {
-    spot: ServerSpot,
+    configured: ConfiguredServer,
     health: ServerHealth,
 }
 
-impl HealthBook {
+impl HealthRegistry {
     /// Creates a registry without servers.
-    pub fn new(conf: HealthConf) -> HealthBook {
-        HealthBook { conf, state: Mutex::default() }
+    pub fn new(conf: HealthConf) -> HealthRegistry {
+        HealthRegistry { conf, state: Mutex::default() }
     }
 
     /// Replaces the configured servers, keeping the health of those that remain.
-    pub fn set_servers(&self, spots: &[ServerSpot], now: Instant) -> Vec<HealthNews> {
+    pub fn set_servers(
+        &self,
+        configured_servers: &[ConfiguredServer],
+        now: Instant,
+    ) -> Vec<HealthEvent> {
         let mut state = lock(&self.state);
         let mut previous = std::mem::take(&mut state.servers);
-        for spot in spots {
-            let known_leaving = state.leaving.get(&spot.server).copied();
-            let mut health = match previous.swap_remove(&spot.server) {
+        for configured in configured_servers {
+            let known_leaving = state.leaving.get(&configured.server).copied();
+            let mut health = match previous.swap_remove(&configured.server) {
                 Some(entry) => entry.health,
                 None => ServerHealth::new(known_leaving, now),
             };
-            health.drain = spot.drain;
-            state.servers.insert(spot.server.clone(), HealthEntry { spot: spot.clone(), health });
+            health.drain = configured.drain;
+            state.servers.insert(
+                configured.server.clone(),
+                HealthEntry { configured: configured.clone(), health },
+            );
         }
-        let mut news = Vec::new();
-        for spot in spots {
-            state.enforce_floor(&self.conf, spot, &mut news);
+        let mut events = Vec::new();
+        for configured in configured_servers {
+            state.enforce_floor(&self.conf, configured, &mut events);
         }
-        news
+        events
     }
 
     /// Records the result of a request sent to this incarnation, if known. Failures of an earlier
     /// incarnation are ignored, so that they don't eject its successor.
-    pub fn note(
+    pub fn record_result(
         &self,
         server: &ServerName,
         incarnation: Option<Incarnation>,
         result: ServerResult,
         now: Instant,
-    ) -> Vec<HealthNews> {
+    ) -> Vec<HealthEvent> {
         let mut state = lock(&self.state);
-        let mut news = Vec::new();
+        let mut events = Vec::new();
         let Some(entry) = state.servers.get_mut(server) else {
-            return news;
+            return events;
         };
         if incarnation.is_some() && incarnation < entry.health.incarnation {
-            return news;
+            return events;
         }
-        match entry.health.note(result, &self.conf, now) {
+        match entry.health.record_result(result, &self.conf, now) {
             HealthStep::Nothing => {}
-            HealthStep::Restored => news.push(news_of(server, HealthChange::Restored)),
-            HealthStep::Eject => state.eject(&self.conf, server, now, &mut news),
+            HealthStep::Restored => events.push(event_of(server, HealthChange::Restored)),
+            HealthStep::Eject => state.eject(&self.conf, server, now, &mut events),
         }
-        news
+        events
     }
 
     /// Records that the server reported this incarnation.
-    pub fn seen(
+    pub fn incarnation_seen(
         &self,
         server: &ServerName,
         incarnation: Incarnation,
         now: Instant,
-    ) -> Vec<HealthNews> {
+    ) -> Vec<HealthEvent> {
         let mut state = lock(&self.state);
         let Some(entry) = state.servers.get_mut(server) else {
             return Vec::new();
@@ -114,41 +121,44 @@
         if !is_change || entry.health.is_leaving() {
             return Vec::new();
         }
-        vec![news_of(server, HealthChange::Restarted)]
+        vec![event_of(server, HealthChange::Restarted)]
     }
 
     /// Marks an incarnation as leaving, as announced by discovery, the server, an operator or another
     /// router. Only a later incarnation is used again.
-    pub fn leaving(&self, server: &ServerName, incarnation: Incarnation) -> Vec<HealthNews> {
+    pub fn mark_leaving(&self, server: &ServerName, incarnation: Incarnation) -> Vec<HealthEvent> {
         let mut state = lock(&self.state);
         state.mark_leaving(server, incarnation);
-        let mut news = Vec::new();
+        let mut events = Vec::new();
         let Some(entry) = state.servers.get_mut(server) else {
-            return news;
+            return events;
         };
         let was_leaving = entry.health.is_leaving();
         entry.health.leaving = entry.health.leaving.max(Some(incarnation));
         if was_leaving || !entry.health.is_leaving() {
-            return news;
+            return events;
         }
-        let spot = entry.spot.clone();
-        news.push(news_of(server, HealthChange::Leaving));
-        state.enforce_floor(&self.conf, &spot, &mut news);
-        news
+        let configured = entry.configured.clone();
+        events.push(event_of(server, HealthChange::Leaving));
+        state.enforce_floor(&self.conf, &configured, &mut events);
+        events
     }
 
     /// State of a server; `Drained` if it is not configured.
-    pub fn in_use(&self, server: &ServerName, now: Instant) -> ServerUse {
+    pub fn availability(&self, server: &ServerName, now: Instant) -> ServerAvailability {
         let state = lock(&self.state);
         let entry = state.servers.get(server);
-        entry.map_or(ServerUse::Drained, |entry| entry.health.in_use(&self.conf, now))
+        entry
+            .map_or(ServerAvailability::Drained, |entry| entry.health.availability(&self.conf, now))
     }
 
     /// States of all servers.
-    pub fn all_in_use(&self, now: Instant) -> Vec<(ServerName, ServerUse)> {
+    pub fn all_availability(&self, now: Instant) -> Vec<(ServerName, ServerAvailability)> {
         let state = lock(&self.state);
         let entries = state.servers.iter();
-        entries.map(|(name, entry)| (name.clone(), entry.health.in_use(&self.conf, now))).collect()
+        entries
+            .map(|(name, entry)| (name.clone(), entry.health.availability(&self.conf, now)))
+            .collect()
     }
 
     /// Servers that are due for a trial request or probe. The caller must send one to each.
@@ -162,7 +172,7 @@
     }
 
     /// Leaving incarnations, to be sent to other routers.
-    pub fn leaving_marks(&self) -> Vec<(ServerName, Incarnation)> {
+    pub fn leaving_incarnations(&self) -> Vec<(ServerName, Incarnation)> {
         let state = lock(&self.state);
         state.leaving.iter().map(|(name, incarnation)| (name.clone(), *incarnation)).collect()
     }
@@ -182,70 +192,77 @@
         conf: &HealthConf,
         server: &ServerName,
         now: Instant,
-        news: &mut Vec<HealthNews>,
+        events: &mut Vec<HealthEvent>,
     ) {
         let Some(entry) = self.servers.get(server) else {
             return;
         };
         let was_ejected = entry.health.is_ejected();
         let was_last_resort = entry.health.is_last_resort();
-        let may_eject =
-            was_ejected || self.ejected_count(&entry.spot) < self.max_ejected(conf, &entry.spot);
+        let may_eject = was_ejected
+            || self.ejected_count(&entry.configured) < self.max_ejected(conf, &entry.configured);
         let Some(entry) = self.servers.get_mut(server) else {
             return;
         };
         if may_eject {
             entry.health.eject(conf, now);
             if !was_ejected {
-                news.push(news_of(server, HealthChange::Ejected));
+                events.push(event_of(server, HealthChange::Ejected));
             }
         } else {
             entry.health.keep_as_last_resort();
             if !was_last_resort {
-                news.push(news_of(server, HealthChange::KeptByFloor));
+                events.push(event_of(server, HealthChange::KeptByFloor));
             }
         }
     }
 
     /// Puts ejected servers back into use while too few are left, in the order in which their
     /// ejections end.
-    fn enforce_floor(&mut self, conf: &HealthConf, spot: &ServerSpot, news: &mut Vec<HealthNews>) {
-        while self.ejected_count(spot) > self.max_ejected(conf, spot) {
+    fn enforce_floor(
+        &mut self,
+        conf: &HealthConf,
+        configured: &ConfiguredServer,
+        events: &mut Vec<HealthEvent>,
+    ) {
+        while self.ejected_count(configured) > self.max_ejected(conf, configured) {
             let entries = self.servers.values_mut();
-            let ejected =
-                entries.filter(|entry| entry.is_alternative_to(spot) && entry.health.is_ejected());
+            let ejected = entries
+                .filter(|entry| entry.is_alternative_to(configured) && entry.health.is_ejected());
             let Some(entry) = ejected.min_by_key(|entry| entry.health.ejected_until()) else {
                 return;
             };
             entry.health.keep_as_last_resort();
-            news.push(news_of(&entry.spot.server, HealthChange::KeptByFloor));
+            events.push(event_of(&entry.configured.server, HealthChange::KeptByFloor));
         }
     }
 
     /// Number of ejected servers in the same zone and pool.
-    fn ejected_count(&self, spot: &ServerSpot) -> usize {
+    fn ejected_count(&self, configured: &ConfiguredServer) -> usize {
         self.servers
             .values()
-            .filter(|entry| entry.is_alternative_to(spot) && entry.health.is_ejected())
+            .filter(|entry| entry.is_alternative_to(configured) && entry.health.is_ejected())
             .count()
     }
 
     /// Maximum number of ejected servers in the same zone and pool.
-    fn max_ejected(&self, conf: &HealthConf, spot: &ServerSpot) -> usize {
-        let available = self.servers.values().filter(|entry| entry.is_alternative_to(spot)).count();
-        let min_in_use = (available as f64 * conf.floor).ceil() as usize;
+    fn max_ejected(&self, conf: &HealthConf, configured: &ConfiguredServer) -> usize {
+        let available =
+            self.servers.values().filter(|entry| entry.is_alternative_to(configured)).count();
+        let min_in_use = (available as f64 * conf.min_in_use_share).ceil() as usize;
         available.saturating_sub(min_in_use)
     }
 }
 
 impl HealthEntry {
     /// Whether it is available and in the same zone and pool.
-    fn is_alternative_to(&self, spot: &ServerSpot) -> bool {
-        let same_pool = self.spot.zone == spot.zone && self.spot.pool == spot.pool;
+    fn is_alternative_to(&self, configured: &ConfiguredServer) -> bool {
+        let same_pool =
+            self.configured.zone == configured.zone && self.configured.pool == configured.pool;
         same_pool && self.health.is_available()
     }
 }
 
-fn news_of(server: &ServerName, change: HealthChange) -> HealthNews {
-    HealthNews { server: server.clone(), change }
+fn event_of(server: &ServerName, change: HealthChange) -> HealthEvent {
+    HealthEvent { server: server.clone(), change }
 }
--- a/crates/admission/src/limiter_conf.rs
+++ b/crates/admission/src/limiter_conf.rs
@@ -13,21 +13,21 @@
     pub delivery: Duration,
     /// Number of routers up to which `stale_after` and `delivery` apply. With more routers both
     /// grow in proportion, because each router reports less often.
-    pub paced_routers: usize,
+    pub base_router_count: usize,
     /// Maximum number of teams in a report.
     pub report_teams: usize,
     /// Time without requests after which a team's state is removed.
-    pub forget_after: Duration,
+    pub team_ttl: Duration,
     /// Maximum number of teams with state.
-    pub most_teams: usize,
+    pub max_teams: usize,
     /// Fraction of each limit that the routers exchanging reports share, for example those of one
     /// zone.
-    pub part: f64,
+    pub limit_share: f64,
 }
 
 impl LimiterConf {
     /// Age at which a report becomes stale, for the given number of routers.
-    pub(crate) fn stale_among(&self, routers: usize) -> Duration {
+    pub(crate) fn scaled_stale_after(&self, routers: usize) -> Duration {
         self.stale_after * self.interval_factor(routers)
     }
 
@@ -36,12 +36,12 @@
     /// An unreachable router is detected after `stale_after`. Reporting this to the others takes up
     /// to one delivery time, and receiving their reports another. One more covers this router's own
     /// step.
-    pub(crate) fn hold_among(&self, routers: usize) -> Duration {
+    pub(crate) fn hold_time(&self, routers: usize) -> Duration {
         (self.stale_after + 3 * self.delivery) * self.interval_factor(routers)
     }
 
     fn interval_factor(&self, routers: usize) -> u32 {
-        routers.div_ceil(self.paced_routers.max(1)).max(1) as u32
+        routers.div_ceil(self.base_router_count.max(1)).max(1) as u32
     }
 }
 
@@ -51,11 +51,11 @@
             burst: Duration::from_secs(2),
             stale_after: Duration::from_secs(5),
             delivery: Duration::from_millis(2_500),
-            paced_routers: 8,
+            base_router_count: 8,
             report_teams: 8,
-            forget_after: Duration::from_secs(60),
-            most_teams: 16_384,
-            part: 1.0,
+            team_ttl: Duration::from_secs(60),
+            max_teams: 16_384,
+            limit_share: 1.0,
         }
     }
 }
--- a/crates/admission/src/usage_spread.rs
+++ b/crates/admission/src/peer_demand.rs
@@ -17,24 +17,24 @@
 /// at any time a view that all of them apply, and under a common view the shares add up to at most
 /// the limit.
 #[derive(Debug, Default)]
-pub(crate) struct UsageSpread {
-    views: Vec<SpreadView>,
+pub(crate) struct PeerDemand {
+    views: Vec<PeerDemandView>,
 }
 
 /// Demand at the routers of one membership view.
 #[derive(Debug)]
-pub(crate) struct SpreadView {
+pub(crate) struct PeerDemandView {
     /// Number of routers in the view, including this one.
     pub(crate) size: f64,
     /// Fraction of each limit that the routers of the view share.
-    pub(crate) part: f64,
+    pub(crate) limit_share: f64,
     /// Demand at the other routers, by team.
     pub(crate) others: IndexMap<TeamName, TeamRate>,
 }
 
-impl UsageSpread {
-    pub(crate) fn new(views: Vec<SpreadView>) -> UsageSpread {
-        UsageSpread { views }
+impl PeerDemand {
+    pub(crate) fn new(views: Vec<PeerDemandView>) -> PeerDemand {
+        PeerDemand { views }
     }
 
     /// Whether another router reported demand for this team.
@@ -51,9 +51,9 @@
     }
 }
 
-impl SpreadView {
+impl PeerDemandView {
     fn rate(&self, team: &TeamName, limit: &TeamLimit, own: TeamRate) -> TeamRate {
-        let total = TeamRate::fraction_of(limit, self.part);
+        let total = TeamRate::fraction_of(limit, self.limit_share);
         let others = self.others.get(team).copied().unwrap_or_default();
         TeamRate {
             requests: self.share(total.requests, own.requests, others.requests),
--- a/crates/admission/src/queue_entry.rs
+++ b/crates/admission/src/queue_entry.rs
@@ -21,7 +21,7 @@
     /// Cost for fair queueing among teams.
     pub(crate) cost: u64,
     /// Latest time to send the request so that its first token meets the deadline.
-    pub(crate) give_up: Instant,
+    pub(crate) expires_at: Instant,
     /// Receives the outcome.
     pub(crate) sender: oneshot::Sender<GateOutcome>,
 }
--- a/crates/admission/src/quota_tracker.rs
+++ b/crates/admission/src/quota_tracker.rs
@@ -46,7 +46,7 @@
     /// When to retry, assuming that previously refused requests retry first.
     pub retry_after: Duration,
     /// Available tokens; negative when more tokens were used than were available.
-    pub left: f64,
+    pub available: f64,
     /// Age of the newest report from another router; `None` if there is none.
     pub report_age: Option<Duration>,
 }
@@ -112,21 +112,21 @@
             }
             BucketDecision::Refused { retry_after } => Err(QuotaRefusal {
                 retry_after,
-                left: bucket.available(&self.peer_tracker, &self.conf, now),
+                available: bucket.available(&self.peer_tracker, &self.conf, now),
                 report_age: self.peer_tracker.newest_report_age(now),
             }),
         }
     }
 
     /// Refunds the tokens of a request that no server ran.
-    pub fn give_back(&mut self, team: &TeamName, cost: u64) {
+    pub fn refund(&mut self, team: &TeamName, cost: u64) {
         if let Some(bucket) = self.buckets.get_mut(&TeamKey::of(team)) {
             bucket.refund(cost, &self.conf);
         }
     }
 
     /// Deducts the tokens again for a retry of a request that may already have run.
-    pub fn charge_again(&mut self, team: &TeamName, cost: u64, now: Instant) {
+    pub fn recharge(&mut self, team: &TeamName, cost: u64, now: Instant) {
         let key = TeamKey::of(team);
         if let Some(bucket) = self.buckets.get_mut(&key) {
             bucket.charge(cost, now);
--- a/crates/admission/src/retry_budget.rs
+++ b/crates/admission/src/retry_budget.rs
@@ -15,14 +15,14 @@
     /// Retries allowed per first attempt, for example 0.1.
     pub share: f64,
     /// Minimum retries per second, independent of traffic.
-    pub least_per_second: f64,
+    pub min_per_second: f64,
     /// Maximum unused retries that accumulate.
-    pub most_saved: f64,
+    pub max_accumulated: f64,
 }
 
 impl Default for RetryConf {
     fn default() -> RetryConf {
-        RetryConf { share: 0.1, least_per_second: 2.0, most_saved: 20.0 }
+        RetryConf { share: 0.1, min_per_second: 2.0, max_accumulated: 20.0 }
     }
 }
 
@@ -43,7 +43,7 @@
     /// The retry may be made and has been charged to the budget.
     Allowed,
     /// The budget is exhausted: the request fails.
-    Spent {
+    Exhausted {
         /// Time until the budget allows another retry.
         retry_after: Duration,
     },
@@ -57,14 +57,14 @@
 
     /// Adds the share for one first attempt to the budget.
     pub fn first_attempt(&self, priority: u8, now: Instant) {
-        self.with_bucket(priority, now, |bucket| bucket.put(self.conf.share));
+        self.with_bucket(priority, now, |bucket| bucket.add(self.conf.share));
     }
 
     /// Charges one retry to the budget of this priority.
     pub fn try_retry(&self, priority: u8, now: Instant) -> RetryGrant {
         self.with_bucket(priority, now, |bucket| {
-            if !bucket.has(1.0, now) {
-                return RetryGrant::Spent { retry_after: bucket.wait_for(1.0) };
+            if !bucket.can_take(1.0, now) {
+                return RetryGrant::Exhausted { retry_after: bucket.wait_for(1.0) };
             }
             bucket.take(1.0);
             RetryGrant::Allowed
@@ -81,7 +81,7 @@
         let mut buckets = lock(&self.buckets);
         let bucket = buckets
             .entry(priority)
-            .or_insert_with(|| TokenBucket::full(conf.least_per_second, conf.most_saved, now));
+            .or_insert_with(|| TokenBucket::full(conf.min_per_second, conf.max_accumulated, now));
         action(bucket)
     }
 }
--- a/crates/admission/src/reach_book.rs
+++ b/crates/admission/src/router_reports.rs
@@ -11,10 +11,10 @@
 
 use crate::LimiterConf;
 use crate::UsageReport;
+use crate::peer_demand::PeerDemand;
+use crate::peer_demand::PeerDemandView;
 use crate::sharing_view::SharingView;
 use crate::team_rate::TeamRate;
-use crate::usage_spread::SpreadView;
-use crate::usage_spread::UsageSpread;
 
 /// Maximum number of views kept. If exceeded, the oldest are replaced by a view without other
 /// routers.
@@ -22,7 +22,7 @@
 
 /// Known routers and the latest usage report of each.
 #[derive(Debug)]
-pub(crate) struct ReachBook {
+pub(crate) struct RouterReports {
     own: HostName,
     known: IndexSet<HostName>,
     reports: IndexMap<HostName, RouterReport>,
@@ -34,19 +34,19 @@
 #[derive(Debug)]
 struct RouterReport {
     sent_at: Instant,
-    reach: u64,
+    view_digest: u64,
     teams: IndexMap<TeamName, TeamRate>,
 }
 
-impl ReachBook {
+impl RouterReports {
     /// Creates a registry that contains only this router.
-    pub(crate) fn new(own: HostName) -> ReachBook {
+    pub(crate) fn new(own: HostName) -> RouterReports {
         let known = IndexSet::from([own.clone()]);
-        ReachBook { own, known, reports: IndexMap::new(), views: VecDeque::new() }
+        RouterReports { own, known, reports: IndexMap::new(), views: VecDeque::new() }
     }
 
     /// Replaces the set of known routers and returns its size, including this one.
-    pub(crate) fn set_known(&mut self, hosts: &[HostName]) -> usize {
+    pub(crate) fn set_routers(&mut self, hosts: &[HostName]) -> usize {
         self.known = hosts.iter().cloned().collect();
         self.known.insert(self.own.clone());
         self.reports.retain(|host, _| self.known.contains(host));
@@ -54,7 +54,7 @@
     }
 
     /// Records another router's report; reports that arrive out of order are ignored.
-    pub(crate) fn hear(&mut self, host: &HostName, report: &UsageReport, sent_at: Instant) {
+    pub(crate) fn apply_report(&mut self, host: &HostName, report: &UsageReport, sent_at: Instant) {
         let is_out_of_order = self.reports.get(host).is_some_and(|report| sent_at < report.sent_at);
         if *host == self.own || !self.known.contains(host) || is_out_of_order {
             return;
@@ -64,39 +64,39 @@
             tokens: f64::from(usage.prompt_tokens_per_s),
         };
         let teams = report.teams.iter().map(|usage| (usage.team.clone(), rate(usage))).collect();
-        let report = RouterReport { sent_at, reach: report.reach, teams };
+        let report = RouterReport { sent_at, view_digest: report.view_digest, teams };
         self.reports.insert(host.clone(), report);
     }
 
     /// Recomputes the view and returns the digest of the routers known and heard, which is sent to
     /// the others.
-    pub(crate) fn renew(&mut self, conf: &LimiterConf, now: Instant) -> u64 {
-        let stale_after = conf.stale_among(self.known.len());
+    pub(crate) fn refresh(&mut self, conf: &LimiterConf, now: Instant) -> u64 {
+        let stale_after = conf.scaled_stale_after(self.known.len());
         let is_fresh =
             |report: &RouterReport| now.saturating_duration_since(report.sent_at) < stale_after;
         let is_reachable =
             |host: &HostName| *host == self.own || self.reports.get(host).is_some_and(is_fresh);
         let reachable = self.known.iter().filter(|host| is_reachable(host));
-        let reach = digest(self.known.iter()) ^ digest(reachable).rotate_left(1);
+        let view_digest = digest(self.known.iter()) ^ digest(reachable).rotate_left(1);
         // The same digest implies connectivity in both directions.
         let mut members: Vec<HostName> = self
             .reports
             .iter()
-            .filter(|(_, report)| report.reach == reach)
+            .filter(|(_, report)| report.view_digest == view_digest)
             .map(|(host, _)| host.clone())
             .collect();
         members.sort_unstable();
         self.update_views(SharingView { members, known: self.known.len() }, conf, now);
-        reach
+        view_digest
     }
 
     /// Usage by team of the members of each view within the hold time.
-    pub(crate) fn spread(&self) -> UsageSpread {
-        let views = self.views.iter().map(|(_, view)| self.spread_view(view)).collect();
-        UsageSpread::new(views)
+    pub(crate) fn peer_demand(&self) -> PeerDemand {
+        let views = self.views.iter().map(|(_, view)| self.peer_demand_view(view)).collect();
+        PeerDemand::new(views)
     }
 
-    fn spread_view(&self, view: &SharingView) -> SpreadView {
+    fn peer_demand_view(&self, view: &SharingView) -> PeerDemandView {
         let mut others: IndexMap<TeamName, TeamRate> = IndexMap::new();
         for host in &view.members {
             let Some(report) = self.reports.get(host) else {
@@ -107,11 +107,11 @@
                 *sum = sum.plus(*rate);
             }
         }
-        SpreadView { size: view.router_count(), part: view.limit_share(), others }
+        PeerDemandView { size: view.router_count(), limit_share: view.limit_share(), others }
     }
 
     /// Appends a changed view and drops views that were replaced longer ago than the hold time; see
-    /// `UsageSpread`.
+    /// `PeerDemand`.
     fn update_views(&mut self, view: SharingView, conf: &LimiterConf, now: Instant) {
         if self.views.is_empty() {
             self.views.push_back((now, SharingView::alone(self.known.len())));
@@ -119,7 +119,7 @@
         if self.views.back().is_some_and(|(_, last)| *last != view) {
             self.views.push_back((now, view));
         }
-        let hold = conf.hold_among(self.known.len());
+        let hold = conf.hold_time(self.known.len());
         let has_expired = |since: Instant| now.saturating_duration_since(since) >= hold;
         while self.views.get(1).is_some_and(|(since, _)| has_expired(*since)) {
             self.views.pop_front();
--- a/crates/admission/src/run_table.rs
+++ b/crates/admission/src/run_table.rs
@@ -65,7 +65,7 @@
 
     /// Keeps a run that ended without a complete response, for the grace period.
     pub(crate) fn remember_ended(&mut self, run: RunEntry, conf: &SuspectConf, now: Instant) {
-        let is_expired = |at: Instant| now.saturating_duration_since(at) > conf.grace;
+        let is_expired = |at: Instant| now.saturating_duration_since(at) > conf.grace_period;
         while self.recently_ended.front().is_some_and(|(at, _)| is_expired(*at)) {
             self.recently_ended.pop_front();
         }
@@ -97,7 +97,7 @@
     ) -> Vec<RunEntry> {
         let ids = self.servers.get(server).into_iter().flatten();
         let running = ids.filter_map(|id| self.runs.get(id));
-        let is_recent = |at: Instant| now.saturating_duration_since(at) <= conf.grace;
+        let is_recent = |at: Instant| now.saturating_duration_since(at) <= conf.grace_period;
         let recent =
             self.recently_ended.iter().filter(|(at, _)| is_recent(*at)).map(|(_, run)| run);
         let was_on_server =
--- a/crates/admission/src/server_use.rs
+++ b/crates/admission/src/server_availability.rs
@@ -2,7 +2,7 @@
 
 /// Availability of a server for new requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum ServerUse {
+pub enum ServerAvailability {
     /// In full use.
     Open,
     /// Just started or returned; gets a reduced share of the traffic.
@@ -12,7 +12,7 @@
     },
     /// Failing, but too few others are left: use only if no other server is suitable.
     LastResort,
-    /// Trial requests only, one at a time; see `HealthBook::trial_due`.
+    /// Trial requests only, one at a time; see `HealthRegistry::trial_due`.
     Trial,
     /// No requests until the ejection ends.
     Ejected,
@@ -22,10 +22,15 @@
     Drained,
 }
 
-impl ServerUse {
+impl ServerAvailability {
     /// Whether the server accepts requests other than trials.
-    pub fn takes_new(self) -> bool {
-        matches!(self, ServerUse::Open | ServerUse::Warming { .. } | ServerUse::LastResort)
+    pub fn accepts_requests(self) -> bool {
+        matches!(
+            self,
+            ServerAvailability::Open
+                | ServerAvailability::Warming { .. }
+                | ServerAvailability::LastResort
+        )
     }
 }
 
--- a/crates/admission/src/server_gate.rs
+++ b/crates/admission/src/server_gate.rs
@@ -13,10 +13,10 @@
 use crate::EngineReport;
 use crate::GateConf;
 use crate::GateEntry;
-use crate::GateFigures;
 use crate::GateOutcome;
 use crate::GateRefusal;
 use crate::GateRequest;
+use crate::GateSnapshot;
 use crate::GateTicket;
 use crate::GateWaiter;
 use crate::MoveReason;
@@ -90,8 +90,8 @@
     }
 
     /// A snapshot of the gate's state.
-    pub fn figures(&self) -> GateFigures {
-        lock(&self.state).figures()
+    pub fn snapshot(&self) -> GateSnapshot {
+        lock(&self.state).snapshot()
     }
 
     pub(crate) fn first_token(
--- a/crates/admission/src/server_health.rs
+++ b/crates/admission/src/server_health.rs
@@ -7,8 +7,8 @@
 
 use crate::DrainState;
 use crate::HealthConf;
+use crate::ServerAvailability;
 use crate::ServerResult;
-use crate::ServerUse;
 
 /// Weight of the latest result in the moving average of failures.
 const FAILURE_RATE_WEIGHT: f64 = 0.1;
@@ -67,18 +67,18 @@
     }
 
     /// State of the server.
-    pub(crate) fn in_use(&self, conf: &HealthConf, now: Instant) -> ServerUse {
+    pub(crate) fn availability(&self, conf: &HealthConf, now: Instant) -> ServerAvailability {
         if self.is_leaving() {
-            return ServerUse::Leaving;
+            return ServerAvailability::Leaving;
         }
         if self.drain == DrainState::Drained {
-            return ServerUse::Drained;
+            return ServerAvailability::Drained;
         }
         match self.phase {
-            HealthPhase::Open => ServerUse::Open,
-            HealthPhase::LastResort => ServerUse::LastResort,
-            HealthPhase::Ejected { until } if now < until => ServerUse::Ejected,
-            HealthPhase::Ejected { .. } | HealthPhase::Trial { .. } => ServerUse::Trial,
+            HealthPhase::Open => ServerAvailability::Open,
+            HealthPhase::LastResort => ServerAvailability::LastResort,
+            HealthPhase::Ejected { until } if now < until => ServerAvailability::Ejected,
+            HealthPhase::Ejected { .. } | HealthPhase::Trial { .. } => ServerAvailability::Trial,
             HealthPhase::Warming { since } => {
                 warming_share(conf, now.saturating_duration_since(since))
             }
@@ -115,7 +115,7 @@
     }
 
     /// Records a result of the current incarnation.
-    pub(crate) fn note(
+    pub(crate) fn record_result(
         &mut self,
         result: ServerResult,
         conf: &HealthConf,
@@ -128,8 +128,8 @@
             return self.record_success(conf, now);
         }
         self.consecutive_failures = self.consecutive_failures.saturating_add(result.weight());
-        let exceeds_threshold =
-            self.consecutive_failures >= conf.eject_streak || self.failure_rate > conf.eject_share;
+        let exceeds_threshold = self.consecutive_failures >= conf.max_consecutive_failures
+            || self.failure_rate > conf.max_failure_rate;
         match self.phase {
             HealthPhase::Trial { .. } => HealthStep::Eject,
             // Requests that were already in flight at the ejection.
@@ -141,12 +141,12 @@
 
     /// Ejects the server, with exponential backoff.
     pub(crate) fn eject(&mut self, conf: &HealthConf, now: Instant) {
-        if now.saturating_duration_since(self.last_restored) > conf.forgive_after {
+        if now.saturating_duration_since(self.last_restored) > conf.ejection_reset_after {
             self.recent_ejections = 0;
         }
-        let duration = conf.first_pause * 2_u32.saturating_pow(self.recent_ejections.min(16));
+        let duration = conf.initial_ejection * 2_u32.saturating_pow(self.recent_ejections.min(16));
         self.recent_ejections += 1;
-        self.phase = HealthPhase::Ejected { until: now + duration.min(conf.longest_pause) };
+        self.phase = HealthPhase::Ejected { until: now + duration.min(conf.max_ejection) };
         self.consecutive_failures = 0;
         self.failure_rate = 0.0;
     }
@@ -163,7 +163,7 @@
             HealthPhase::Trial { next, passed } if next <= now => passed,
             _ => return None,
         };
-        self.phase = HealthPhase::Trial { next: now + conf.trial_gap, passed };
+        self.phase = HealthPhase::Trial { next: now + conf.trial_interval, passed };
         Some(())
     }
 
@@ -183,7 +183,7 @@
 
     fn record_success(&mut self, conf: &HealthConf, now: Instant) -> HealthStep {
         match self.phase {
-            HealthPhase::Trial { passed, .. } if passed + 1 >= conf.trials => {
+            HealthPhase::Trial { passed, .. } if passed + 1 >= conf.required_trials => {
                 self.phase = HealthPhase::Warming { since: now };
                 self.last_restored = now;
                 HealthStep::Restored
@@ -192,7 +192,7 @@
                 self.phase = HealthPhase::Trial { next, passed: passed + 1 };
                 HealthStep::Nothing
             }
-            HealthPhase::LastResort if self.failure_rate < conf.eject_share => {
+            HealthPhase::LastResort if self.failure_rate < conf.max_failure_rate => {
                 self.phase = HealthPhase::Open;
                 HealthStep::Restored
             }
@@ -208,10 +208,12 @@
 }
 
 /// State of a server this long after its start or return.
-fn warming_share(conf: &HealthConf, elapsed: Duration) -> ServerUse {
+fn warming_share(conf: &HealthConf, elapsed: Duration) -> ServerAvailability {
     if elapsed >= conf.slow_start {
-        return ServerUse::Open;
+        return ServerAvailability::Open;
     }
     let progress = elapsed.as_secs_f64() / conf.slow_start.as_secs_f64();
-    ServerUse::Warming { share: conf.first_share + (1.0 - conf.first_share) * progress }
+    ServerAvailability::Warming {
+        share: conf.initial_share + (1.0 - conf.initial_share) * progress,
+    }
 }
--- a/crates/admission/src/suspect_conf.rs
+++ b/crates/admission/src/suspect_conf.rs
@@ -7,13 +7,13 @@
 pub struct SuspectConf {
     /// Time after a second crash before a suspect is assessed, so that other routers can report
     /// their suspects of the same crash.
-    pub settle: Duration,
+    pub settle_time: Duration,
     /// Delay per rank before a router may run a suspect on a server; see `TrialOrder`.
-    pub turn: Duration,
+    pub rank_delay: Duration,
     /// Maximum time after a second crash to wait for the other suspects of that crash to run.
-    pub trial_limit: Duration,
+    pub max_trial_time: Duration,
     /// Time for which a run that ended without a complete response counts as in flight.
-    pub grace: Duration,
+    pub grace_period: Duration,
     /// Validity of another router's report that it runs a suspect.
     pub run_lease: Duration,
     /// Retention of a suspect without updates.
@@ -21,20 +21,20 @@
     /// Retention of a convicted request without updates.
     pub convicted_ttl: Duration,
     /// Maximum number of records.
-    pub most_records: usize,
+    pub max_records: usize,
 }
 
 impl Default for SuspectConf {
     fn default() -> SuspectConf {
         SuspectConf {
-            settle: Duration::from_millis(500),
-            turn: Duration::from_millis(250),
-            trial_limit: Duration::from_secs(10),
-            grace: Duration::from_secs(2),
+            settle_time: Duration::from_millis(500),
+            rank_delay: Duration::from_millis(250),
+            max_trial_time: Duration::from_secs(10),
+            grace_period: Duration::from_secs(2),
             run_lease: Duration::from_secs(10),
             suspect_ttl: Duration::from_secs(600),
             convicted_ttl: Duration::from_secs(3_600),
-            most_records: 4_096,
+            max_records: 4_096,
         }
     }
 }
--- a/crates/admission/src/suspect_run.rs
+++ b/crates/admission/src/suspect_run.rs
@@ -4,23 +4,27 @@
 
 use tokio::time::Instant;
 
-use crate::SuspectBook;
+use crate::CrashDetector;
 use crate::SuspectStanding;
-use crate::suspect_book::RunEnd;
+use crate::crash_detector::RunEnd;
 
 /// Run of a request on a server, created before the first byte is sent. Dropping it without
 /// reporting an end means that the run was abandoned, for example because the caller disconnected.
 #[derive(Debug)]
 pub struct SuspectRun {
-    book: Arc<SuspectBook>,
+    detector: Arc<CrashDetector>,
     id: u64,
     standing: SuspectStanding,
     end: RunEnd,
 }
 
 impl SuspectRun {
-    pub(crate) fn new(book: Arc<SuspectBook>, id: u64, standing: SuspectStanding) -> SuspectRun {
-        SuspectRun { book, id, standing, end: RunEnd::Abandoned }
+    pub(crate) fn new(
+        detector: Arc<CrashDetector>,
+        id: u64,
+        standing: SuspectStanding,
+    ) -> SuspectRun {
+        SuspectRun { detector, id, standing, end: RunEnd::Abandoned }
     }
 
     /// Standing of the request when the run began.
@@ -29,21 +33,21 @@
     }
 
     /// Reports that the response was complete.
-    pub fn ended_well(mut self) {
+    pub fn complete(mut self) {
         self.end = RunEnd::Completed;
     }
 
     /// Reports that the connection broke before the response was complete.
-    pub fn broke(mut self) {
+    pub fn connection_broke(mut self) {
         self.end = RunEnd::ConnectionBroken;
     }
 }
 
 impl Drop for SuspectRun {
     fn drop(&mut self) {
-        self.book.end(self.id, self.end, Instant::now());
+        self.detector.end(self.id, self.end, Instant::now());
         if self.standing != SuspectStanding::Innocent || self.end == RunEnd::ConnectionBroken {
-            self.book.notify();
+            self.detector.notify();
         }
     }
 }
--- a/crates/admission/src/suspect_state.rs
+++ b/crates/admission/src/suspect_state.rs
@@ -1,4 +1,4 @@
-//! State of `SuspectBook`, guarded by its lock.
+//! State of `CrashDetector`, guarded by its lock.
 
 use std::time::Duration;
 
@@ -87,7 +87,7 @@
         match self.standing(fingerprint, now) {
             SuspectStanding::Innocent => RunFit::Anywhere,
             SuspectStanding::Convicted => RunFit::Never,
-            SuspectStanding::Held => RunFit::Held { retry_after: self.conf.settle },
+            SuspectStanding::Held => RunFit::Held { retry_after: self.conf.settle_time },
             SuspectStanding::Suspect if self.is_busy(fingerprint, server, now) => RunFit::Busy,
             SuspectStanding::Suspect if self.trial_order.rank(server) == 0 => RunFit::Own,
             SuspectStanding::Suspect => RunFit::Shared,
@@ -111,7 +111,7 @@
                 return Err(RunRefusal::Convicted);
             }
             SuspectStanding::Held => {
-                return Err(RunRefusal::Held { retry_after: self.conf.settle });
+                return Err(RunRefusal::Held { retry_after: self.conf.settle_time });
             }
             SuspectStanding::Suspect => {
                 if self.is_busy(run.fingerprint, &run.target.server, now) {
@@ -176,7 +176,12 @@
 
     /// Records that the server answered a probe after connections to it broke. Unconfirmed crashes of
     /// earlier incarnations are confirmed, and one of the same incarnation is discarded.
-    pub(crate) fn seen(&mut self, server: &ServerName, incarnation: Incarnation, now: Instant) {
+    pub(crate) fn incarnation_seen(
+        &mut self,
+        server: &ServerName,
+        incarnation: Incarnation,
+        now: Instant,
+    ) {
         self.confirm_crashes(server, |crashed| crashed < incarnation);
         for crash in self.evidence.unconfirmed_crashes(server, |crashed| crashed == incarnation) {
             self.evidence.discard_crash(&crash, now);
@@ -187,25 +192,27 @@
     pub(crate) fn merge(&mut self, verdict: &SuspectVerdict, from: &HostName, now: Instant) {
         let changed = self.evidence.take_changed();
         for crash in &verdict.cleared {
-            self.evidence.record_cleared_by_peer(verdict.print, crash, now);
+            self.evidence.record_cleared_by_peer(verdict.fingerprint, crash, now);
         }
         for sighting in &verdict.crashes {
-            self.evidence.add_suspicion(verdict.print, sighting, now);
+            self.evidence.add_suspicion(verdict.fingerprint, sighting, now);
         }
         let until = now + self.conf.run_lease;
-        if let Some(record) = self.evidence.record_mut(verdict.print) {
+        if let Some(record) = self.evidence.record_mut(verdict.fingerprint) {
             let run = verdict.running_on.clone().map(|server| (server, until));
             if let Some(server) = record.set_peer_run(from, run) {
                 self.last_suspect_ended.insert(server, now);
             }
             if verdict.standing == VerdictStanding::Convicted && record.has_multiple_crashes() {
-                self.evidence.convict(verdict.print);
+                self.evidence.convict(verdict.fingerprint);
             }
         }
         self.evidence.set_changed(changed);
         // Let the sender know that the request is in flight here, so that it doesn't run it as well.
-        if self.runs.target_of(verdict.print).is_some() && self.evidence.is_suspect(verdict.print) {
-            self.evidence.mark_changed(verdict.print);
+        if self.runs.target_of(verdict.fingerprint).is_some()
+            && self.evidence.is_suspect(verdict.fingerprint)
+        {
+            self.evidence.mark_changed(verdict.fingerprint);
         }
     }
 
@@ -231,7 +238,7 @@
     }
 
     /// Whether any router runs a suspect on a server.
-    pub(crate) fn has_suspect(&self, server: &ServerName, now: Instant) -> bool {
+    pub(crate) fn runs_suspect(&self, server: &ServerName, now: Instant) -> bool {
         self.runs.fingerprints_on(server).any(|fingerprint| self.evidence.is_suspect(fingerprint))
             || self.evidence.has_peer_run(server, now)
     }
@@ -241,7 +248,7 @@
     /// other routers' runs arrive with a delay, so routers of a higher rank at the server wait longer
     /// before they use it.
     fn is_busy(&self, fingerprint: Fingerprint, server: &ServerName, now: Instant) -> bool {
-        if self.runs.target_of(fingerprint).is_some() || self.has_suspect(server, now) {
+        if self.runs.target_of(fingerprint).is_some() || self.runs_suspect(server, now) {
             return true;
         }
         let Some(record) = self.evidence.record(fingerprint) else {
@@ -249,7 +256,8 @@
         };
         let last_crash = record.latest_crash().map(|(_, at)| at);
         let free_since = last_crash.max(self.last_suspect_ended.get(server).copied());
-        let rank_delay = self.conf.turn * self.trial_order.rank(server).min(MAX_DELAYED_RANKS);
+        let rank_delay =
+            self.conf.rank_delay * self.trial_order.rank(server).min(MAX_DELAYED_RANKS);
         let too_early = free_since.is_some_and(|since| now < since + rank_delay);
         too_early || record.peer_run_servers(now).next().is_some()
     }
@@ -281,7 +289,7 @@
         let cleared = record.cleared.iter().cloned().collect();
         let running_on = self.runs.target_of(fingerprint).map(|target| target.server.clone());
         let crashes = self.evidence.sightings(record, now);
-        Some(SuspectVerdict { print: fingerprint, standing, running_on, crashes, cleared })
+        Some(SuspectVerdict { fingerprint, standing, running_on, crashes, cleared })
     }
 }
 
--- a/crates/admission/src/suspect_verdict.rs
+++ b/crates/admission/src/suspect_verdict.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SuspectVerdict {
     /// Fingerprint of the request.
-    pub print: Fingerprint,
+    pub fingerprint: Fingerprint,
     /// Standing of the request at the sender.
     pub standing: VerdictStanding,
     /// Server on which the sender currently runs the request.
--- a/crates/admission/src/team_limiter.rs
+++ b/crates/admission/src/team_limiter.rs
@@ -16,10 +16,10 @@
 use crate::TeamUsage;
 use crate::UsageReport;
 use crate::lock::lock;
-use crate::reach_book::ReachBook;
+use crate::peer_demand::PeerDemand;
+use crate::router_reports::RouterReports;
 use crate::team_rate::TeamRate;
 use crate::team_state::TeamState;
-use crate::usage_spread::UsageSpread;
 
 /// Number of locks. Each guards a part of the teams, so that a step blocks only few requests at a
 /// time.
@@ -40,7 +40,7 @@
 pub struct TeamLimiter {
     conf: LimiterConf,
     shards: Vec<Mutex<IndexMap<TeamName, TeamState>>>,
-    reach: Mutex<ReachBook>,
+    router_reports: Mutex<RouterReports>,
     sharing: Mutex<SharingState>,
 }
 
@@ -49,7 +49,7 @@
 struct SharingState {
     /// Number of known routers, including this one.
     router_count: usize,
-    spread: Arc<UsageSpread>,
+    peer_demand: Arc<PeerDemand>,
     /// Time of the last step. If it is too long ago, the shares by usage are no longer valid.
     last_step: Option<Instant>,
 }
@@ -57,19 +57,19 @@
 impl TeamLimiter {
     /// Creates a limiter for the router `own` without any other routers.
     pub fn new(own: HostName, conf: LimiterConf) -> TeamLimiter {
-        let spread = Arc::default();
+        let peer_demand = Arc::default();
         TeamLimiter {
             conf,
             shards: (0..SHARDS).map(|_| Mutex::default()).collect(),
-            reach: Mutex::new(ReachBook::new(own)),
-            sharing: Mutex::new(SharingState { router_count: 1, spread, last_step: None }),
+            router_reports: Mutex::new(RouterReports::new(own)),
+            sharing: Mutex::new(SharingState { router_count: 1, peer_demand, last_step: None }),
         }
     }
 
     /// Sets the routers that share the limits. Unreachable routers must be included: otherwise each
     /// side of a network partition would use the whole limit.
     pub fn set_routers(&self, hosts: &[HostName]) {
-        let router_count = lock(&self.reach).set_known(hosts);
+        let router_count = lock(&self.router_reports).set_routers(hosts);
         lock(&self.sharing).router_count = router_count;
     }
 
@@ -98,7 +98,7 @@
     }
 
     /// Refunds a request that no server ran.
-    pub fn give_back(&self, team: &TeamName, prompt_tokens: u32) {
+    pub fn refund(&self, team: &TeamName, prompt_tokens: u32) {
         if let Some(state) = lock(self.shard(team)).get_mut(team) {
             state.refund(f64::from(prompt_tokens));
         }
@@ -107,13 +107,13 @@
     /// Ends a step of about one second: updates the shares and returns the report for the other
     /// routers.
     pub fn usage(&self, now: Instant) -> UsageReport {
-        let (reach, spread) = {
-            let mut reach = lock(&self.reach);
-            (reach.renew(&self.conf, now), Arc::new(reach.spread()))
+        let (view_digest, peer_demand) = {
+            let mut router_reports = lock(&self.router_reports);
+            (router_reports.refresh(&self.conf, now), Arc::new(router_reports.peer_demand()))
         };
-        let (router_count, elapsed) = self.begin_step(&spread, now);
+        let (router_count, elapsed) = self.begin_step(&peer_demand, now);
         let teams = self.teams_to_report(router_count, elapsed, now);
-        let step = ShareStep { spread, hold: self.conf.hold_among(router_count), now };
+        let step = ShareStep { peer_demand, hold: self.conf.hold_time(router_count), now };
         for shard in &self.shards {
             for (name, state) in lock(shard).iter_mut() {
                 self.update_share(&step, name, state, teams.get(name));
@@ -124,13 +124,13 @@
             requests_per_s: rate.requests,
             prompt_tokens_per_s: rate.tokens,
         };
-        UsageReport { reach, teams: teams.into_iter().map(usage).collect() }
+        UsageReport { view_digest, teams: teams.into_iter().map(usage).collect() }
     }
 
     /// Applies a report that another router sent at `sent`. The limit holds only if delivery time
     /// counts towards the age of the report.
     pub fn peer_usage(&self, host: &HostName, report: &UsageReport, sent: Instant) {
-        lock(&self.reach).hear(host, report, sent);
+        lock(&self.router_reports).apply_report(host, report, sent);
     }
 
     /// Number of teams with state.
@@ -149,7 +149,7 @@
         now: Instant,
     ) -> TeamRate {
         let equal_share =
-            TeamRate::fraction_of(limit, self.conf.part / sharing.router_count as f64);
+            TeamRate::fraction_of(limit, self.conf.limit_share / sharing.router_count as f64);
         let Some(last_step) = sharing.last_step else {
             return equal_share;
         };
@@ -159,8 +159,8 @@
         }
         match usage_rate {
             Some(rate) => rate,
-            None if sharing.spread.is_reported(team) => {
-                sharing.spread.rate(team, &self.group_limit(limit), TeamRate::default())
+            None if sharing.peer_demand.is_reported(team) => {
+                sharing.peer_demand.rate(team, &self.group_limit(limit), TeamRate::default())
             }
             None => equal_share,
         }
@@ -169,15 +169,15 @@
     /// Part of a limit that the routers exchanging reports share.
     fn group_limit(&self, limit: &TeamLimit) -> TeamLimit {
         TeamLimit {
-            requests_per_s: limit.requests_per_s * self.conf.part,
-            prompt_tokens_per_s: limit.prompt_tokens_per_s * self.conf.part,
+            requests_per_s: limit.requests_per_s * self.conf.limit_share,
+            prompt_tokens_per_s: limit.prompt_tokens_per_s * self.conf.limit_share,
         }
     }
 
-    fn begin_step(&self, spread: &Arc<UsageSpread>, now: Instant) -> (usize, Duration) {
+    fn begin_step(&self, peer_demand: &Arc<PeerDemand>, now: Instant) -> (usize, Duration) {
         let mut sharing = lock(&self.sharing);
         let previous = sharing.last_step.replace(now);
-        sharing.spread = Arc::clone(spread);
+        sharing.peer_demand = Arc::clone(peer_demand);
         (
             sharing.router_count,
             previous.map_or(Duration::ZERO, |at| now.saturating_duration_since(at)),
@@ -191,9 +191,9 @@
         elapsed: Duration,
         now: Instant,
     ) -> IndexMap<TeamName, ReportedRate> {
-        let min_load = REPORT_THRESHOLD * self.conf.part / router_count as f64;
+        let min_load = REPORT_THRESHOLD * self.conf.limit_share / router_count as f64;
         let idle = |state: &TeamState| {
-            now.saturating_duration_since(state.last_request) > self.conf.forget_after
+            now.saturating_duration_since(state.last_request) > self.conf.team_ttl
         };
         let mut candidates = Vec::new();
         for shard in &self.shards {
@@ -219,20 +219,20 @@
         state: &mut TeamState,
         reported: Option<&ReportedRate>,
     ) {
-        if reported.is_none() && !step.spread.is_reported(name) {
+        if reported.is_none() && !step.peer_demand.is_reported(name) {
             state.clear_usage_share();
             return;
         }
         let reported = reported.copied().map(ReportedRate::rate).unwrap_or_default();
         let own = state.record_report(reported, step.hold, step.now);
-        let rate = step.spread.rate(name, &self.group_limit(&state.limit), own);
+        let rate = step.peer_demand.rate(name, &self.group_limit(&state.limit), own);
         state.set_usage_share(rate);
         state.set_rate(rate, &self.conf, step.now);
     }
 
     /// Evicts the least recently active team of a full shard.
     fn evict_if_full(&self, teams: &mut IndexMap<TeamName, TeamState>) {
-        if teams.len() < self.conf.most_teams.div_ceil(SHARDS) {
+        if teams.len() < self.conf.max_teams.div_ceil(SHARDS) {
             return;
         }
         let oldest = teams.values().enumerate().min_by_key(|(_, state)| state.last_request);
@@ -249,7 +249,7 @@
 
 /// Inputs of a step.
 struct ShareStep {
-    spread: Arc<UsageSpread>,
+    peer_demand: Arc<PeerDemand>,
     hold: Duration,
     now: Instant,
 }
--- a/crates/admission/src/team_queue.rs
+++ b/crates/admission/src/team_queue.rs
@@ -33,13 +33,13 @@
     }
 
     /// Estimated waiting time of a new request; `None` without enough data.
-    pub(crate) fn wait_for(&self, cost: u64, now: Instant) -> Option<Duration> {
-        self.drain_rate.time_for(self.cost + cost, now)
+    pub(crate) fn estimated_wait(&self, cost: u64, now: Instant) -> Option<Duration> {
+        self.drain_rate.estimated_time(self.cost + cost, now)
     }
 
     /// Records that a request was sent.
     pub(crate) fn record_sent(&mut self, cost: u64, now: Instant) {
-        self.drain_rate.granted(cost, now);
+        self.drain_rate.record_grant(cost, now);
     }
 
     /// Discards the measured drain rate.
@@ -48,7 +48,7 @@
     }
 
     pub(crate) fn push(&mut self, entry: QueueEntry, now: Instant) {
-        self.drain_rate.begin(now);
+        self.drain_rate.record_start(now);
         self.cost += entry.cost;
         self.entries.push_back(entry);
     }
@@ -76,7 +76,7 @@
     fn record_removal(&mut self, entry: &QueueEntry) {
         self.cost -= entry.cost;
         if self.entries.is_empty() {
-            self.drain_rate.end();
+            self.drain_rate.record_end();
         }
     }
 }
--- a/crates/admission/src/team_state.rs
+++ b/crates/admission/src/team_state.rs
@@ -84,8 +84,8 @@
     pub(crate) fn admit(&mut self, prompt_tokens: f64, now: Instant) -> Result<(), LimitRefusal> {
         self.last_request = self.last_request.max(now);
         self.requested = self.requested.plus(TeamRate { requests: 1.0, tokens: prompt_tokens });
-        let has_request = self.requests.has(1.0, now);
-        let has_tokens = self.tokens.has(prompt_tokens, now);
+        let has_request = self.requests.can_take(1.0, now);
+        let has_tokens = self.tokens.can_take(prompt_tokens, now);
         if has_request && has_tokens {
             self.requests.take(1.0);
             self.tokens.take(prompt_tokens);
@@ -97,8 +97,8 @@
 
     /// Refunds a request that no server ran.
     pub(crate) fn refund(&mut self, prompt_tokens: f64) {
-        self.requests.put(1.0);
-        self.tokens.put(prompt_tokens);
+        self.requests.add(1.0);
+        self.tokens.add(prompt_tokens);
     }
 
     /// Ends a step and updates the moving average of the team's demand.
--- a/crates/admission/src/token_bucket.rs
+++ b/crates/admission/src/token_bucket.rs
@@ -32,7 +32,7 @@
     }
 
     /// Whether `cost` may be taken. Does not take it.
-    pub(crate) fn has(&mut self, cost: f64, now: Instant) -> bool {
+    pub(crate) fn can_take(&mut self, cost: f64, now: Instant) -> bool {
         self.refill(now);
         self.level >= cost.min(self.capacity)
     }
@@ -42,7 +42,7 @@
         self.level -= cost;
     }
 
-    pub(crate) fn put(&mut self, amount: f64) {
+    pub(crate) fn add(&mut self, amount: f64) {
         self.level = (self.level + amount).min(self.capacity);
     }
 
--- a/crates/admission/src/usage_report.rs
+++ b/crates/admission/src/usage_report.rs
@@ -7,7 +7,7 @@
 pub struct UsageReport {
     /// Digest of the routers that the sender knows and those that are reachable from it. Routers
     /// share limits only with routers that report the same digest.
-    pub reach: u64,
+    pub view_digest: u64,
     /// The teams with the highest demand at the sender relative to their limits.
     pub teams: Vec<TeamUsage>,
 }
--- a/crates/admission/tests/classes.rs
+++ b/crates/admission/tests/classes.rs
@@ -129,7 +129,7 @@
             "each class has its own budget"
         );
         while budget.try_retry(BATCH, now) == RetryGrant::Allowed {}
-        let RetryGrant::Spent { retry_after } = budget.try_retry(BATCH, now) else {
+        let RetryGrant::Exhausted { retry_after } = budget.try_retry(BATCH, now) else {
             panic!("retry allowed by an exhausted budget");
         };
         assert_eq!(budget.try_retry(BATCH, now + retry_after + ms(1)), RetryGrant::Allowed);
--- a/crates/admission/tests/suspect_book.rs
+++ b/crates/admission/tests/crash_detector.rs
@@ -2,12 +2,12 @@
 
 mod support;
 
+use fulmargate_admission::CrashDetector;
 use fulmargate_admission::CrashId;
 use fulmargate_admission::CrashProof;
 use fulmargate_admission::CrashSighting;
 use fulmargate_admission::Fingerprint;
 use fulmargate_admission::RunRefusal;
-use fulmargate_admission::SuspectBook;
 use fulmargate_admission::SuspectConf;
 use fulmargate_admission::SuspectRun;
 use fulmargate_admission::SuspectStanding;
@@ -184,65 +184,67 @@
 }
 
 async fn assert_standing(case: &StandingCase) {
-    let book = SuspectBook::new(SuspectConf::default());
+    let detector = CrashDetector::new(SuspectConf::default());
     let fingerprint = Fingerprint(7);
     let run = |server: &str, incarnation: &u64| {
         let incarnation = Incarnation(*incarnation);
-        book.begin(fingerprint, &ServerName::new(server), incarnation, Instant::now())
+        detector
+            .begin(fingerprint, &ServerName::new(server), incarnation, Instant::now())
             .expect("it may run")
     };
     for event in case.events {
         let now = Instant::now();
         match event {
-            ConnectionBroke(server, incarnation) => run(server, incarnation).broke(),
+            ConnectionBroke(server, incarnation) => run(server, incarnation).connection_broke(),
             CallerDisconnected(server, incarnation) => drop(run(server, incarnation)),
-            Completed(server, incarnation) => run(server, incarnation).ended_well(),
+            Completed(server, incarnation) => run(server, incarnation).complete(),
             Crashed(server, incarnation) => {
-                book.crashed(&ServerName::new(server), Incarnation(*incarnation), now);
+                detector.crashed(&ServerName::new(server), Incarnation(*incarnation), now);
             }
             Seen(server, incarnation) => {
-                book.seen(&ServerName::new(server), Incarnation(*incarnation), now);
+                detector.incarnation_seen(&ServerName::new(server), Incarnation(*incarnation), now);
             }
             Advance(millis) => advance(ms(*millis)).await,
             VerdictReceived(standing, crashes, cleared) => {
                 let verdict = verdict(fingerprint, *standing, crashes, cleared);
-                book.learn(&verdict, &HostName::new("entry-9"), now);
+                detector.merge_verdict(&verdict, &HostName::new("entry-9"), now);
             }
         }
         // As the control loop does.
-        book.news(Instant::now());
+        detector.take_changed_verdicts(Instant::now());
     }
-    assert_eq!(book.standing(fingerprint, Instant::now()), case.expected, "{}", case.name);
+    assert_eq!(detector.standing(fingerprint, Instant::now()), case.expected, "{}", case.name);
 }
 
 /// An innocent request that shared a server with two different crashing requests, one after the
 /// other, must be cleared once second crashes have convicted both of them.
 #[tokio::test(start_paused = true)]
 async fn innocent_request_beside_two_crashing_requests_is_cleared() {
-    let book = SuspectBook::new(SuspectConf::default());
+    let detector = CrashDetector::new(SuspectConf::default());
     let (innocent, first, second) = (Fingerprint(1), Fingerprint(2), Fingerprint(3));
     let run = |fingerprint, server: &str| {
         let server = ServerName::new(server);
-        book.begin(fingerprint, &server, Incarnation(1), Instant::now()).expect("it may run")
+        detector.begin(fingerprint, &server, Incarnation(1), Instant::now()).expect("it may run")
     };
     let crash = |server: &str, runs: Vec<SuspectRun>| {
-        runs.into_iter().for_each(SuspectRun::broke);
-        book.crashed(&ServerName::new(server), Incarnation(1), Instant::now());
+        runs.into_iter().for_each(SuspectRun::connection_broke);
+        detector.crashed(&ServerName::new(server), Incarnation(1), Instant::now());
+    };
+    let standings = || {
+        [innocent, first, second].map(|fingerprint| detector.standing(fingerprint, Instant::now()))
     };
-    let standings =
-        || [innocent, first, second].map(|fingerprint| book.standing(fingerprint, Instant::now()));
     crash("a", vec![run(innocent, "a"), run(first, "a")]);
     advance(ms(100)).await;
     crash("b", vec![run(innocent, "b"), run(second, "b")]);
     crash("c", vec![run(first, "c")]);
     advance(ms(600)).await;
-    book.news(Instant::now());
+    detector.take_changed_verdicts(Instant::now());
     assert_eq!(standings(), [Held, Convicted, Suspect]);
     crash("d", vec![run(second, "d")]);
     advance(ms(600)).await;
-    book.news(Instant::now());
+    detector.take_changed_verdicts(Instant::now());
     assert_eq!(standings(), [Suspect, Convicted, Convicted]);
-    run(innocent, "e").ended_well();
+    run(innocent, "e").complete();
     assert_eq!(standings(), [Innocent, Convicted, Convicted]);
 }
 
@@ -250,40 +252,43 @@
 /// concurrent crash is unexplained.
 #[tokio::test(start_paused = true)]
 async fn request_is_not_convicted_while_other_crashes_are_unexplained() {
-    let book = SuspectBook::new(SuspectConf::default());
+    let detector = CrashDetector::new(SuspectConf::default());
     let (innocent, other) = (Fingerprint(1), Fingerprint(2));
     let run = |fingerprint, server: &str| {
         let server = ServerName::new(server);
-        book.begin(fingerprint, &server, Incarnation(1), Instant::now()).expect("it may run")
+        detector.begin(fingerprint, &server, Incarnation(1), Instant::now()).expect("it may run")
     };
     for (fingerprint, server) in [(innocent, "a"), (other, "b"), (innocent, "c")] {
-        run(fingerprint, server).broke();
-        book.crashed(&ServerName::new(server), Incarnation(1), Instant::now());
+        run(fingerprint, server).connection_broke();
+        detector.crashed(&ServerName::new(server), Incarnation(1), Instant::now());
     }
     advance(ms(600)).await;
-    assert_eq!(book.standing(innocent, Instant::now()), Held);
-    run(other, "d").ended_well();
-    assert_eq!(book.standing(innocent, Instant::now()), Suspect);
+    assert_eq!(detector.standing(innocent, Instant::now()), Held);
+    run(other, "d").complete();
+    assert_eq!(detector.standing(innocent, Instant::now()), Suspect);
 }
 
 /// Two suspects with the same two crashes must not wait for each other forever.
 #[tokio::test(start_paused = true)]
 async fn one_of_two_suspects_of_the_same_crashes_runs_first() {
-    let book = SuspectBook::new(SuspectConf::default());
+    let detector = CrashDetector::new(SuspectConf::default());
     let from = HostName::new("entry-9");
     let (lower, higher) = (Fingerprint(1), Fingerprint(2));
     for fingerprint in [lower, higher] {
         let verdict_received =
             verdict(fingerprint, VerdictStanding::Suspect, &[("a", 1), ("b", 1)], &[]);
-        book.learn(&verdict_received, &from, Instant::now());
+        detector.merge_verdict(&verdict_received, &from, Instant::now());
     }
     advance(ms(600)).await;
     let standings =
-        || [lower, higher].map(|fingerprint| book.standing(fingerprint, Instant::now()));
+        || [lower, higher].map(|fingerprint| detector.standing(fingerprint, Instant::now()));
     assert_eq!(standings(), [Suspect, Held]);
     let server = ServerName::new("c");
-    book.begin(lower, &server, Incarnation(1), Instant::now()).expect("it may run").broke();
-    book.crashed(&server, Incarnation(1), Instant::now());
+    detector
+        .begin(lower, &server, Incarnation(1), Instant::now())
+        .expect("it may run")
+        .connection_broke();
+    detector.crashed(&server, Incarnation(1), Instant::now());
     advance(ms(600)).await;
     assert_eq!(standings(), [Convicted, Suspect]);
 }
@@ -292,14 +297,15 @@
 /// reported back, so that it isn't run on two servers at once.
 #[tokio::test(start_paused = true)]
 async fn in_flight_run_of_new_suspect_is_reported() {
-    let book = SuspectBook::new(SuspectConf::default());
+    let detector = CrashDetector::new(SuspectConf::default());
     let (fingerprint, server) = (Fingerprint(7), ServerName::new("b"));
-    let _run =
-        book.begin(fingerprint, &server, Incarnation(1), Instant::now()).expect("not a suspect");
-    assert!(book.news(Instant::now()).is_empty());
+    let _run = detector
+        .begin(fingerprint, &server, Incarnation(1), Instant::now())
+        .expect("not a suspect");
+    assert!(detector.take_changed_verdicts(Instant::now()).is_empty());
     let verdict_received = verdict(fingerprint, VerdictStanding::Suspect, &[("a", 1)], &[]);
-    book.learn(&verdict_received, &HostName::new("entry-9"), Instant::now());
-    let news = book.news(Instant::now());
+    detector.merge_verdict(&verdict_received, &HostName::new("entry-9"), Instant::now());
+    let news = detector.take_changed_verdicts(Instant::now());
     assert_eq!(news.first().and_then(|verdict| verdict.running_on.clone()), Some(server));
 }
 
@@ -307,14 +313,14 @@
 /// could crash two servers at once.
 #[tokio::test(start_paused = true)]
 async fn suspect_running_on_another_router_waits() {
-    let book = SuspectBook::new(SuspectConf::default());
+    let detector = CrashDetector::new(SuspectConf::default());
     let fingerprint = Fingerprint(7);
     let from = HostName::new("entry-9");
     let mut verdict_received = verdict(fingerprint, VerdictStanding::Suspect, &[("a", 1)], &[]);
     verdict_received.running_on = Some(ServerName::new("b"));
-    book.learn(&verdict_received, &from, Instant::now());
+    detector.merge_verdict(&verdict_received, &from, Instant::now());
     let begin = |number: u128, server: &str| {
-        let run = book.begin(
+        let run = detector.begin(
             Fingerprint(number),
             &ServerName::new(server),
             Incarnation(1),
@@ -324,29 +330,29 @@
     };
     assert_eq!(begin(7, "c"), Err(RunRefusal::Busy));
     assert_eq!(begin(8, "b"), Ok(()), "innocent requests run anywhere");
-    assert!(book.has_suspect(&ServerName::new("b"), Instant::now()));
+    assert!(detector.runs_suspect(&ServerName::new("b"), Instant::now()));
     verdict_received.running_on = None;
-    book.learn(&verdict_received, &from, Instant::now());
+    detector.merge_verdict(&verdict_received, &from, Instant::now());
     assert_eq!(begin(7, "c"), Ok(()));
 }
 
 /// The number of records is bounded. Convictions are evicted last, and older suspects first.
 #[tokio::test(start_paused = true)]
 async fn number_of_records_is_bounded() {
-    let conf = SuspectConf { most_records: 16, ..SuspectConf::default() };
-    let book = SuspectBook::new(conf);
+    let conf = SuspectConf { max_records: 16, ..SuspectConf::default() };
+    let detector = CrashDetector::new(conf);
     let from = HostName::new("entry-9");
     let guilty = verdict(Fingerprint(0), VerdictStanding::Convicted, &[("a", 1), ("b", 1)], &[]);
-    book.learn(&guilty, &from, Instant::now());
+    detector.merge_verdict(&guilty, &from, Instant::now());
     for number in 1..200 {
         advance(ms(1)).await;
         let verdict_received =
             verdict(Fingerprint(number), VerdictStanding::Suspect, &[("c", 1)], &[]);
-        book.learn(&verdict_received, &from, Instant::now());
+        detector.merge_verdict(&verdict_received, &from, Instant::now());
     }
-    assert_eq!(book.verdicts(Instant::now()).len(), 16);
-    assert_eq!(book.standing(Fingerprint(0), Instant::now()), Convicted);
-    assert_eq!(book.standing(Fingerprint(199), Instant::now()), Suspect);
+    assert_eq!(detector.verdicts(Instant::now()).len(), 16);
+    assert_eq!(detector.standing(Fingerprint(0), Instant::now()), Convicted);
+    assert_eq!(detector.standing(Fingerprint(199), Instant::now()), Suspect);
 }
 
 #[test]
@@ -377,7 +383,7 @@
     };
     let sighting = |crash| CrashSighting { crash, age: ms(20), proof: CrashProof::Confirmed };
     SuspectVerdict {
-        print: fingerprint,
+        fingerprint,
         standing,
         running_on: None,
         crashes: crashes.iter().map(crash).map(sighting).collect(),
--- a/crates/admission/tests/gate.rs
+++ b/crates/admission/tests/gate.rs
@@ -81,14 +81,14 @@
     }
     for index in case.order {
         drop(in_flight);
-        assert_eq!(gate.figures().under_way, 1, "{}: one request in flight at a time", case.name);
+        assert_eq!(gate.snapshot().in_flight, 1, "{}: one request in flight at a time", case.name);
         let waiter = waiters[*index].take().expect("each request is admitted once");
         in_flight = match waiter.wait().await {
             GateOutcome::Admitted(ticket) => ticket,
             other => panic!("{}: request {index} was not admitted next: {other:?}", case.name),
         };
     }
-    assert_eq!(gate.figures().waiting, 0, "{}", case.name);
+    assert_eq!(gate.snapshot().queued, 0, "{}", case.name);
 }
 
 /// A request must be refused as soon as its first token can't meet the deadline, and must not be
@@ -102,7 +102,7 @@
     assert_eq!(refused(waiter).await, ErrorKind::DeadlineUnmet);
     assert_eq!(start.elapsed(), ms(1_000));
     drop(in_flight);
-    assert_eq!(gate.figures().under_way, 0);
+    assert_eq!(gate.snapshot().in_flight, 0);
 }
 
 /// A slot that becomes free after a request has expired, but before its timer has fired, must go to
@@ -127,7 +127,7 @@
     let disconnected = queued(enter(&gate, "b", &class(URGENT, 1_000, 9), 1));
     let next = queued(enter(&gate, "b", &class(URGENT, 1_000, 9), 1));
     drop(disconnected);
-    assert_eq!(gate.figures().waiting, 1);
+    assert_eq!(gate.snapshot().queued, 1);
     drop(in_flight);
     assert!(matches!(next.wait().await, GateOutcome::Admitted(_)));
 }
@@ -141,10 +141,10 @@
     let disconnected = queued(enter(&gate, "b", &class(URGENT, 1_000, 9), 1));
     let next = queued(enter(&gate, "c", &class(URGENT, 1_000, 9), 1));
     drop(in_flight);
-    assert_eq!(gate.figures().waiting, 1);
+    assert_eq!(gate.snapshot().queued, 1);
     drop(disconnected);
     assert!(matches!(next.wait().await, GateOutcome::Admitted(_)));
-    assert_eq!(gate.figures().under_way, 0);
+    assert_eq!(gate.snapshot().in_flight, 0);
 }
 
 /// Closing a gate must move all queued requests to other servers at once and admit none.
@@ -187,7 +187,7 @@
     let other = queued(enter(&gate, "other", &class, 1));
     let newest = large_team.pop().expect("three requests are queued");
     assert_eq!(refused(newest).await, ErrorKind::QueueFull);
-    assert_eq!(gate.figures().waiting, 3);
+    assert_eq!(gate.snapshot().queued, 3);
     drop(in_flight);
     drop(large_team);
     assert!(matches!(other.wait().await, GateOutcome::Admitted(_)));
@@ -263,7 +263,7 @@
     gate.restart(Instant::now());
     let _new: Vec<_> = (0..2).map(|_| admitted(enter(&gate, "a", &class, 5))).collect();
     drop(old);
-    assert_eq!(gate.figures().under_way, 2);
+    assert_eq!(gate.snapshot().in_flight, 2);
     queued(enter(&gate, "a", &class, 5));
 }
 
--- a/crates/admission/tests/gate_limits.rs
+++ b/crates/admission/tests/gate_limits.rs
@@ -38,8 +38,8 @@
     let GateOutcome::Admitted(_small) = small.wait().await else {
         panic!("not admitted after the large prompt was prefilled");
     };
-    assert_eq!(gate.figures().under_way, 2);
-    assert_eq!(gate.figures().prefill_tokens, 10);
+    assert_eq!(gate.snapshot().in_flight, 2);
+    assert_eq!(gate.snapshot().prefill_tokens, 10);
 }
 
 /// When a large request that blocks the queue expires, smaller requests behind it must be admitted
@@ -52,14 +52,14 @@
     let small = queued(enter(&gate, "c", &class(URGENT, 5_000, 9), 50));
     let GateOutcome::Refused(refusal) = large.wait().await else { panic!("not refused") };
     assert_eq!(refusal.kind, ErrorKind::DeadlineUnmet);
-    assert_eq!(gate.figures().waiting, 0);
+    assert_eq!(gate.snapshot().queued, 0);
     assert!(matches!(small.wait().await, GateOutcome::Admitted(_)));
 }
 
 /// Non-urgent requests and each single team must leave a share of the limits free for others.
 #[tokio::test(start_paused = true)]
 async fn limits_reserve_share_for_other_requests() {
-    let conf = GateConf { first_requests: 10, ..GateConf::engine() };
+    let conf = GateConf { initial_requests: 10, ..GateConf::engine() };
     let gate = ServerGate::new(ServerName::new("engine-1"), conf);
     let (urgent, batch) = (class(URGENT, 1_000, 99), class(BATCH, 1_000, 99));
     let fill = |team: &str, class: &Arc<ClassConf>| {
@@ -125,7 +125,7 @@
 }
 
 async fn assert_limit_change(case: &LimitCase) {
-    let conf = GateConf { first_requests: 4, ..GateConf::engine() };
+    let conf = GateConf { initial_requests: 4, ..GateConf::engine() };
     let gate = ServerGate::new(ServerName::new("engine-1"), conf);
     let class = class(URGENT, 10_000, 99);
     for round in 0..8 {
@@ -144,5 +144,5 @@
         let report = EngineReport { prompt_tokens: 400, cached_tokens: 0, queue_tokens };
         ticket.first_token(&report, Instant::now());
     }
-    assert_eq!(gate.figures().requests_limit.cmp(&4), case.expected, "{}", case.name);
+    assert_eq!(gate.snapshot().requests_limit.cmp(&4), case.expected, "{}", case.name);
 }
--- a/crates/admission/tests/gate_properties.rs
+++ b/crates/admission/tests/gate_properties.rs
@@ -15,11 +15,11 @@
 use quickcheck::Gen;
 use quickcheck::QuickCheck;
 use support::BATCH;
-use support::Dice;
+use support::TestRng;
 use support::URGENT;
 use support::admitted;
 use support::class;
-use support::crash_world::paused;
+use support::crash_simulation::paused;
 use support::fixed_gate;
 use support::ms;
 use support::request;
@@ -67,7 +67,7 @@
         }
     }
 
-    async fn step(&mut self, rng: &mut Dice) {
+    async fn step(&mut self, rng: &mut TestRng) {
         let urgent_queued_before = self.waiting(URGENT);
         match rng.below(12) {
             0..5 => self.enter(rng),
@@ -83,7 +83,7 @@
         self.check(&urgent_queued_before);
     }
 
-    fn enter(&mut self, rng: &mut Dice) {
+    fn enter(&mut self, rng: &mut TestRng) {
         let team = ["large", "large", "large", "other", "third"][rng.below(5)];
         let class = &self.classes[rng.below(2)];
         let tokens = [0, 10, 300, 900, 5_000][rng.below(5)];
@@ -111,7 +111,7 @@
     }
 
     /// Completes a random in-flight request.
-    fn complete_random(&mut self, rng: &mut Dice) {
+    fn complete_random(&mut self, rng: &mut TestRng) {
         let in_flight: Vec<usize> =
             (0..self.requests.len()).filter(|index| self.requests[*index].is_in_flight()).collect();
         if !in_flight.is_empty() {
@@ -120,7 +120,7 @@
         }
     }
 
-    fn first_token(&mut self, rng: &mut Dice) {
+    fn first_token(&mut self, rng: &mut TestRng) {
         let in_flight: Vec<&TrackedRequest> =
             self.requests.iter().filter(|request| request.is_in_flight()).collect();
         if !in_flight.is_empty() {
@@ -132,7 +132,7 @@
         }
     }
 
-    fn disconnect_random(&mut self, rng: &mut Dice) {
+    fn disconnect_random(&mut self, rng: &mut TestRng) {
         let waiting: Vec<usize> =
             (0..self.requests.len()).filter(|index| self.requests[*index].is_waiting()).collect();
         if !waiting.is_empty() {
@@ -155,7 +155,7 @@
     }
 
     fn check(&mut self, urgent_queued_before: &[usize]) {
-        let figures = self.gate.figures();
+        let snapshot = self.gate.snapshot();
         let in_flight = self.requests.iter().filter(|request| request.is_in_flight()).count();
         let waiting = self.waiting(URGENT).len() + self.waiting(BATCH).len();
         let tokens: u32 = self.requests.iter().map(TrackedRequest::prefill_tokens).sum();
@@ -165,9 +165,9 @@
             urgent_queued_before.iter().any(|index| self.requests[*index].is_waiting());
         let batch_sent = self.requests.iter().any(TrackedRequest::is_newly_sent_batch);
         let checks = [
-            ("in-flight count equals tickets held", figures.under_way as usize == in_flight),
-            ("queue length equals callers waiting", figures.waiting == waiting),
-            ("request limit holds", figures.under_way <= REQUESTS_LIMIT),
+            ("in-flight count equals tickets held", snapshot.in_flight as usize == in_flight),
+            ("queue length equals callers waiting", snapshot.queued == waiting),
+            ("request limit holds", snapshot.in_flight <= REQUESTS_LIMIT),
             (
                 "token limit holds, except for a single large request",
                 tokens <= TOKENS_LIMIT || at_most_one_in_prefill,
@@ -249,7 +249,7 @@
     fn check(seed: u64) -> Result<(), String> {
         paused(async move {
             let mut simulation = GateSimulation::new();
-            let mut rng = Dice(seed);
+            let mut rng = TestRng(seed);
             for _ in 0..400 {
                 simulation.step(&mut rng).await;
             }
@@ -285,7 +285,7 @@
         paused(async move {
             let gate = fixed_gate(1, 10_000);
             let class = class(BATCH, 3_600_000, 10_000);
-            let mut rng = Dice(seed);
+            let mut rng = TestRng(seed);
             let mut in_flight = admitted(gate.enter(&request("z", &class, 1), Instant::now()));
             let (sender, mut decisions) = tokio::sync::mpsc::unbounded_channel();
             for _ in 0..200 {
@@ -334,7 +334,7 @@
                 let class = class(URGENT, 600_000, 100);
                 let mut builder = tokio::runtime::Builder::new_current_thread();
                 let runtime = builder.enable_time().build().expect("a runtime");
-                let mut rng = Dice(thread);
+                let mut rng = TestRng(thread);
                 for _ in 0..3_000 {
                     let entry = gate.enter(&request("a", &class, 1), Instant::now());
                     let outcome = match entry {
@@ -358,6 +358,6 @@
         }
     });
     assert!(max_running.into_inner() <= REQUESTS_LIMIT);
-    assert_eq!(gate.figures().under_way, 0);
-    assert_eq!(gate.figures().waiting, 0);
+    assert_eq!(gate.snapshot().in_flight, 0);
+    assert_eq!(gate.snapshot().queued, 0);
 }
--- a/crates/admission/tests/health.rs
+++ b/crates/admission/tests/health.rs
@@ -4,14 +4,14 @@
 
 use std::sync::Arc;
 
+use fulmargate_admission::ConfiguredServer;
 use fulmargate_admission::DrainState;
-use fulmargate_admission::HealthBook;
 use fulmargate_admission::HealthChange;
 use fulmargate_admission::HealthConf;
-use fulmargate_admission::HealthNews;
+use fulmargate_admission::HealthEvent;
+use fulmargate_admission::HealthRegistry;
+use fulmargate_admission::ServerAvailability;
 use fulmargate_admission::ServerResult;
-use fulmargate_admission::ServerSpot;
-use fulmargate_admission::ServerUse;
 use fulmargate_names::Incarnation;
 use fulmargate_names::ServerName;
 use fulmargate_names::ZoneName;
@@ -33,7 +33,7 @@
 struct HealthCase {
     name: &'static str,
     events: &'static [Event],
-    news: &'static [(&'static str, HealthChange)],
+    changes: &'static [(&'static str, HealthChange)],
     /// Final state of server `a`.
     final_state: FinalState,
 }
@@ -79,19 +79,19 @@
             Results("a", 1, Answered, 1),
             Results("a", 1, Failed, 3),
         ],
-        news: &[],
+        changes: &[],
         final_state: FinalState::Open,
     },
     HealthCase {
         name: "failures in a row",
         events: &[Results("a", 1, TimedOut, 4), NoTrialDue],
-        news: &[("a", Ejected)],
+        changes: &[("a", Ejected)],
         final_state: FinalState::Ejected,
     },
     HealthCase {
         name: "a closed port counts twice",
         events: &[Results("a", 1, Closed, 2)],
-        news: &[("a", Ejected)],
+        changes: &[("a", Ejected)],
         final_state: FinalState::Ejected,
     },
     HealthCase {
@@ -103,7 +103,7 @@
             Results("a", 1, Answered, 1),
             Results("a", 1, Failed, 3),
         ],
-        news: &[("a", Ejected)],
+        changes: &[("a", Ejected)],
         final_state: FinalState::Ejected,
     },
     HealthCase {
@@ -116,7 +116,7 @@
             Advance(250),
             Trial(Answered),
         ],
-        news: &[("a", Ejected), ("a", Restored)],
+        changes: &[("a", Ejected), ("a", Restored)],
         final_state: FinalState::Warming,
     },
     HealthCase {
@@ -130,37 +130,37 @@
             Advance(100),
             Trial(Answered),
         ],
-        news: &[("a", Ejected)],
+        changes: &[("a", Ejected)],
         final_state: FinalState::Trial,
     },
     HealthCase {
         name: "late answers to earlier requests don't end an ejection",
         events: &[Results("a", 1, Broken, 4), Results("a", 1, Answered, 9)],
-        news: &[("a", Ejected)],
+        changes: &[("a", Ejected)],
         final_state: FinalState::Ejected,
     },
     HealthCase {
         name: "late failures of earlier requests don't prolong an ejection",
         events: &[Results("a", 1, Broken, 16), Advance(1_000), Trial(Answered)],
-        news: &[("a", Ejected)],
+        changes: &[("a", Ejected)],
         final_state: FinalState::Trial,
     },
     HealthCase {
         name: "a new incarnation is used at once and warms up",
         events: &[Seen("a", 1), Results("a", 1, Broken, 4), Seen("a", 2)],
-        news: &[("a", Ejected), ("a", Restarted)],
+        changes: &[("a", Ejected), ("a", Restarted)],
         final_state: FinalState::Warming,
     },
     HealthCase {
         name: "late failures of the previous incarnation are ignored",
         events: &[Seen("a", 1), Seen("a", 2), Results("a", 1, Broken, 9), Advance(5_000)],
-        news: &[("a", Restarted)],
+        changes: &[("a", Restarted)],
         final_state: FinalState::Open,
     },
     HealthCase {
         name: "a late report of an earlier incarnation is ignored",
         events: &[Seen("a", 2), Seen("a", 1)],
-        news: &[],
+        changes: &[],
         final_state: FinalState::Open,
     },
     HealthCase {
@@ -170,7 +170,7 @@
             Results("c", 1, Closed, 9),
             Results("a", 1, Closed, 9),
         ],
-        news: &[("b", Ejected), ("c", Ejected), ("a", KeptByFloor)],
+        changes: &[("b", Ejected), ("c", Ejected), ("a", KeptByFloor)],
         final_state: FinalState::LastResort,
     },
     HealthCase {
@@ -181,7 +181,7 @@
             Results("a", 1, Closed, 2),
             Results("a", 1, Answered, 3),
         ],
-        news: &[("b", Ejected), ("c", Ejected), ("a", KeptByFloor), ("a", Restored)],
+        changes: &[("b", Ejected), ("c", Ejected), ("a", KeptByFloor), ("a", Restored)],
         final_state: FinalState::Open,
     },
     HealthCase {
@@ -192,13 +192,19 @@
             AnnouncedLeaving("d", 1),
             AnnouncedLeaving("b", 1),
         ],
-        news: &[("a", Ejected), ("c", Leaving), ("d", Leaving), ("b", Leaving), ("a", KeptByFloor)],
+        changes: &[
+            ("a", Ejected),
+            ("c", Leaving),
+            ("d", Leaving),
+            ("b", Leaving),
+            ("a", KeptByFloor),
+        ],
         final_state: FinalState::LastResort,
     },
     HealthCase {
         name: "an ejected server is used again when the others are drained",
         events: &[Results("a", 1, Closed, 9), Drained("b"), Drained("c"), Drained("d")],
-        news: &[("a", Ejected), ("a", KeptByFloor)],
+        changes: &[("a", Ejected), ("a", KeptByFloor)],
         final_state: FinalState::LastResort,
     },
     HealthCase {
@@ -211,25 +217,25 @@
             Reconfigured,
             Seen("a", 7),
         ],
-        news: &[("a", Leaving)],
+        changes: &[("a", Leaving)],
         final_state: FinalState::Leaving,
     },
     HealthCase {
         name: "leaving is announced before the server is seen",
         events: &[AnnouncedLeaving("a", 7), Seen("a", 7)],
-        news: &[("a", Leaving)],
+        changes: &[("a", Leaving)],
         final_state: FinalState::Leaving,
     },
     HealthCase {
         name: "a later incarnation is not leaving",
         events: &[Seen("a", 7), AnnouncedLeaving("a", 7), Seen("a", 8), AnnouncedLeaving("a", 7)],
-        news: &[("a", Leaving), ("a", Restarted)],
+        changes: &[("a", Leaving), ("a", Restarted)],
         final_state: FinalState::Warming,
     },
     HealthCase {
         name: "a late announcement for an earlier incarnation is ignored",
         events: &[Seen("a", 8), AnnouncedLeaving("a", 7)],
-        news: &[],
+        changes: &[],
         final_state: FinalState::Open,
     },
 ];
@@ -242,53 +248,67 @@
 }
 
 fn assert_case(case: &HealthCase) {
-    let book = HealthBook::new(HealthConf::default());
+    let registry = HealthRegistry::new(HealthConf::default());
     let mut now = Instant::now();
-    let mut spots: Vec<ServerSpot> = ["a", "b", "c", "d"].map(spot).to_vec();
-    let mut news = book.set_servers(&spots, now);
+    let mut configured_servers: Vec<ConfiguredServer> =
+        ["a", "b", "c", "d"].map(configured).to_vec();
+    let mut reported = registry.set_servers(&configured_servers, now);
     for event in case.events {
         match event {
             Results(server, incarnation, result, count) => {
                 for _ in 0..*count {
                     let incarnation = Some(Incarnation(*incarnation));
-                    news.extend(book.note(&ServerName::new(server), incarnation, *result, now));
+                    reported.extend(registry.record_result(
+                        &ServerName::new(server),
+                        incarnation,
+                        *result,
+                        now,
+                    ));
                 }
             }
             Seen(server, incarnation) => {
-                news.extend(book.seen(&ServerName::new(server), Incarnation(*incarnation), now));
+                reported.extend(registry.incarnation_seen(
+                    &ServerName::new(server),
+                    Incarnation(*incarnation),
+                    now,
+                ));
             }
             AnnouncedLeaving(server, incarnation) => {
-                news.extend(book.leaving(&ServerName::new(server), Incarnation(*incarnation)));
+                reported.extend(
+                    registry.mark_leaving(&ServerName::new(server), Incarnation(*incarnation)),
+                );
             }
             Advance(millis) => now += ms(*millis),
             Trial(result) => {
-                assert_eq!(book.trial_due(now), [ServerName::new("a")], "{}", case.name);
-                news.extend(book.note(&ServerName::new("a"), None, *result, now));
+                assert_eq!(registry.trial_due(now), [ServerName::new("a")], "{}", case.name);
+                reported.extend(registry.record_result(&ServerName::new("a"), None, *result, now));
             }
-            NoTrialDue => assert!(book.trial_due(now).is_empty(), "{}", case.name),
+            NoTrialDue => assert!(registry.trial_due(now).is_empty(), "{}", case.name),
             Reconfigured => {
-                news.extend(book.set_servers(&spots[1..], now));
-                news.extend(book.set_servers(&spots, now));
+                reported.extend(registry.set_servers(&configured_servers[1..], now));
+                reported.extend(registry.set_servers(&configured_servers, now));
             }
             Drained(server) => {
-                let found = spots.iter_mut().find(|spot| spot.server.as_str() == *server);
+                let found = configured_servers
+                    .iter_mut()
+                    .find(|configured| configured.server.as_str() == *server);
                 found.expect("a configured server").drain = DrainState::Drained;
-                news.extend(book.set_servers(&spots, now));
+                reported.extend(registry.set_servers(&configured_servers, now));
             }
         }
     }
-    let expected: Vec<HealthNews> = case.news.iter().map(news_of).collect();
-    assert_eq!(news, expected, "{}", case.name);
+    let expected: Vec<HealthEvent> = case.changes.iter().map(event_of).collect();
+    assert_eq!(reported, expected, "{}", case.name);
     assert_eq!(
-        final_state(book.in_use(&ServerName::new("a"), now)),
+        final_state(registry.availability(&ServerName::new("a"), now)),
         case.final_state,
         "{}",
         case.name
     );
 }
 
-fn spot(name: &str) -> ServerSpot {
-    ServerSpot {
+fn configured(name: &str) -> ConfiguredServer {
+    ConfiguredServer {
         server: ServerName::new(name),
         zone: ZoneName::new("brescia-est"),
         pool: Arc::from("describer"),
@@ -296,49 +316,53 @@
     }
 }
 
-fn news_of((server, change): &(&str, HealthChange)) -> HealthNews {
-    HealthNews { server: ServerName::new(server), change: *change }
+fn event_of((server, change): &(&str, HealthChange)) -> HealthEvent {
+    HealthEvent { server: ServerName::new(server), change: *change }
 }
 
-fn final_state(in_use: ServerUse) -> FinalState {
-    match in_use {
-        ServerUse::Open => FinalState::Open,
-        ServerUse::Warming { .. } => FinalState::Warming,
-        ServerUse::LastResort => FinalState::LastResort,
-        ServerUse::Trial => FinalState::Trial,
-        ServerUse::Ejected => FinalState::Ejected,
-        ServerUse::Leaving => FinalState::Leaving,
-        ServerUse::Drained => panic!("not drained"),
+fn final_state(availability: ServerAvailability) -> FinalState {
+    match availability {
+        ServerAvailability::Open => FinalState::Open,
+        ServerAvailability::Warming { .. } => FinalState::Warming,
+        ServerAvailability::LastResort => FinalState::LastResort,
+        ServerAvailability::Trial => FinalState::Trial,
+        ServerAvailability::Ejected => FinalState::Ejected,
+        ServerAvailability::Leaving => FinalState::Leaving,
+        ServerAvailability::Drained => panic!("not drained"),
     }
 }
 
 #[test]
 fn warm_up_is_linear() {
-    let book = HealthBook::new(HealthConf::default());
+    let registry = HealthRegistry::new(HealthConf::default());
     let now = Instant::now();
-    book.set_servers(&[spot("a")], now);
+    registry.set_servers(&[configured("a")], now);
     let name = ServerName::new("a");
-    book.seen(&name, Incarnation(1), now);
-    assert_eq!(book.in_use(&name, now), ServerUse::Open, "no warm-up at the first sighting");
-    book.seen(&name, Incarnation(2), now);
-    let share = |millis| match book.in_use(&name, now + ms(millis)) {
-        ServerUse::Warming { share } => (share * 100.0).round(),
+    registry.incarnation_seen(&name, Incarnation(1), now);
+    assert_eq!(
+        registry.availability(&name, now),
+        ServerAvailability::Open,
+        "no warm-up at the first sighting"
+    );
+    registry.incarnation_seen(&name, Incarnation(2), now);
+    let share = |millis| match registry.availability(&name, now + ms(millis)) {
+        ServerAvailability::Warming { share } => (share * 100.0).round(),
         other => panic!("not warming: {other:?}"),
     };
     assert_eq!([share(0), share(2_500), share(4_999)], [10.0, 55.0, 100.0]);
-    assert_eq!(book.in_use(&name, now + ms(5_000)), ServerUse::Open);
+    assert_eq!(registry.availability(&name, now + ms(5_000)), ServerAvailability::Open);
 }
 
 /// The minimum share applies to each pool: the only server of a pool stays in use even if other
 /// pools of the zone are healthy.
 #[test]
 fn only_server_of_a_pool_is_not_ejected() {
-    let book = HealthBook::new(HealthConf::default());
+    let registry = HealthRegistry::new(HealthConf::default());
     let now = Instant::now();
-    let checkout = ServerSpot { pool: Arc::from("checkout"), ..spot("checkout-1") };
-    book.set_servers(&[spot("a"), spot("b"), checkout], now);
+    let checkout = ConfiguredServer { pool: Arc::from("checkout"), ..configured("checkout-1") };
+    registry.set_servers(&[configured("a"), configured("b"), checkout], now);
     for _ in 0..50 {
-        book.note(&ServerName::new("checkout-1"), None, Closed, now);
+        registry.record_result(&ServerName::new("checkout-1"), None, Closed, now);
     }
-    assert!(book.in_use(&ServerName::new("checkout-1"), now).takes_new());
+    assert!(registry.availability(&ServerName::new("checkout-1"), now).accepts_requests());
 }
--- a/crates/admission/tests/limits.rs
+++ b/crates/admission/tests/limits.rs
@@ -9,7 +9,7 @@
 use fulmargate_names::TeamName;
 use quickcheck::Gen;
 use quickcheck::QuickCheck;
-use support::Dice;
+use support::TestRng;
 use support::limit_simulation::LIMIT;
 use support::limit_simulation::LimitSimulation;
 use support::limit_simulation::PROMPT;
@@ -196,7 +196,7 @@
 fn partitions_with_moving_traffic_keep_excess_bounded() {
     fn check(seed: u64) -> bool {
         let routers = 6;
-        let mut dice = Dice(seed);
+        let mut dice = TestRng(seed);
         let mut simulation = LimitSimulation::new(routers, BY_REQUESTS, seed);
         for _ in 0..6 {
             simulation.partition(dice.below(routers));
@@ -220,7 +220,7 @@
 fn flapping_one_way_links_keep_excess_bounded() {
     fn check(seed: u64) -> bool {
         let routers = 6;
-        let mut dice = Dice(seed);
+        let mut dice = TestRng(seed);
         let mut simulation = LimitSimulation::new(routers, BY_REQUESTS, seed);
         for _ in 0..40 {
             let (to, from) = (dice.below(routers), dice.below(routers));
@@ -237,7 +237,7 @@
         .quickcheck(check as fn(_) -> _);
 }
 
-fn randomize_demand(simulation: &mut LimitSimulation, dice: &mut Dice) {
+fn randomize_demand(simulation: &mut LimitSimulation, dice: &mut TestRng) {
     for demand in &mut simulation.demand {
         *demand = [0.0, 0.0, 5.0, 40.0, 400.0][dice.below(5)];
     }
@@ -329,7 +329,7 @@
 
 #[test]
 fn busy_team_does_not_affect_others_and_idle_teams_are_removed() {
-    let conf = LimiterConf { most_teams: 64, ..LimiterConf::default() };
+    let conf = LimiterConf { max_teams: 64, ..LimiterConf::default() };
     let limiter = TeamLimiter::new(HostName::new("entry-0"), conf);
     let limit = TeamLimit { requests_per_s: 1.0, prompt_tokens_per_s: f64::INFINITY };
     let start = Instant::now();
@@ -368,6 +368,6 @@
     let (team, now) = (TeamName::new("museum"), Instant::now());
     for _ in 0..10 {
         assert!(limiter.admit(&team, &limit, 20, now).is_ok());
-        limiter.give_back(&team, 20);
+        limiter.refund(&team, 20);
     }
 }
--- a/crates/admission/tests/quotas.rs
+++ b/crates/admission/tests/quotas.rs
@@ -12,7 +12,7 @@
 use fulmargate_names::TeamName;
 use quickcheck::Gen;
 use quickcheck::QuickCheck;
-use support::Dice;
+use support::TestRng;
 use support::quota_simulation::QuotaSimulation;
 use support::quota_simulation::ZONES;
 use support::quota_simulation::conf;
@@ -282,7 +282,7 @@
 
 /// Runs a random schedule of partitions, restarts, pauses, lost relays, demand and quota changes.
 fn schedule_keeps_quota(seed: u64) -> bool {
-    let mut dice = Dice(seed);
+    let mut dice = TestRng(seed);
     let routers = [3, 8, 24, 66][dice.below(4)];
     let rate = [29_000.0, 120_000.0, 400_000.0, 1_000_000.0][dice.below(4)];
     let mut simulation = QuotaSimulation::new(routers, Some(quota(rate, rate)), seed);
--- a/crates/admission/tests/support/crash_world.rs
+++ b/crates/admission/tests/support/crash_simulation.rs
@@ -2,9 +2,9 @@
 
 use std::sync::Arc;
 
+use fulmargate_admission::CrashDetector;
 use fulmargate_admission::Fingerprint;
 use fulmargate_admission::RunFit;
-use fulmargate_admission::SuspectBook;
 use fulmargate_admission::SuspectConf;
 use fulmargate_admission::SuspectRun;
 use fulmargate_names::HostName;
@@ -13,7 +13,7 @@
 use tokio::time::Instant;
 use tokio::time::advance;
 
-use super::Dice;
+use super::TestRng;
 use super::ms;
 
 /// Duration of a step. Verdicts of one step reach the other routers before the next.
@@ -24,7 +24,7 @@
 
 /// Routers, servers and requests, simulated in steps.
 pub(crate) struct CrashSimulation {
-    books: Vec<Arc<SuspectBook>>,
+    detectors: Vec<Arc<CrashDetector>>,
     hosts: Vec<HostName>,
     incarnations: Vec<u64>,
     pub(crate) calls: Vec<Call>,
@@ -58,14 +58,14 @@
         let hosts: Vec<HostName> =
             (0..routers).map(|index| HostName::new(&format!("entry-{index}"))).collect();
         let mut simulation = CrashSimulation {
-            books: Vec::new(),
+            detectors: Vec::new(),
             hosts,
             incarnations: vec![1; servers],
             calls: Vec::new(),
         };
         for router in 0..routers {
-            let book = simulation.new_book(router);
-            simulation.books.push(book);
+            let detector = simulation.new_detector(router);
+            simulation.detectors.push(detector);
         }
         simulation
     }
@@ -78,27 +78,27 @@
     }
 
     /// Sends up to four harmless requests to random routers.
-    pub(crate) fn send_harmless(&mut self, rng: &mut Dice) {
+    pub(crate) fn send_harmless(&mut self, rng: &mut TestRng) {
         for _ in 0..rng.below(5) {
-            let router = rng.below(self.books.len());
+            let router = rng.below(self.detectors.len());
             self.send(self.calls.len() as u128, RequestKind::Harmless, router);
         }
     }
 
     /// Restarts a router with the verdicts of its neighbour. Its callers retry on that neighbour.
     pub(crate) fn restart_router(&mut self, router: usize) {
-        let next = (router + 1) % self.books.len();
+        let next = (router + 1) % self.detectors.len();
         for call in self.calls.iter_mut().filter(|call| call.router == router) {
             call.router = next;
             if matches!(call.state, CallState::Running { .. }) {
                 call.state = CallState::Waiting;
             }
         }
-        let book = self.new_book(router);
-        for verdict in self.books[next].verdicts(Instant::now()) {
-            book.learn(&verdict, &self.hosts[next], Instant::now());
+        let detector = self.new_detector(router);
+        for verdict in self.detectors[next].verdicts(Instant::now()) {
+            detector.merge_verdict(&verdict, &self.hosts[next], Instant::now());
         }
-        self.books[router] = book;
+        self.detectors[router] = detector;
     }
 
     /// Crashes a server.
@@ -111,14 +111,14 @@
             let state = std::mem::replace(&mut call.state, CallState::Waiting);
             match state {
                 CallState::Running { server: at, run, .. } if at == server => {
-                    run.broke();
+                    run.connection_broke();
                     routers_to_notify.push(call.router);
                 }
                 other => call.state = other,
             }
         }
         for router in routers_to_notify {
-            self.books[router].crashed(&name, incarnation, Instant::now());
+            self.detectors[router].crashed(&name, incarnation, Instant::now());
         }
     }
 
@@ -133,10 +133,10 @@
         advance(ms(STEP_MS)).await;
     }
 
-    fn new_book(&self, router: usize) -> Arc<SuspectBook> {
-        let book = SuspectBook::new(SuspectConf::default());
-        book.set_routers(&self.hosts[router], &self.hosts);
-        book
+    fn new_detector(&self, router: usize) -> Arc<CrashDetector> {
+        let detector = CrashDetector::new(SuspectConf::default());
+        detector.set_routers(&self.hosts[router], &self.hosts);
+        detector
     }
 
     /// Starts a waiting call on the best suitable server, as the router does.
@@ -146,11 +146,11 @@
         if !matches!(call.state, CallState::Waiting) {
             return;
         }
-        let book = &self.books[call.router];
+        let detector = &self.detectors[call.router];
         let servers = self.incarnations.len();
         let first = (call.fingerprint.0 as usize).wrapping_mul(7) % servers;
         let order: Vec<usize> = (0..servers).map(|offset| (first + offset) % servers).collect();
-        let fit = |server: &&usize| book.may_run_on(call.fingerprint, &server_name(**server), now);
+        let fit = |server: &&usize| detector.run_fit(call.fingerprint, &server_name(**server), now);
         let best = |wanted: RunFit| order.iter().find(|server| fit(server) == wanted).copied();
         if fit(&&order[0]) == RunFit::Never {
             call.state = CallState::Refused;
@@ -162,7 +162,7 @@
             return;
         };
         let incarnation = Incarnation(self.incarnations[server]);
-        if let Ok(run) = book.begin(call.fingerprint, &server_name(server), incarnation, now) {
+        if let Ok(run) = detector.begin(call.fingerprint, &server_name(server), incarnation, now) {
             call.state = CallState::Running { server, steps: 0, run };
         }
     }
@@ -182,16 +182,16 @@
             && let CallState::Running { run, .. } =
                 std::mem::replace(&mut call.state, CallState::Done)
         {
-            run.ended_well();
+            run.complete();
         }
     }
 
     fn exchange_verdicts(&self) {
         let now = Instant::now();
-        for (from, book) in self.books.iter().enumerate() {
-            for verdict in book.news(now) {
-                let others = self.books.iter().enumerate().filter(|(to, _)| *to != from);
-                others.for_each(|(_, other)| other.learn(&verdict, &self.hosts[from], now));
+        for (from, detector) in self.detectors.iter().enumerate() {
+            for verdict in detector.take_changed_verdicts(now) {
+                let others = self.detectors.iter().enumerate().filter(|(to, _)| *to != from);
+                others.for_each(|(_, other)| other.merge_verdict(&verdict, &self.hosts[from], now));
             }
         }
     }
@@ -245,7 +245,7 @@
     servers: usize,
 ) -> CrashSimulation {
     let mut simulation = CrashSimulation::new(routers, servers);
-    let mut rng = Dice(seed);
+    let mut rng = TestRng(seed);
     let first: Vec<usize> = (0..crashing).map(|_| rng.below(40)).collect();
     for step in 0..500 {
         if step < 100 {
@@ -269,7 +269,7 @@
 /// Simulates harmless requests and servers that crash by themselves at random steps of a span.
 pub(crate) async fn random_failures(seed: u64, failing: usize, span: usize) -> CrashSimulation {
     let mut simulation = CrashSimulation::new(6, 12);
-    let mut rng = Dice(seed);
+    let mut rng = TestRng(seed);
     let failures: Vec<(usize, usize)> =
         (0..failing).map(|_| (20 + rng.below(span), rng.below(12))).collect();
     for step in 0..300 {
--- a/crates/admission/tests/support/limit_simulation.rs
+++ b/crates/admission/tests/support/limit_simulation.rs
@@ -10,7 +10,7 @@
 use fulmargate_names::TeamName;
 use tokio::time::Instant;
 
-use super::Dice;
+use super::TestRng;
 use super::ms;
 
 /// Duration of a simulation step.
@@ -33,7 +33,7 @@
     limit: TeamLimit,
     now: Instant,
     step: usize,
-    dice: Dice,
+    dice: TestRng,
     in_flight: Vec<Message>,
     /// Requests per second that the team sends to each router.
     pub(crate) demand: Vec<f64>,
@@ -75,7 +75,7 @@
             limit,
             now: Instant::now(),
             step: 0,
-            dice: Dice(seed),
+            dice: TestRng(seed),
             in_flight: Vec::new(),
             demand: vec![0.0; routers],
             links: vec![vec![true; routers]; routers],
--- a/crates/admission/tests/support/mod.rs
+++ b/crates/admission/tests/support/mod.rs
@@ -1,7 +1,7 @@
 //! Fixtures shared by this crate's tests.
 #![allow(dead_code, reason = "each test binary uses only some of the fixtures")]
 
-pub(crate) mod crash_world;
+pub(crate) mod crash_simulation;
 pub(crate) mod limit_simulation;
 pub(crate) mod quota_simulation;
 
@@ -42,13 +42,13 @@
 /// A gate with fixed limits.
 pub(crate) fn fixed_gate(requests: u32, tokens: u32) -> Arc<ServerGate> {
     let conf = GateConf {
-        first_requests: requests,
-        least_requests: requests,
-        most_requests: requests,
-        first_tokens: tokens,
-        least_tokens: tokens,
-        most_tokens: tokens,
-        lesser_share: 1.0,
+        initial_requests: requests,
+        min_requests: requests,
+        max_requests: requests,
+        initial_tokens: tokens,
+        min_tokens: tokens,
+        max_tokens: tokens,
+        non_urgent_share: 1.0,
         team_share: 1.0,
         ..GateConf::engine()
     };
@@ -70,9 +70,9 @@
 }
 
 /// Deterministic pseudorandom number generator.
-pub(crate) struct Dice(pub(crate) u64);
+pub(crate) struct TestRng(pub(crate) u64);
 
-impl Dice {
+impl TestRng {
     pub(crate) fn below(&mut self, bound: usize) -> usize {
         let product = self.0.wrapping_mul(6_364_136_223_846_793_005);
         self.0 = product.wrapping_add(1_442_695_040_888_963_407);
--- a/crates/admission/tests/support/quota_simulation.rs
+++ b/crates/admission/tests/support/quota_simulation.rs
@@ -16,7 +16,7 @@
 use fulmargate_names::ZoneName;
 use tokio::time::Instant;
 
-use super::Dice;
+use super::TestRng;
 use super::ms;
 
 const STEP_MS: u64 = 10;
@@ -70,7 +70,7 @@
     team: TeamName,
     now: Instant,
     step: usize,
-    dice: Dice,
+    dice: TestRng,
     in_flight: Vec<Vec<Message>>,
     /// Current quota of each router.
     quotas: Vec<Option<TeamQuota>>,
@@ -128,7 +128,7 @@
             team: TeamName::new("museum"),
             now: Instant::now(),
             step: 0,
-            dice: Dice(seed),
+            dice: TestRng(seed),
             in_flight: Vec::new(),
             quotas: vec![quota; routers],
             changes: Vec::new(),
@@ -375,7 +375,7 @@
         last.iter().sum::<u64>() as f64 / seconds as f64
     }
 
-    pub(crate) fn dice(&mut self) -> &mut Dice {
+    pub(crate) fn dice(&mut self) -> &mut TestRng {
         &mut self.dice
     }
 }
--- a/crates/admission/tests/suspects.rs
+++ b/crates/admission/tests/suspects.rs
@@ -4,11 +4,11 @@
 
 use quickcheck::Gen;
 use quickcheck::QuickCheck;
-use support::crash_world::CrashSimulation;
-use support::crash_world::RequestKind;
-use support::crash_world::crashing_number;
-use support::crash_world::paused;
-use support::crash_world::random_history;
+use support::crash_simulation::CrashSimulation;
+use support::crash_simulation::RequestKind;
+use support::crash_simulation::crashing_number;
+use support::crash_simulation::paused;
+use support::crash_simulation::random_history;
 
 /// A schedule of crashing requests, router restarts and server failures beside harmless requests.
 struct ScheduleCase {
--- a/crates/entry/src/traffic/quota_charge.rs
+++ b/crates/entry/src/traffic/quota_charge.rs
@@ -45,7 +45,7 @@
                 let detail = format!(
                     "team {name} has {:.0} left of {} and {} a second, the request costs {cost}; \
                      newest report {} ms old",
-                    rejection.left,
+                    rejection.available,
                     quota.burst,
                     quota.rate_per_s,
                     rejection.report_age.map_or(-1, |age| age.as_millis() as i64),
@@ -59,7 +59,7 @@
     /// Records that the request is sent. Every send after the first is charged as well.
     pub(crate) fn record_send(&mut self) {
         if 0 < self.possible_runs {
-            self.state.quotas().charge_again(&self.team, self.cost, Instant::now());
+            self.state.quotas().recharge(&self.team, self.cost, Instant::now());
         }
         self.possible_runs += 1;
     }
@@ -69,7 +69,7 @@
     pub(crate) fn record_not_run(&mut self) {
         self.possible_runs = self.possible_runs.saturating_sub(1);
         if 0 < self.possible_runs {
-            self.state.quotas().give_back(&self.team, self.cost);
+            self.state.quotas().refund(&self.team, self.cost);
         }
     }
 }
@@ -77,7 +77,7 @@
 impl Drop for QuotaCharge {
     fn drop(&mut self) {
         if self.possible_runs == 0 {
-            self.state.quotas().give_back(&self.team, self.cost);
+            self.state.quotas().refund(&self.team, self.cost);
         }
     }
 }
--- a/crates/router/src/attempt/attempt_hold.rs
+++ b/crates/router/src/attempt/attempt_hold.rs
@@ -37,12 +37,12 @@
 
     /// The whole answer came.
     pub(crate) fn ended_well(self) {
-        self.run.ended_well();
+        self.run.complete();
     }
 
     /// The connection broke before the whole answer came.
     pub(crate) fn broke(self) {
-        self.run.broke();
+        self.run.connection_broke();
     }
 
     /// The server refused the request for its load.
--- a/crates/router/src/attempt/engine_placing.rs
+++ b/crates/router/src/attempt/engine_placing.rs
@@ -230,7 +230,7 @@
         passed: &[ServerName],
     ) -> Option<Vec<ServerId>> {
         let now = Instant::now();
-        let fit = |name: &ServerName| self.state.suspects.may_run_on(self.call.print, name, now);
+        let fit = |name: &ServerName| self.state.suspects.run_fit(self.call.print, name, now);
         let mut excluded = self.excluded(route, passed);
         let open: Vec<_> =
             route.view.servers().filter(|server| !excluded.contains(&server.meter.id())).collect();
--- a/crates/router/src/attempt/engine_runner.rs
+++ b/crates/router/src/attempt/engine_runner.rs
@@ -295,7 +295,7 @@
         }
         match self.state.budget.try_retry(self.call.weights.priority, now) {
             RetryGrant::Allowed => Ok(()),
-            RetryGrant::Spent { retry_after } => {
+            RetryGrant::Exhausted { retry_after } => {
                 Err(self.all_failed(failure, server).retry_after_ms(retry_after.as_millis() as u64))
             }
         }
--- a/crates/router/src/attempt/service_runner.rs
+++ b/crates/router/src/attempt/service_runner.rs
@@ -140,8 +140,8 @@
             })
             .collect();
         servers.sort_by_key(|server| {
-            let figures = server.gate.figures();
-            (figures.closed.is_some(), server.zone != self.state.zone, figures.under_way)
+            let snapshot = server.gate.snapshot();
+            (snapshot.closed.is_some(), server.zone != self.state.zone, snapshot.in_flight)
         });
         let mut refusal = RequestError::new(ErrorKind::NoServer);
         for server in servers {
--- a/crates/router/src/caller/engine_handler.rs
+++ b/crates/router/src/caller/engine_handler.rs
@@ -93,7 +93,7 @@
     let open = opened.inspect_err(|err| {
         count_error(&runner, err);
         if err.disposition == Disposition::NotRun {
-            context.state.limiter.give_back(&runner.call.team, tokens);
+            context.state.limiter.refund(&runner.call.team, tokens);
         }
     })?;
     count_first_token(&runner, &open);
--- a/crates/router/src/control/control_actor.rs
+++ b/crates/router/src/control/control_actor.rs
@@ -9,13 +9,13 @@
 use actix::Context;
 use actix::Handler;
 use awc::Client;
+use fulmargate_admission::ConfiguredServer;
 use fulmargate_admission::DrainState;
 use fulmargate_admission::HealthChange;
-use fulmargate_admission::HealthNews;
+use fulmargate_admission::HealthEvent;
 use fulmargate_admission::MoveReason;
+use fulmargate_admission::ServerAvailability;
 use fulmargate_admission::ServerResult;
-use fulmargate_admission::ServerSpot;
-use fulmargate_admission::ServerUse;
 use fulmargate_config::ConfigKeeper;
 use fulmargate_config::ServerEntry;
 use fulmargate_config::ServerKind;
@@ -146,8 +146,8 @@
             return false;
         }
         let now = Instant::now();
-        self.state.suspects.seen(&route.name, incarnation, now);
-        let news = self.state.health.seen(&route.name, incarnation, now);
+        self.state.suspects.incarnation_seen(&route.name, incarnation, now);
+        let news = self.state.health.incarnation_seen(&route.name, incarnation, now);
         if 0 < before.0 {
             route.gate.restart(now);
             let kind = EventKind::ServerRestarted;
@@ -168,7 +168,7 @@
             return false;
         }
         route.note_leaving(incarnation);
-        self.state.health.leaving(&route.name, incarnation);
+        self.state.health.mark_leaving(&route.name, incarnation);
         // A late word of an earlier incarnation closes nothing for its successor.
         if !route.is_leaving() {
             return false;
@@ -183,16 +183,16 @@
 
     fn note_result(&mut self, route: &Arc<ServerRoute>, known: Incarnation, result: ServerResult) {
         let known = (0 < known.0).then_some(known);
-        let news = self.state.health.note(&route.name, known, result, Instant::now());
+        let news = self.state.health.record_result(&route.name, known, result, Instant::now());
         self.take_health(&news);
     }
 
     /// Logs changes of health and carries them out.
-    fn take_health(&mut self, news: &[HealthNews]) {
+    fn take_health(&mut self, news: &[HealthEvent]) {
         if news.is_empty() {
             return;
         }
-        for HealthNews { server, change } in news {
+        for HealthEvent { server, change } in news {
             let kind = match change {
                 HealthChange::Ejected | HealthChange::KeptByFloor => EventKind::ServerEjected,
                 HealthChange::Restored | HealthChange::Restarted => EventKind::ServerRestored,
@@ -208,24 +208,32 @@
     /// off would else hold on to half of its share of requests.
     fn set_standings(&mut self) {
         let now = Instant::now();
-        let uses: IndexMap<ServerName, ServerUse> =
-            self.state.health.all_in_use(now).into_iter().collect();
-        let spots = self.spots();
-        let has_better = |spot: &ServerSpot| {
-            let beside = spots.iter().filter(|other| other.pool == spot.pool);
+        let uses: IndexMap<ServerName, ServerAvailability> =
+            self.state.health.all_availability(now).into_iter().collect();
+        let configured_servers = self.configured_servers();
+        let has_better = |configured: &ConfiguredServer| {
+            let beside = configured_servers.iter().filter(|other| other.pool == configured.pool);
             beside.into_iter().any(|other| {
-                matches!(uses.get(&other.server), Some(ServerUse::Open | ServerUse::Warming { .. }))
+                matches!(
+                    uses.get(&other.server),
+                    Some(ServerAvailability::Open | ServerAvailability::Warming { .. })
+                )
             })
         };
-        for spot in &spots {
-            let found = uses.get(&spot.server).copied().unwrap_or(ServerUse::Drained);
+        for configured in &configured_servers {
+            let found =
+                uses.get(&configured.server).copied().unwrap_or(ServerAvailability::Drained);
             let closed = match found {
-                ServerUse::LastResort if has_better(spot) => Some(MoveReason::Ejected),
-                found if found.takes_new() => None,
-                ServerUse::Leaving | ServerUse::Drained => Some(MoveReason::Leaving),
+                ServerAvailability::LastResort if has_better(configured) => {
+                    Some(MoveReason::Ejected)
+                }
+                found if found.accepts_requests() => None,
+                ServerAvailability::Leaving | ServerAvailability::Drained => {
+                    Some(MoveReason::Leaving)
+                }
                 _ => Some(MoveReason::Ejected),
             };
-            self.set_standing(&spot.server, closed, now);
+            self.set_standing(&configured.server, closed, now);
         }
     }
 
@@ -234,7 +242,7 @@
         let Some(route) = self.routes.server(name) else {
             return;
         };
-        if route.gate.figures().closed == closed {
+        if route.gate.snapshot().closed == closed {
             return;
         }
         match closed {
@@ -249,20 +257,20 @@
         }
     }
 
-    fn spots(&self) -> Vec<ServerSpot> {
+    fn configured_servers(&self) -> Vec<ConfiguredServer> {
         let Some(document) = self.routes.document() else {
             return Vec::new();
         };
-        document.servers.iter().map(|(name, entry)| server_spot(name, entry)).collect()
+        document.servers.iter().map(|(name, entry)| configured_server(name, entry)).collect()
     }
 }
 
-fn server_spot(name: &ServerName, entry: &ServerEntry) -> ServerSpot {
+fn configured_server(name: &ServerName, entry: &ServerEntry) -> ConfiguredServer {
     let pool = match &entry.kind {
         ServerKind::Engine { models, .. } => models.first().map(ModelName::to_string),
         ServerKind::Service { service } => Some(service.to_string()),
     };
-    ServerSpot {
+    ConfiguredServer {
         server: name.clone(),
         zone: entry.zone.clone(),
         pool: Arc::from(pool.unwrap_or_default()),
@@ -289,7 +297,7 @@
 
     fn handle(&mut self, message: ConfigPublished, ctx: &mut Context<ControlActor>) {
         self.routes.set_config(message.published);
-        let news = self.state.health.set_servers(&self.spots(), Instant::now());
+        let news = self.state.health.set_servers(&self.configured_servers(), Instant::now());
         self.take_health(&news);
         self.publish();
         self.set_standings();
@@ -348,7 +356,7 @@
         match message.finding {
             ProbeFinding::Answered(report) => {
                 let mut is_changed = self.note_life(&route, report.incarnation);
-                self.state.suspects.seen(&route.name, report.incarnation, now);
+                self.state.suspects.incarnation_seen(&route.name, report.incarnation, now);
                 self.note_result(&route, message.known, ServerResult::Answered);
                 if report.leaving {
                     is_changed |= self.note_leaving(&route, report.incarnation);
--- a/crates/router/src/control/control_message.rs
+++ b/crates/router/src/control/control_message.rs
@@ -1,7 +1,7 @@
 //! What the control thread is told.
 
 use actix::Message;
-use fulmargate_admission::HealthNews;
+use fulmargate_admission::HealthEvent;
 use fulmargate_config::PublishedConfig;
 use fulmargate_fleet::ServerReport;
 use fulmargate_names::Incarnation;
@@ -18,7 +18,7 @@
 #[derive(Message)]
 #[rtype(result = "()")]
 pub(crate) struct HealthTold {
-    pub(crate) news: Vec<HealthNews>,
+    pub(crate) news: Vec<HealthEvent>,
 }
 
 /// A server answered under this incarnation; 0 if it did not say.
--- a/crates/router/src/control/operator_call.rs
+++ b/crates/router/src/control/operator_call.rs
@@ -8,7 +8,7 @@
 use actix::Message;
 use actix::MessageResult;
 use actix::ResponseFuture;
-use fulmargate_admission::ServerUse;
+use fulmargate_admission::ServerAvailability;
 use fulmargate_config::ConfigAnswer;
 use fulmargate_config::HistoryAnswer;
 use fulmargate_config::HostReach;
@@ -239,9 +239,11 @@
         let entry = document.servers.get(name)?;
         let meter = self.routes.meter(name);
         let route = self.routes.server(name)?;
-        let health = match self.state.health.in_use(name, Instant::now()) {
-            ServerUse::Leaving => ServerHealth::Leaving,
-            ServerUse::Ejected | ServerUse::Trial | ServerUse::LastResort => ServerHealth::Ejected,
+        let health = match self.state.health.availability(name, Instant::now()) {
+            ServerAvailability::Leaving => ServerHealth::Leaving,
+            ServerAvailability::Ejected
+            | ServerAvailability::Trial
+            | ServerAvailability::LastResort => ServerHealth::Ejected,
             _ if route.incarnation().0 == 0 => ServerHealth::Unknown,
             _ => ServerHealth::Up,
         };
@@ -253,7 +255,7 @@
             service: entry.service().cloned(),
             state: entry.state,
             health,
-            open_requests: u64::from(route.gate.figures().under_way),
+            open_requests: u64::from(route.gate.snapshot().in_flight),
             queue_tokens: entry.service().is_none().then(|| u64::from(meter.queue_tokens())),
         })
     }
--- a/crates/router/src/control/peer_desk.rs
+++ b/crates/router/src/control/peer_desk.rs
@@ -228,7 +228,7 @@
             }
             PeerItem::HostWord { topic: WordTopic::Suspect, bytes, .. } => {
                 if let Some(verdict) = decode_verdict(&bytes) {
-                    self.state.suspects.learn(&verdict, origin, now);
+                    self.state.suspects.merge_verdict(&verdict, origin, now);
                 }
             }
             PeerItem::HostWord { topic: WordTopic::PrefixDemand, part, bytes, .. } => {
@@ -305,7 +305,7 @@
     type Result = ();
 
     fn handle(&mut self, _message: SuspectsChanged, _ctx: &mut Context<ControlActor>) {
-        for verdict in self.state.suspects.news(Instant::now()) {
+        for verdict in self.state.suspects.take_changed_verdicts(Instant::now()) {
             log_verdict(&verdict);
             self.put_word(WordTopic::Suspect, verdict_part(&verdict), encode_verdict(&verdict));
         }
@@ -319,7 +319,7 @@
         VerdictStanding::Convicted => EventKind::RequestConvicted,
     };
     let (event, name) = (kind.number(), kind.name());
-    let fingerprint = format!("{:032x}", verdict.print.0);
+    let fingerprint = format!("{:032x}", verdict.fingerprint.0);
     let servers: Vec<&str> =
         verdict.crashes.iter().map(|sighting| sighting.crash.server.as_str()).collect();
     tracing::warn!(event, name, fingerprint, ?servers);
--- a/crates/router/src/control/word_codec.rs
+++ b/crates/router/src/control/word_codec.rs
@@ -69,7 +69,7 @@
     let row = |usage: &TeamUsage| {
         (usage.team.to_string(), usage.requests_per_s, usage.prompt_tokens_per_s)
     };
-    encode(UsageWire { reach: report.reach, teams: report.teams.iter().map(row).collect() })
+    encode(UsageWire { reach: report.view_digest, teams: report.teams.iter().map(row).collect() })
 }
 
 /// Reads what teams ask of another router.
@@ -80,7 +80,10 @@
         requests_per_s: requests,
         prompt_tokens_per_s: tokens,
     };
-    Some(UsageReport { reach: wire.reach, teams: wire.teams.into_iter().map(usage).collect() })
+    Some(UsageReport {
+        view_digest: wire.reach,
+        teams: wire.teams.into_iter().map(usage).collect(),
+    })
 }
 
 /// Writes what is held of a request.
@@ -91,7 +94,7 @@
         (sighting.crash.server.to_string(), sighting.crash.incarnation.0, age_ms, is_confirmed)
     };
     encode(SuspectWire {
-        print: verdict.print.0,
+        print: verdict.fingerprint.0,
         standing: standing_code(verdict.standing),
         running_on: verdict.running_on.as_ref().map(ServerName::to_string),
         crashes: verdict.crashes.iter().map(crash).collect(),
@@ -119,7 +122,7 @@
         }
     };
     Some(SuspectVerdict {
-        print: Fingerprint(wire.print),
+        fingerprint: Fingerprint(wire.print),
         standing: standing_of(wire.standing)?,
         running_on: wire.running_on.as_deref().map(ServerName::new),
         crashes: wire.crashes.iter().map(sighting).collect(),
@@ -129,7 +132,7 @@
 
 /// The part under which a verdict's newest word is kept.
 pub(crate) fn verdict_part(verdict: &SuspectVerdict) -> u64 {
-    verdict.print.0 as u64
+    verdict.fingerprint.0 as u64
 }
 
 /// Writes what prefixes are asked for here.
--- a/crates/router/src/state/router_state.rs
+++ b/crates/router/src/state/router_state.rs
@@ -8,13 +8,13 @@
 
 use actix::Addr;
 use arc_swap::ArcSwapOption;
-use fulmargate_admission::HealthBook;
+use fulmargate_admission::CrashDetector;
 use fulmargate_admission::HealthConf;
+use fulmargate_admission::HealthRegistry;
 use fulmargate_admission::LimiterConf;
 use fulmargate_admission::RetryBudget;
 use fulmargate_admission::RetryConf;
 use fulmargate_admission::ServerResult;
-use fulmargate_admission::SuspectBook;
 use fulmargate_admission::SuspectConf;
 use fulmargate_admission::TeamLimiter;
 use fulmargate_ledger::ClaimHandle;
@@ -55,8 +55,8 @@
     pub(crate) open: OpenCount,
     pub(crate) budget: RetryBudget,
     pub(crate) limiter: TeamLimiter,
-    pub(crate) health: HealthBook,
-    pub(crate) suspects: Arc<SuspectBook>,
+    pub(crate) health: HealthRegistry,
+    pub(crate) suspects: Arc<CrashDetector>,
     pub(crate) claims: ClaimHandle,
     pub(crate) control: Addr<ControlActor>,
     /// Bytes exchanged with other routers, by kind.
@@ -87,9 +87,9 @@
             phase: PhaseCell::default(),
             open: OpenCount::default(),
             budget: RetryBudget::new(RetryConf::default()),
-            health: HealthBook::new(HealthConf::default()),
+            health: HealthRegistry::new(HealthConf::default()),
             limiter: TeamLimiter::new(settings.host.clone(), LimiterConf::default()),
-            suspects: SuspectBook::new(SuspectConf::default()),
+            suspects: CrashDetector::new(SuspectConf::default()),
             claims,
             control,
             peer_bytes,
@@ -143,7 +143,7 @@
         let incarnation = server.incarnation();
         let incarnation = (0 < incarnation.0).then_some(incarnation);
         let now = tokio::time::Instant::now();
-        let news = self.health.note(&server.name, incarnation, result, now);
+        let news = self.health.record_result(&server.name, incarnation, result, now);
         if !news.is_empty() {
             self.control.do_send(HealthTold { news });
         }
--- a/crates/router/src/state/server_route.rs
+++ b/crates/router/src/state/server_route.rs
@@ -66,7 +66,7 @@
 
     /// Whether it gets nothing because it fails; one that leaves still finishes what it has.
     pub(crate) fn is_out_of_use(&self) -> bool {
-        self.gate.figures().closed == Some(MoveReason::Ejected)
+        self.gate.snapshot().closed == Some(MoveReason::Ejected)
     }
 
     /// Whether the newest incarnation leaves.
