--- a/crates/dispatch/src/admission.rs
+++ b/crates/dispatch/src/admission.rs
@@ -1,4 +1,5 @@
-//! Admission of prompts: sent to an engine now, queued at the router, or refused.
+//! Admission of prompts to engines: a prompt is sent now, queued at the router, or rejected. Authentication and
+//! quotas are checked before.
 //!
 //! Engines prefill in order of arrival. A prompt queued at an engine can neither be overtaken by a
 //! shorter one nor moved when the engine crashes or loads weights. So each engine gets little more
@@ -20,14 +21,14 @@
 const MAX_QUEUE_MS: f64 = 50.0;
 /// Prompts up to this length bypass the queue. Holding them back would gain little for others.
 const MAX_SHORT_TOKENS: u32 = 2_500;
-/// A prompt that has waited longer than this share of its target latency is late: the rest of the
-/// time is needed for prefill.
+/// A prompt that has waited longer than this share of its target latency is late: the rest of
+/// the time is assumed to be needed for prefill.
 const LATE_AFTER_SHARE: f64 = 0.8;
-/// A late prompt is refused after this many target latencies even if no timely prompt waits.
-/// Callers disconnect not much later.
-const REFUSE_AFTER_TARGETS: f64 = 1.5;
-/// A caller with less than this share of the route's timeout left is retrying, as the timeout is
-/// counted from its first attempt.
+/// A late prompt is rejected after this many target latencies even if no timely prompt waits. Callers
+/// are assumed to disconnect not much later.
+const REJECT_AFTER_TARGETS: f64 = 1.5;
+/// A caller with less than this share of the route's timeout left on arrival is assumed to be
+/// retrying, with the timeout counted from its first attempt.
 const FIRST_ATTEMPT_SHARE: f64 = 0.97;
 /// Shortest `retry-after` time.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(300);
@@ -66,19 +67,19 @@
     time_budget < call.route.timeout.mul_f64(FIRST_ATTEMPT_SHARE)
 }
 
-/// Returns the retry delay if a queued prompt is refused.
+/// Returns the retry delay if a queued prompt is rejected.
 ///
-/// A late prompt is refused as soon as timely ones wait, as it would otherwise wait behind them
-/// until its caller disconnects. A retry may wait longer, because its caller will not try a third
-/// time.
-pub(crate) fn refusal(call: &CallFacts, has_timely: bool, now: Instant) -> Option<Duration> {
+/// A late prompt is rejected as soon as timely ones wait, as it would otherwise wait behind them
+/// until its caller disconnects. A retry may wait longer, because its caller is assumed not to try
+/// a third time.
+pub(crate) fn rejection(call: &CallFacts, has_timely: bool, now: Instant) -> Option<Duration> {
     if !is_late(call, now) || !is_enabled(Mechanism::Refusal) {
         return None;
     }
     let waited = now.saturating_duration_since(call.arrived);
     let max_targets = match has_timely && !is_retry(call) {
         true => LATE_AFTER_SHARE,
-        false => REFUSE_AFTER_TARGETS,
+        false => REJECT_AFTER_TARGETS,
     };
     (call.route.target_latency.mul_f64(max_targets) < waited).then(|| retry_after(call))
 }
--- a/crates/dispatch/src/call_progress.rs
+++ b/crates/dispatch/src/call_progress.rs
@@ -4,7 +4,7 @@
 
 use crate::RouteRule;
 
-/// Upper bound of the sends of one call, including those that reached no server. A call refused
+/// Upper bound of the sends of one call, including those that reached no server. A call rejected
 /// this often has met a full or changing service, and its caller is told to retry later.
 const MAX_SENDS: u32 = 4;
 
@@ -13,7 +13,7 @@
 pub enum SendOutcome {
     /// No connection was established, so no byte of the request was sent.
     NotSent,
-    /// The server refused the request without running it.
+    /// The server rejected the request without running it.
     Refused,
     /// Another server answered at the address, so the request did not run.
     OtherServer,
@@ -109,7 +109,8 @@
         0 < self.possible_runs
     }
 
-    /// Number of servers that may have run the call.
+    /// Number of ended sends after which a server may have run the call. Unlike the count of the same name in the
+    /// quota charge, it does not include the send in progress.
     pub fn possible_runs(&self) -> u32 {
         self.possible_runs
     }
--- a/crates/dispatch/src/chat_stall_tracker.rs
+++ b/crates/dispatch/src/chat_stall_tracker.rs
@@ -7,7 +7,7 @@
 use crate::experiment::Mechanism;
 use crate::experiment::is_enabled;
 
-/// A chat is near the limit if its longest gap is at least this share of the accepted gap.
+/// A chat is near the limit if its longest gap between events is at least this share of the accepted gap.
 const NEAR_LIMIT_SHARE: f64 = 0.65;
 /// Share of chats near the limit at which long prompts are kept away from chats entirely.
 const SATURATION_SHARE: f64 = 0.1;
--- a/crates/dispatch/src/connect_outcome.rs
+++ b/crates/dispatch/src/connect_outcome.rs
@@ -5,9 +5,10 @@
 pub enum ConnectOutcome {
     /// The connection was established.
     Reached,
-    /// The server's host refused the connection, which shows a fault of the server.
+    /// The server's host refused or reset the connection. Counts against the server also while a local
+    /// network fault is suspected.
     Refused,
-    /// The attempt timed out, or could not be made. Either the server is gone, or the local network is faulty.
+    /// The attempt timed out or failed in another way, including errors on this host such as a lack of ports.
     TimedOut,
 }
 
--- a/crates/dispatch/src/engine_choice.rs
+++ b/crates/dispatch/src/engine_choice.rs
@@ -35,7 +35,7 @@
 use crate::experiment::is_enabled;
 use crate::prompt_source::PromptSource;
 
-/// Prefill speed of an engine. It scales all cost estimates alike.
+/// Prefill speed of an engine.
 const PREFILL_TOKENS_PER_MS: f64 = 40.0;
 /// Prompt tokens assumed for a request that an engine reports as waiting.
 const WAITING_REQUEST_TOKENS: f64 = 2_500.0;
@@ -46,7 +46,7 @@
 const NON_OWNER_PENALTY_MS: f64 = 60.0;
 /// Penalty for another cached copy of a shared prefix, which evicts other prefixes.
 const COPY_PENALTY_MS: f64 = 100.0;
-/// An estimate up to this share of the route's target latency counts as timely. It leaves room for
+/// An estimate below this share of the route's target latency counts as timely. It leaves room for
 /// the response's way to the caller and for estimation errors.
 const TARGET_LATENCY_SHARE: f64 = 0.85;
 /// Round trip to another availability zone.
@@ -64,7 +64,7 @@
 /// Range of the random cost jitter, as a share of the gossip interval. Without it, routers that
 /// have not yet received each other's updates would all choose the same engine.
 const JITTER_SHARE: f64 = 0.4;
-/// Penalty for prefilling a token that another engine or the cache store already holds.
+/// Penalty for prefilling a token that another engine or the prompt cache store already holds.
 const RECOMPUTE_PENALTY_MS_PER_TOKEN: f64 = 0.3;
 
 /// Input of an engine choice.
@@ -116,7 +116,7 @@
     pub salt: String,
     /// Source of the missing cached prefix.
     pub fetch: Option<PromptFetch>,
-    /// Cache store that the engine should save the prompt to.
+    /// Prompt cache store that the engine should save the prompt to.
     pub save_to: Option<SocketAddr>,
     /// Why this engine was chosen.
     pub reason: ChoiceReason,
@@ -136,7 +136,7 @@
     pub(crate) added_tokens: f64,
 }
 
-/// Fetch of a cached prefix from another engine or the cache store.
+/// Fetch of a cached prefix from another engine or the prompt cache store.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PromptFetch {
     /// Address to fetch from.
@@ -174,7 +174,7 @@
     /// Time between two gossip messages of a router.
     pub(crate) gossip_interval_ms: f64,
     pub(crate) others: PeerTotal,
-    /// Engines and the cache store that hold a prefix of this prompt under the same salt.
+    /// Engines and the prompt cache store that hold a prefix of this prompt under the same salt.
     pub(crate) sources: &'a [PromptSource],
     /// Request rates of prompt parts.
     pub(crate) demand: &'a DemandMeter,
@@ -192,6 +192,7 @@
         if self.only_weights.is_some_and(|only| only != weights) {
             return None;
         }
+        // Adds the estimated wait behind requests of any urgency, without those that other routers report.
         let age = self.weights.outdated_for(self.model, weights, self.boot_now);
         let max_wait = Duration::from_secs_f64(
             self.wait_ms(state, Urgency::late(9), PeerTotal::default()) / 1_000.0,
--- a/crates/dispatch/src/engine_choice/fetch_plan.rs
+++ b/crates/dispatch/src/engine_choice/fetch_plan.rs
@@ -9,7 +9,7 @@
 use crate::experiment::is_enabled;
 use crate::prompt_source::PromptSource;
 
-/// Below this length, prefilling is faster than a fetch.
+/// A fetch must add at least this many tokens to the prefix that the engine has cached.
 const MIN_FETCH_TOKENS: u32 = 400;
 
 /// The fetch that an engine would make, and what it would still recompute.
--- a/crates/dispatch/src/experiment.rs
+++ b/crates/dispatch/src/experiment.rs
@@ -10,7 +10,7 @@
     ShortFirst,
     /// Routers queue prompts instead of sending them to a full engine.
     RequestQueue,
-    /// Prompts that wait too long are refused with a retry delay.
+    /// Prompts that wait too long are rejected with a retry delay.
     Refusal,
     /// Queued prompts are ordered by value for each prefilled token.
     EarningOrder,
@@ -24,9 +24,9 @@
     FastGossip,
     /// Requests avoid replaced weights.
     NewWeights,
-    /// Prompt prefixes are fetched from engines and the cache store.
+    /// Prompt prefixes are fetched from engines and the prompt cache store.
     Fetches,
-    /// The cache store keeps prefixes that were requested before.
+    /// The prompt cache store keeps prefixes that were requested before.
     StoreKeeping,
     /// All routers send a prompt that is cached nowhere to the same engine.
     Homes,
--- a/crates/dispatch/src/forward_budget.rs
+++ b/crates/dispatch/src/forward_budget.rs
@@ -19,7 +19,7 @@
 ///
 /// All hosts of a zone request a new configuration from their reader at once. Without a limit a
 /// large one would saturate the reader's link for seconds, blocking answers to callers and
-/// connections to servers. A host that is refused reads the store directly.
+/// connections to servers. A host whose request is rejected reads the store directly.
 ///
 /// A host that cannot reach the store has no alternative. It gets a large answer whenever the
 /// budget is not overdrawn, and later answers wait until the excess is refilled. It gets small
--- a/crates/dispatch/src/gossip_message.rs
+++ b/crates/dispatch/src/gossip_message.rs
@@ -19,7 +19,7 @@
 pub struct ServerKey(pub u64);
 
 impl ServerKey {
-    /// The store of cached prompts.
+    /// The prompt cache store.
     pub const STORE: ServerKey = ServerKey(0);
 
     /// The key of one incarnation of the named server.
@@ -46,7 +46,7 @@
     /// The newest weights known to the sender, and for how long they have been wanted, if it saw
     /// them announced.
     pub weights: Vec<WeightsAge>,
-    /// Cache updates that the sender received from engines and from the store.
+    /// Cache updates that the sender received from engines and from the prompt cache store.
     pub caches: Vec<CacheNotice>,
     /// Bandwidth of the sender's link, in kbit/s. Encoded after the message, where routers of
     /// earlier versions ignore it; `None` for their messages.
@@ -73,10 +73,10 @@
     pub age_ms: u64,
 }
 
-/// A cache update of an engine or of the store.
+/// A cache update of an engine or of the prompt cache store.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheNotice {
-    /// The engine or the store of cached prompts.
+    /// The engine or the prompt cache store.
     pub server: ServerKey,
     /// Discards all earlier updates: the server has restarted, or events were lost.
     pub is_reset: bool,
@@ -137,7 +137,7 @@
     pub taken_tokens: u32,
     /// Expected time until the engine has processed them, in milliseconds.
     pub ready_ms: u32,
-    /// The parts are in the store of cached prompts as well.
+    /// The parts are in the prompt cache store as well.
     pub is_stored: bool,
     /// The server from which the engine fetches the other parts.
     pub source: Option<ServerKey>,
--- a/crates/dispatch/src/local_fault_detector.rs
+++ b/crates/dispatch/src/local_fault_detector.rs
@@ -1,4 +1,4 @@
-//! Detection of network trouble of this host, from its connection attempts.
+//! Detects suspected local network faults from the outcomes of connection attempts.
 
 use std::time::Duration;
 
@@ -14,35 +14,30 @@
 /// Attempts to a server are consecutive if no more than this lies between them. Failed servers are
 /// retried sooner than that.
 const MAX_RETRY_GAP: Duration = Duration::from_secs(3);
-/// Duration of a connection attempt until it times out.
+/// Time after which a connection attempt times out. Must agree with the constant of the same name with which
+/// the traffic thread opens connections.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
-/// Minimum number of unresponsive servers for suspecting a local fault.
+/// Minimum number of unresponsive servers for suspecting a local network fault.
 const MIN_UNRESPONSIVE_SERVERS: usize = 2;
-/// Minimum ratio of unresponsive to responsive servers for suspecting a local fault. A host that is cut
-/// off from two or three other zones of the size of its own stays below it.
+/// Minimum ratio of unresponsive to responsive servers for suspecting a local network fault. A host that
+/// reaches only its own zone, out of three or four of equal size, stays below it.
 const MIN_UNRESPONSIVE_RATIO: usize = 4;
-/// Maximum duration of a suspicion after the first server has responded.
+/// Maximum duration of the suspicion once a server has responded.
 const MAX_SUSPICION_TIME: Duration = Duration::from_secs(3);
-/// A suspicion that recurs within this time continues the previous one with its upper bound. Being
-/// as long as that bound, it leaves servers judged by their silence for at least half of the time.
+/// A suspicion that recurs within this time of the previous one keeps its latest possible end, so that
+/// recurring suspicions cannot exempt servers from connection timeouts forever.
 const SUSPICION_MEMORY: Duration = Duration::from_secs(3);
 
-/// Recent connection attempts to servers, and whether they suggest a fault of this host.
+/// Recent connection attempts to servers, and whether they suggest a local network fault.
 ///
-/// When the host's own link is saturated or it gets no CPU time, connections to all servers time
-/// out. While nearly all recently tried servers are silent, this host is suspected instead, and the
-/// silence is not counted against them.
-///
-/// Server failures are still detected. If one or a few servers are down, the responding ones
-/// outnumber them. A host whose zone is cut off still reaches the servers of its zone, which
-/// prevents the suspicion or limits its duration. A host that reaches no server at all remains
-/// suspected, since no other choice of server would help. A refused connection is a response and
-/// always counts against the server.
+/// While nearly all recently tried servers time out, the local network is suspected and the timeouts are not
+/// counted against the servers. A refused connection is a response and always counts. If any server responds,
+/// the suspicion is limited in time; if none does, it lasts, as no other choice of server would help.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct LocalFaultDetector {
     attempts: IndexMap<ServerKey, ConnectAttempt>,
     suspicion: Option<Suspicion>,
-    /// When the current suspicion was reported.
+    /// When the suspicion was reported by [`LocalFaultDetector::take_change`]; none after its end was.
     reported_at: Option<Instant>,
 }
 
@@ -50,15 +45,15 @@
 #[derive(Clone, Copy, Debug)]
 struct ConnectAttempt {
     at: Instant,
-    end: ConnectOutcome,
+    outcome: ConnectOutcome,
     /// First of the consecutive attempts with the same result.
     since: Instant,
 }
 
-/// Latest suspicion, which may have ended.
+/// The latest suspected local network fault, which may have ended.
 #[derive(Clone, Copy, Debug)]
 struct Suspicion {
-    /// When attempts last supported it.
+    /// When the attempts last suggested a local network fault.
     supported_at: Instant,
     /// When it ends unless extended.
     end: Instant,
@@ -69,31 +64,31 @@
 /// Recently tried servers by the result of the latest attempt.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ReachabilityCount {
-    /// Servers that did not answer.
+    /// Servers to which the connection timed out.
     pub unresponsive: usize,
     /// Servers that accepted or refused the connection.
     pub responsive: usize,
 }
 
-/// Change of the suspicion of this host.
+/// Start or end of a suspected local network fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SuspicionChange {
-    /// It has begun.
+    /// A fault is suspected.
     Started(ReachabilityCount),
-    /// It has ended after this time.
+    /// No fault is suspected any more; with the duration.
     Ended(ReachabilityCount, Duration),
 }
 
 impl LocalFaultDetector {
     /// Records a connection attempt.
-    pub(crate) fn record(&mut self, server: ServerKey, end: ConnectOutcome, now: Instant) {
+    pub(crate) fn record(&mut self, server: ServerKey, outcome: ConnectOutcome, now: Instant) {
         self.attempts.retain(|_, attempt| now < attempt.at + MAX_RETRY_GAP);
-        let last = self.attempts.get(&server).filter(|last| last.end == end);
+        let last = self.attempts.get(&server).filter(|last| last.outcome == outcome);
         let since = last.map_or(now, |last| last.since);
-        self.attempts.insert(server, ConnectAttempt { at: now, end, since });
+        self.attempts.insert(server, ConnectAttempt { at: now, outcome, since });
         let count = self.count(now);
         if count.suggests_local_fault() {
-            self.suspect(count, now);
+            self.extend_suspicion(count, now);
         } else if let Some(suspicion) = &mut self.suspicion {
             suspicion.end = suspicion.end.min(now);
             suspicion.latest_end.get_or_insert(now + MAX_SUSPICION_TIME);
@@ -101,23 +96,23 @@
     }
 
     /// Result of the latest connection attempt to the server, if recent.
-    pub(crate) fn newest(&self, server: ServerKey, now: Instant) -> Option<ConnectOutcome> {
+    pub(crate) fn latest_outcome(&self, server: ServerKey, now: Instant) -> Option<ConnectOutcome> {
         let attempt = self.attempts.get(&server)?;
-        attempt.is_recent(now).then_some(attempt.end)
+        attempt.is_recent(now).then_some(attempt.outcome)
     }
 
-    /// Whether this host is suspected.
+    /// Whether a local network fault is suspected.
     pub(crate) fn is_suspected(&self, now: Instant) -> bool {
         self.suspicion_end(now).is_some()
     }
 
-    /// End of the latest suspicion, or `now` while it lasts. Silence before that does not count
+    /// End of the latest suspicion, or `now` while it lasts. Timeouts before that do not count
     /// against servers.
     pub(crate) fn suspected_until(&self, now: Instant) -> Option<Instant> {
         self.suspicion.map(|suspicion| suspicion.end.min(now))
     }
 
-    /// Returns a change of the suspicion since the last call.
+    /// Returns the start or end of a suspicion once, if there was one since the last call.
     pub(crate) fn take_change(&mut self, now: Instant) -> Option<SuspicionChange> {
         let count = self.count(now);
         match (self.reported_at, self.is_suspected(now)) {
@@ -138,19 +133,20 @@
         self.suspicion.map(|suspicion| suspicion.end).filter(|end| now < *end)
     }
 
-    /// Counts recently tried servers by result. Servers that responded only before most of the
-    /// silent ones fell silent are left out, as they do not show that the link works now. The
-    /// median is used because some servers may have been down for long.
+    /// Counts recently tried servers by result. Responses from before the timeouts began do not show
+    /// that the link works now and are left out. The timeouts' start is their median, since some
+    /// servers may have been down for longer.
     pub(crate) fn count(&self, now: Instant) -> ReachabilityCount {
         let recent = || self.attempts.values().filter(|attempt| attempt.is_recent(now));
-        let unresponsive = || recent().filter(|attempt| attempt.end == ConnectOutcome::TimedOut);
+        let unresponsive =
+            || recent().filter(|attempt| attempt.outcome == ConnectOutcome::TimedOut);
         let mut unresponsive_since: Vec<Instant> =
             unresponsive().map(|attempt| attempt.since).collect();
         unresponsive_since.sort_unstable();
         let median = unresponsive_since.get(unresponsive_since.len() / 2).copied();
         let is_responsive = |attempt: &&ConnectAttempt| {
             let is_current = median.is_none_or(|median| median <= attempt.at + CONNECT_TIMEOUT);
-            attempt.end != ConnectOutcome::TimedOut && is_current
+            attempt.outcome != ConnectOutcome::TimedOut && is_current
         };
         ReachabilityCount {
             unresponsive: unresponsive().count(),
@@ -158,8 +154,8 @@
         }
     }
 
-    /// Begins or extends the suspicion.
-    fn suspect(&mut self, count: ReachabilityCount, now: Instant) {
+    /// Starts or extends the suspicion.
+    fn extend_suspicion(&mut self, count: ReachabilityCount, now: Instant) {
         let last =
             self.suspicion.filter(|suspicion| now < suspicion.supported_at + SUSPICION_MEMORY);
         let mut latest_end = last.and_then(|last| last.latest_end);
@@ -168,7 +164,7 @@
         }
         let expiry = now + MAX_ATTEMPT_AGE;
         let end = latest_end.map_or(expiry, |latest_end| expiry.min(latest_end));
-        // Keeps the previous end if that is later.
+        // Timeouts up to the end of the previous suspicion stay exempt.
         let previous_end = last.map_or(end, |last| last.end.min(now));
         self.suspicion =
             Some(Suspicion { supported_at: now, end: end.max(previous_end), latest_end });
--- a/crates/dispatch/src/placement_request.rs
+++ b/crates/dispatch/src/placement_request.rs
@@ -63,7 +63,8 @@
 pub enum Placement {
     /// The prompt was assigned to an engine.
     Assigned(Box<AssignedEngine>),
-    /// The best engine's queue is full. Holds the number of tokens that it would prefill.
+    /// The prompt has to wait, with the number of tokens to prefill: the best engine's queue is full, or queued
+    /// prompts go first. In the latter case no engine was chosen, and the number is the whole prompt's length.
     Queued(f64),
     /// No engine may serve the prompt.
     NoEngine,
--- a/crates/dispatch/src/prompt_cache_estimate.rs
+++ b/crates/dispatch/src/prompt_cache_estimate.rs
@@ -1,4 +1,4 @@
-//! Estimated contents of the prompt cache of an engine or of the cache store.
+//! Estimated contents of the prompt cache of an engine or of the prompt cache store.
 
 use indexmap::IndexMap;
 use tokio::time::Instant;
--- a/crates/dispatch/src/prompt_source.rs
+++ b/crates/dispatch/src/prompt_source.rs
@@ -15,7 +15,7 @@
 /// A fetch is not started if it would wait longer for the link.
 const MAX_LINK_WAIT_MS: f64 = 1_500.0;
 
-/// An engine or the cache store, with the prefix of a prompt that it holds.
+/// An engine or the prompt cache store, with the prefix of a prompt that it holds.
 #[derive(Clone, Debug)]
 pub(crate) struct PromptSource {
     pub(crate) key: ServerKey,
--- a/crates/dispatch/src/queue_priority.rs
+++ b/crates/dispatch/src/queue_priority.rs
@@ -1,7 +1,7 @@
 //! Order in which queued prompts go to engines.
 //!
-//! Under overload, prompts with the highest value for each prefilled token go first: a prompt whose
-//! prefix is cached costs little and is worth as much as any other of its size.
+//! Timely prompts go before late ones, then more urgent priorities first, then prompts with the fewest tokens to
+//! prefill per unit of value. The value grows with the prompt's size, including its cached prefix.
 
 use std::cmp::Ordering;
 
@@ -12,9 +12,9 @@
 use crate::experiment::Mechanism;
 use crate::experiment::is_enabled;
 
-/// Value of a prompt regardless of its size.
+/// Constant part of a prompt's value.
 const BASE_VALUE: f64 = 0.3;
-/// Value of a prompt of mean size in addition to that; proportional to the size.
+/// Part of the value that is multiplied by the prompt's size relative to the mean size.
 const SIZE_VALUE: f64 = 0.7;
 
 /// Sort key of a queued prompt. The lowest goes first.
--- a/crates/dispatch/src/request_queue.rs
+++ b/crates/dispatch/src/request_queue.rs
@@ -27,7 +27,7 @@
     Assigned(Box<AssignedEngine>),
     /// No engine may serve it any more.
     NoEngine,
-    /// It was refused without having run; the caller should retry after this time.
+    /// It was rejected without having run; the caller should retry after this time.
     Refused(Duration),
 }
 
@@ -79,7 +79,7 @@
         self.waiting.retain(|prompt| prompt.number != number);
     }
 
-    /// Assigns queued prompts to engines with room, and refuses those that are too late.
+    /// Assigns queued prompts to engines with room, and rejects those that are too late.
     pub fn run(
         &mut self,
         registry: &mut ServerRegistry,
@@ -123,7 +123,7 @@
         let is_timely = |prompt: &QueuedPrompt| !admission::is_late(&prompt.request.call, now);
         let has_timely = self.waiting.iter().any(is_timely);
         self.waiting.retain(|prompt| {
-            let Some(retry_after) = admission::refusal(&prompt.request.call, has_timely, now)
+            let Some(retry_after) = admission::rejection(&prompt.request.call, has_timely, now)
             else {
                 return true;
             };
--- a/crates/dispatch/src/retry_budget.rs
+++ b/crates/dispatch/src/retry_budget.rs
@@ -8,8 +8,8 @@
 
 /// Number of buckets in the sliding window.
 const BUCKETS: usize = 20;
-/// Share of the allowance that is used. Allows for windows that are off by one bucket, and for sends that
-/// are not seen because a response was lost.
+/// Share of the allowance that is used. The window moves in steps of a bucket, and a first send counts even if
+/// it does not reach a server.
 const SAFETY_FACTOR: f64 = 0.7;
 
 /// Retry allowance per service, for all routers together.
@@ -51,7 +51,7 @@
         RetryBudget { conf, started_at: now, hosts: 0, services: IndexMap::new() }
     }
 
-    /// Sets the number of hosts that share the slack. Zero, for unknown, allows no slack.
+    /// Sets the number of routers that share the slack. Zero, for unknown, allows no slack.
     pub fn set_hosts(&mut self, hosts: usize) {
         self.hosts = hosts;
     }
--- a/crates/dispatch/src/route_table.rs
+++ b/crates/dispatch/src/route_table.rs
@@ -20,7 +20,7 @@
 #[derive(Debug)]
 pub struct RouteTable {
     version: ConfigVersion,
-    /// Routes of each host, longest path prefix first.
+    /// Routes of each HTTP host name, longest path prefix first.
     hosts: IndexMap<String, Vec<Arc<RouteRule>>>,
     teams: Vec<Arc<TeamRule>>,
     teams_by_key: IndexMap<String, Arc<TeamRule>>,
@@ -76,7 +76,7 @@
         self.version
     }
 
-    /// Finds the route of the host with the longest matching path prefix.
+    /// Finds the route of the HTTP host name with the longest matching path prefix.
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<RouteRule>> {
         let routes = self.hosts.get(host.to_ascii_lowercase().as_str())?;
         routes.iter().find(|route| path.starts_with(&route.path_prefix))
@@ -113,12 +113,12 @@
         self.services.values()
     }
 
-    /// The prompt store, if one is configured.
+    /// The prompt cache store, if one is configured.
     pub fn cache_store(&self) -> Option<&CacheStore> {
         self.store.as_ref()
     }
 
-    /// Address of the prompt store, if one is configured.
+    /// Address of the prompt cache store, if one is configured.
     pub fn cache_store_address(&self) -> Option<SocketAddr> {
         self.store.as_ref().map(|store| store.address)
     }
@@ -133,7 +133,7 @@
         &self.salts
     }
 
-    /// Numbers of routes, hosts and keys, for status and logs.
+    /// Numbers of routes, HTTP host names and keys, for status and logs.
     pub fn sizes(&self) -> (usize, usize, usize) {
         let routes = self.hosts.values().map(Vec::len).sum();
         (routes, self.hosts.len(), self.teams_by_key.len())
--- a/crates/dispatch/src/server_probe.rs
+++ b/crates/dispatch/src/server_probe.rs
@@ -1,6 +1,7 @@
-//! Probes of servers that have stopped sending while requests wait there.
+//! Probes of servers that send nothing while requests wait there.
 //!
-//! All waiting requests share one probe connection per server, as a probe for each would overload busy servers.
+//! [`ServerProbe::next_step`] asks only one of the waiting requests for a probe connection, as a probe for each
+//! would overload busy servers. Stream failovers and crash checks open connections besides.
 
 use std::time::Duration;
 
@@ -12,13 +13,13 @@
 const RESULT_TTL: Duration = Duration::from_millis(250);
 /// A probe without a result is repeated after this time. Connections time out sooner.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(400);
-/// Consecutive failed connections before a server counts as lost. A live server at its connection limit
-/// refuses some connections, but responds on others in between.
+/// Consecutive failed connections before a server counts as lost. A live server at its connection limit may
+/// refuse a connection, but accepts others in between.
 const MIN_LOST_FAILURES: u32 = 3;
 /// Minimum time since the first of these failures.
 const MIN_LOST_DURATION: Duration = Duration::from_millis(600);
-/// Consecutive connection timeouts before waiting requests treat the server as unreachable. A single
-/// timeout may precede the detection of a local network fault.
+/// Consecutive failed connections before a timeout makes waiting requests treat the server as unreachable. A
+/// single timeout may precede the detection of a local network fault. A refusal needs no second failure.
 const MIN_TIMEOUTS: u32 = 2;
 
 /// What a request should do that waits for a server which sends nothing.
@@ -85,7 +86,8 @@
     }
 
     /// Whether the server and the requests waiting there count as lost. Timeouts until `local_fault_end` are
-    /// not counted; otherwise every server not reached yet would be lost right after a local fault.
+    /// not counted; otherwise every server not reached yet would be lost right after a suspected local
+    /// network fault.
     pub(crate) fn is_lost(&self, local_fault_end: Option<Instant>, now: Instant) -> bool {
         let Some(failing_since) = self.failing_since else { return false };
         let since = match (self.is_refused, local_fault_end) {
--- a/crates/dispatch/src/server_registry.rs
+++ b/crates/dispatch/src/server_registry.rs
@@ -34,12 +34,11 @@
 /// How long a server that rejected a request as full is skipped: about the time in which one of its
 /// running requests ends.
 const FULL_BACKOFF: Duration = Duration::from_millis(60);
-/// How long an engine that rejected a prompt while loading weights is skipped. Covers the load and the
-/// requests that finish before it.
+/// How long an engine that rejected a prompt while loading weights is skipped.
 const LOADING_BACKOFF: Duration = Duration::from_millis(350);
 
-/// Factor on the estimated time to the first event after which a prompt counts as cached. The estimate
-/// is too low when other routers have sent prompts that this router has not learned of yet.
+/// A sent prompt counts as ready to be fetched from the engine after this multiple of its estimated time to the
+/// first event. The estimate is too low while prompts sent by other routers are not known here.
 const READY_FACTOR: f64 = 2.0;
 
 /// A request in flight at a server.
@@ -59,9 +58,9 @@
 #[derive(Debug, Default)]
 pub struct ServerRegistry {
     servers: IndexMap<ServerKey, ServerState>,
-    /// Estimated contents of the prompt store.
+    /// Estimated contents of the prompt cache store.
     store_cache: PromptCacheEstimate,
-    /// Load on the link between the prompt store and the engines.
+    /// Load on the link between the prompt cache store and the engines.
     store_link: LinkUsage,
     /// Requests in flight from the other routers.
     peers: PeerLoadTable,
@@ -69,7 +68,7 @@
     gossip_interval: Option<Duration>,
     /// Request rate of each prompt part, over all routers.
     demand: DemandMeter,
-    /// How much chat streams stall when long prompts run on the same engine.
+    /// How much long prompts delay chat streams on the same engine.
     stalls: ChatStallTracker,
     /// Prompts sent since the last gossip message.
     pending_prompts: Vec<PromptNotice>,
@@ -77,8 +76,8 @@
     pending_cache_updates: PendingUpdates,
     /// Servers whose address now belongs to another server. Ignored until the list drops them.
     replaced: IndexSet<ServerKey>,
-    /// Recent connection attempts, from which a local network fault is detected.
-    connectivity: LocalFaultDetector,
+    /// Recent connection attempts, from which a local network fault is suspected.
+    local_fault_detector: LocalFaultDetector,
 }
 
 impl ServerRegistry {
@@ -211,7 +210,7 @@
         }
     }
 
-    /// Records the longest gap of a finished stream, as a share of the gap that its route accepts.
+    /// Records the longest gap between events of a finished stream, as a share of the gap that its route accepts.
     pub fn record_stall(&mut self, ticket: &SendTicket, share: f64, now: Instant) {
         if ticket.shape == CallShape::Chat {
             self.stalls.record(share, now);
@@ -255,7 +254,8 @@
     }
 
     /// Records that an engine rejected a request because it runs other weights than expected. It is assumed
-    /// to run the target version, unless that is what was expected.
+    /// to run the target version if that is newer than the expected one; otherwise, earlier assumptions about
+    /// the engine's weights are dropped.
     pub fn record_weights_mismatch(
         &mut self,
         server: ServerKey,
--- a/crates/dispatch/src/server_registry/choices.rs
+++ b/crates/dispatch/src/server_registry/choices.rs
@@ -39,12 +39,12 @@
 const FAILURE_MS: f64 = 150.0;
 /// Cost of a server with at least one second of warm-up left.
 const WARM_UP_MS: f64 = 30.0;
-/// Lower bound on the decaying request count of parts to save: one request within the last 6 s.
+/// Minimum decaying request count at which the parts of a prompt are saved.
 const MIN_RECENT_REQUESTS: f64 = 0.2;
 /// Minimum ratio of shared to unshared tokens at which a prompt is saved on first use. It keeps prompts
-/// that nobody else requests from filling the store.
+/// that nobody else requests from filling the prompt cache store.
 const MIN_SHARED_RATIO: u32 = 2;
-/// Shorter shared prefixes are computed faster than they are fetched.
+/// Prompts with a shorter shared prefix are not saved.
 const MIN_SAVED_TOKENS: u32 = 1_000;
 
 impl ServerRegistry {
@@ -98,7 +98,8 @@
     }
 
     /// Selects the engine with the lowest cost in waiting time, recomputed tokens and outdated weights. If none
-    /// can respond within the target latency, selects again with the urgency of a late request.
+    /// can respond within the target latency, the costs are estimated anew with the urgency of a late request, which
+    /// may change the selection.
     pub fn choose_engine(&self, request: &EngineRequest<'_>) -> Option<EngineChoice> {
         let priority = request.call.priority;
         if is_short(request.call) && is_enabled(Mechanism::ShortFirst) {
@@ -166,7 +167,8 @@
         })
     }
 
-    /// Engines that may start the call. Their chat ranks and the prompt's owner are the same on all routers.
+    /// Engines that may start the call. Routers with the same eligible engines agree on the chat ranks and the
+    /// prompt's owner.
     fn eligible_engines(&self, request: &EngineRequest<'_>) -> Vec<EligibleEngine<'_>> {
         let eligible = |state| {
             let weights = request.allows(state)?;
@@ -185,7 +187,7 @@
         eligible
     }
 
-    /// Engines and the store that have cached parts of the prompt, for each weights version in use.
+    /// Engines and the prompt cache store that have cached parts of the prompt, for each weights version in use.
     fn sources_by_weights(
         &self,
         request: &EngineRequest<'_>,
@@ -199,7 +201,7 @@
         sources
     }
 
-    /// Engines and the store that have parts of the prompt cached under the salt of these weights.
+    /// Engines and the prompt cache store that have parts of the prompt cached under the salt of these weights.
     fn sources(&self, request: &EngineRequest<'_>, weights: WeightsVersion) -> Vec<PromptSource> {
         let scope = scope_of(&request.salt(weights));
         let link_mbps = request.engine_rule().map_or(0.0, |engine| engine.link_mbps);
@@ -233,9 +235,9 @@
         sources
     }
 
-    /// Address of the store if the prompt should be saved there: its shared parts are not stored yet, and were
-    /// requested recently or make up most of the prompt. A prompt is stored whole, with its unshared part, so
-    /// that storing every prompt on first use would evict entries too early.
+    /// Address of the prompt cache store if the prompt should be saved there: its shared parts are not stored yet,
+    /// and were requested recently or make up most of the prompt. A prompt is stored whole, with its unshared part,
+    /// so that storing every prompt on first use would evict entries too early.
     fn save_to(&self, request: &EngineRequest<'_>, salt: &str) -> Option<SocketAddr> {
         if !is_enabled(Mechanism::StoreKeeping) {
             return None;
--- a/crates/dispatch/src/server_registry/connectivity.rs
+++ b/crates/dispatch/src/server_registry/connectivity.rs
@@ -1,4 +1,4 @@
-//! Reachability of servers, and detection of network faults on the host itself.
+//! Reachability of servers, and suspected local network faults.
 
 use tokio::time::Instant;
 
@@ -12,33 +12,34 @@
 impl ServerRegistry {
     /// Records the outcome of a connection attempt.
     pub fn record_connect(&mut self, server: ServerKey, outcome: ConnectOutcome, now: Instant) {
-        self.connectivity.record(server, outcome, now);
+        self.local_fault_detector.record(server, outcome, now);
         if outcome == ConnectOutcome::Reached {
             self.record_reachable(server, now);
         }
     }
 
-    /// Whether a network fault on this host is suspected. Connection timeouts then say nothing about servers.
+    /// Whether a local network fault is suspected. Connection timeouts are then not counted against servers.
     pub fn suspects_local_fault(&self, now: Instant) -> bool {
-        self.connectivity.is_suspected(now)
+        self.local_fault_detector.is_suspected(now)
     }
 
-    /// Returns the start or end of a suspected local fault once, if there was one since the last call.
+    /// Returns the start or end of a suspected local network fault once, if there was one since the last call.
     pub fn take_suspicion_change(&mut self, now: Instant) -> Option<SuspicionChange> {
-        self.connectivity.take_change(now)
+        self.local_fault_detector.take_change(now)
     }
 
-    /// When the suspected local fault expires if no further connection is attempted.
+    /// When the suspected local network fault expires if no further connection is attempted.
     pub fn suspicion_end(&self, now: Instant) -> Option<Instant> {
-        self.connectivity.suspicion_end(now)
+        self.local_fault_detector.suspicion_end(now)
     }
 
-    /// Records that no connection to the server could be made. Unless the last recorded attempt timed out, the
-    /// failure counts as a refusal.
+    /// Records that no connection to the server could be opened for a request. If the latest recorded attempt
+    /// timed out, this counts as a timeout, or as a brief backoff only while a local network fault is suspected.
+    /// In all other cases, including no recent attempt, it counts as a refusal.
     pub fn record_unreachable(&mut self, server: ServerKey, now: Instant) {
-        let outcome = self.connectivity.newest(server, now);
-        let is_local_fault =
-            outcome == Some(ConnectOutcome::TimedOut) && self.connectivity.is_suspected(now);
+        let outcome = self.local_fault_detector.latest_outcome(server, now);
+        let is_local_fault = outcome == Some(ConnectOutcome::TimedOut)
+            && self.local_fault_detector.is_suspected(now);
         let Some(state) = self.state_mut(server) else { return };
         match outcome {
             _ if is_local_fault => state.back_off_briefly(now),
@@ -51,7 +52,7 @@
 
     /// Returns what a request should do whose server has not sent anything for a while.
     pub fn next_probe_step(&mut self, server: ServerKey, now: Instant) -> ProbeStep {
-        let local_fault_end = self.connectivity.suspected_until(now);
+        let local_fault_end = self.local_fault_detector.suspected_until(now);
         self.state_mut(server)
             .map_or(ProbeStep::Probe, |state| state.probe.next_step(local_fault_end, now))
     }
@@ -67,7 +68,7 @@
     /// has restarted.
     pub fn is_lost(&self, entry: &ServerEntry, now: Instant) -> bool {
         match self.state(entry.key()) {
-            Some(state) => state.probe.is_lost(self.connectivity.suspected_until(now), now),
+            Some(state) => state.probe.is_lost(self.local_fault_detector.suspected_until(now), now),
             None => self.servers.values().any(|state| {
                 state.entry.name == entry.name && entry.incarnation < state.entry.incarnation
             }),
--- a/crates/dispatch/src/server_registry/gossip.rs
+++ b/crates/dispatch/src/server_registry/gossip.rs
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Applies a cache update received from an engine or the prompt store, and queues it for gossip.
+    /// Applies a cache update received from an engine or the prompt cache store, and queues it for gossip.
     pub fn apply_cache_update(&mut self, notice: CacheNotice, now: Instant) {
         self.apply_cache_notice(&notice, now);
         self.pending_cache_updates.push(notice);
--- a/crates/dispatch/src/server_state.rs
+++ b/crates/dispatch/src/server_state.rs
@@ -69,8 +69,8 @@
 const MIN_BACKOFF: Duration = Duration::from_millis(400);
 /// Upper bound of the backoff.
 const MAX_BACKOFF: Duration = Duration::from_millis(1_600);
-/// After this time an engine no longer counts as loading. Running requests finish within 1 to 2 s, and the
-/// load itself takes about 300 ms.
+/// After this time an engine no longer counts as loading. Covers the load and the running requests that must
+/// finish before it.
 const LOADING_TIMEOUT: Duration = Duration::from_millis(2_500);
 
 impl ServerState {
--- a/crates/dispatch/src/service_rule.rs
+++ b/crates/dispatch/src/service_rule.rs
@@ -6,7 +6,7 @@
 use fulmargate_names::ServiceName;
 use fulmargate_names::ZoneName;
 
-/// A service that routes refer to, or the prompt store.
+/// A service that routes refer to, or the prompt cache store.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServiceRule {
     /// The service's name.
@@ -15,7 +15,7 @@
     pub max_connections: Option<u32>,
     /// Set if the servers are model engines.
     pub engine: Option<EngineRule>,
-    /// Set if the service is a prompt store.
+    /// Set if the service is a prompt cache store.
     pub cache_store: Option<CacheStore>,
 }
 
@@ -36,7 +36,7 @@
     pub models: Vec<ModelName>,
 }
 
-/// A store for cached prompts, shared by engines.
+/// A prompt cache store, shared by engines.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CacheStore {
     /// Its address.
