--- a/crates/entry/src/state/connect_outcome.rs
+++ b/crates/entry/src/state/connect_outcome.rs
@@ -1,4 +1,4 @@
-//! Records the outcomes of connection attempts, and logs when this host suspects its own network.
+//! Records the outcomes of connection attempts, and logs suspected local network faults.
 
 use std::sync::Arc;
 
@@ -18,23 +18,23 @@
 pub(crate) fn record_connect_outcome(
     state: &Arc<SharedState>,
     server: ServerKey,
-    end: ConnectOutcome,
+    outcome: ConnectOutcome,
 ) {
-    count_connect(end.name());
+    count_connect(outcome.name());
     let now = Instant::now();
     let mut servers = state.servers();
-    servers.record_connect(server, end, now);
+    servers.record_connect(server, outcome, now);
     let change = servers.take_suspicion_change(now);
     drop(servers);
     let Some(change) = change else { return };
-    log_reachability(state, change);
+    log_suspicion_change(state, change);
     if matches!(change, SuspicionChange::Started(_)) {
-        spawn_local(wait_for_recovery(state.clone()));
+        spawn_local(log_suspicion_end(state.clone()));
     }
 }
 
-/// Logs the end of the suspicion even if no further connection is attempted.
-async fn wait_for_recovery(state: Arc<SharedState>) {
+/// Logs the end of a suspected local network fault even if no further connection is attempted.
+async fn log_suspicion_end(state: Arc<SharedState>) {
     loop {
         let now = Instant::now();
         let end = state.servers().suspicion_end(now);
@@ -43,11 +43,11 @@
     }
     let change = state.servers().take_suspicion_change(Instant::now());
     if let Some(change) = change {
-        log_reachability(&state, change);
+        log_suspicion_change(&state, change);
     }
 }
 
-fn log_reachability(state: &SharedState, change: SuspicionChange) {
+fn log_suspicion_change(state: &SharedState, change: SuspicionChange) {
     let kind = match change {
         SuspicionChange::Started(_) => EventKind::OwnReachDoubted,
         SuspicionChange::Ended(..) => EventKind::OwnReachRestored,
--- a/crates/entry/src/state/shared_state.rs
+++ b/crates/entry/src/state/shared_state.rs
@@ -111,7 +111,8 @@
         let before = |bound: Duration| bound.saturating_sub(PROOF_EXPIRY_MARGIN);
         let mut proof =
             ConfigProof::new(before(bounds.key_revoke()), before(bounds.config_apply()));
-        // The store may have been restored from a backup; the fleet topic shows whether it was.
+        // The store may have been restored from a backup while this process did not run. Reads are untrusted
+        // for a grace period unless the fleet topic shows that nothing was lost.
         proof.mark_untrusted(StoreEpoch(0), boot_now());
         let incarnation = Incarnation(uuid::Uuid::new_v4().as_u64_pair().0);
         let quotas = QuotaTracker::new(
@@ -149,8 +150,8 @@
         });
     }
 
-    /// Waits for an epoch later than `epoch`. Lets a long poll whose connection died with the store reconnect
-    /// as soon as any other call has reached the restarted store.
+    /// Waits until any response of the store carries an epoch later than `epoch`. A long poll that still waits on a
+    /// dead connection to the store can then be abandoned at once.
     pub(crate) async fn epoch_after(&self, epoch: StoreEpoch) -> StoreEpoch {
         let mut newest = self.epoch.subscribe();
         match newest.wait_for(|newest| epoch < *newest).await {
--- a/crates/entry/src/traffic/crash_check.rs
+++ b/crates/entry/src/traffic/crash_check.rs
@@ -15,14 +15,14 @@
 use crate::state::SharedState;
 use crate::traffic::server_connection::ServerConnection;
 
-/// Delay between a failed connection and its evaluation. When this host's own link is saturated, connections
-/// to many servers fail at about the same time; the delay lets most of these failures be recorded first.
+/// Delay between a failed connection and its evaluation. A local network fault makes connections to many servers
+/// fail at about the same time; the delay lets most of these failures be recorded first.
 const EVALUATION_DELAY: Duration = Duration::from_millis(100);
-/// Consecutive failed connections after which a server counts as crashed. Decides the case of a server that
-/// is no longer listed and therefore not tracked.
+/// Connection timeouts after which a server counts as crashed, even if it is no longer listed and therefore not
+/// tracked. Counted anew while a local network fault is suspected.
 const MAX_FAILED_CONNECTIONS: u32 = 2;
-/// If no verdict is reached within this time, such as while this host suspects its own network, the server is
-/// not reported as crashed.
+/// If no verdict is reached within this time, such as during a suspected local network fault, the server is not
+/// reported as crashed.
 const CHECK_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// A request whose connection broke, and the server that was running it.
@@ -37,8 +37,8 @@
 impl CrashCheck {
     /// Checks the server; if it has crashed, records the crash and publishes it to the other routers.
     ///
-    /// A refused connection proves a crash. A timeout does not, because connections also time out on a
-    /// saturated link: it counts only when repeated, and not while this host suspects its own network.
+    /// A single refused connection is taken as a crash. Connections also time out on a saturated link, so timeouts
+    /// count only when repeated, and not while a local network fault is suspected.
     pub(crate) async fn run(self) {
         let Some(reason) = self.detect_crash().await else { return };
         let CrashCheck { state, id, fingerprint, server } = self;
--- a/crates/entry/src/traffic/in_flight_request.rs
+++ b/crates/entry/src/traffic/in_flight_request.rs
@@ -48,7 +48,7 @@
     }
 
     /// Returns whether connection failures are most likely caused by this host's own network.
-    pub(crate) fn suspects_local_network(&self) -> bool {
+    pub(crate) fn suspects_local_fault(&self) -> bool {
         self.state.servers().suspects_local_fault(Instant::now())
     }
 
--- a/crates/entry/src/traffic/prompt_queue.rs
+++ b/crates/entry/src/traffic/prompt_queue.rs
@@ -26,7 +26,7 @@
 use crate::state::boot_now;
 
 /// Engines with outdated weights stop receiving requests this long before requests may no longer start on
-/// these weights, because a request may first wait at the engine.
+/// these weights. The wait that is estimated for each engine is deducted in addition.
 const WEIGHTS_EXPIRY_MARGIN: Duration = Duration::from_millis(1_500);
 /// Maximum time between two passes over a non-empty queue. Engines become available and deadlines approach
 /// without a notification.
--- a/crates/entry/src/traffic/quota_charge.rs
+++ b/crates/entry/src/traffic/quota_charge.rs
@@ -1,4 +1,4 @@
-//! Charges requests to their team's quota.
+//! Charges requests to their team's quota; "admitted" here means that the quota has enough tokens.
 
 use std::sync::Arc;
 
@@ -17,7 +17,7 @@
     state: Arc<SharedState>,
     team: TeamName,
     cost: u64,
-    /// Sends that the server executed or may have executed.
+    /// Sends that a server executed or may have executed, including the one in progress.
     possible_runs: u32,
 }
 
--- a/crates/entry/src/traffic/request_decoder.rs
+++ b/crates/entry/src/traffic/request_decoder.rs
@@ -1,4 +1,4 @@
-//! Decodes and admits callers' requests.
+//! Decodes callers' requests and admits them: authenticates the key, finds the route and charges the quota.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -83,6 +83,7 @@
 
 /// Looks up the route and team of a request. Fails with `NotReady` until a configuration is loaded.
 pub(crate) fn admit(state: &SharedState, parts: &Parts) -> Result<AdmittedHead, RequestFailure> {
+    // Stands for the caller's remaining time if the head does not state it. It only bounds `retry-after`.
     let time_left = Duration::from_secs(1);
     let fail = |kind: ErrorKind| RequestFailure::new(kind, time_left);
     let head = CallerHead::decode(parts).map_err(|err| {
--- a/crates/entry/src/traffic/request_failure.rs
+++ b/crates/entry/src/traffic/request_failure.rs
@@ -16,8 +16,8 @@
 
 /// `retry-after` if the failure has no more specific delay.
 const DEFAULT_RETRY_DELAY: Duration = Duration::from_millis(150);
-/// Upper bound of `retry-after` on a 503, as a share of the caller's remaining time. Callers ignore longer
-/// delays.
+/// Upper bound of `retry-after` on a 503, as a share of the caller's remaining time. Callers are
+/// assumed to ignore longer delays.
 const MAX_RETRY_DELAY_SHARE: f64 = 0.3;
 
 /// Why the router responds with an error of its own.
@@ -61,8 +61,9 @@
         self
     }
 
-    /// The response status. 503 promises the caller that the request was not executed, so only kinds that
-    /// guarantee this use it. A request that crashes servers was not executed under this request id.
+    /// The response status. 503 promises the caller that the request was not executed. `CrashingRequest` uses it
+    /// instead of the status in the table of error kinds, since this router returns that kind only for requests
+    /// that were certainly not executed under this request id.
     pub(crate) fn status(&self) -> StatusCode {
         let row = self.kind.row();
         let status = match self.kind {
--- a/crates/entry/src/traffic/request_handler.rs
+++ b/crates/entry/src/traffic/request_handler.rs
@@ -175,8 +175,8 @@
         }
     }
 
-    /// Admits the request again if the configuration has changed since, so that changed routes and revoked
-    /// keys take effect before the next send.
+    /// Authenticates and routes the request again if the configuration has changed since, so that changed routes and
+    /// revoked keys take effect before the next send. The prompt, the deadline and the charge stay as decoded.
     pub(super) fn readmit(&mut self) -> Result<(), RequestFailure> {
         let current = self.state.table.load().as_ref().map(|table| table.version());
         if current == Some(self.decoded.table.version()) {
@@ -245,6 +245,7 @@
         self.progress.may_fail_over(&self.facts().route) && self.service().is_some_and(has_retry)
     }
 
+    /// The service for the next send. A route with several services picks one by the hash of the request id.
     fn service(&self) -> Option<ServiceName> {
         let hash = xxh3_64(self.facts().id.as_str().as_bytes());
         self.facts().route.service_for(hash).cloned()
--- a/crates/entry/src/traffic/request_handler/log.rs
+++ b/crates/entry/src/traffic/request_handler/log.rs
@@ -1,4 +1,6 @@
 //! Log lines about a request.
+//!
+//! `took_ms` is the time since the request arrived, `silent_ms` the time since the last event of its stream.
 
 use fulmargate_dispatch::EngineChoice;
 use fulmargate_dispatch::ServerEntry;
--- a/crates/entry/src/traffic/request_handler/plan.rs
+++ b/crates/entry/src/traffic/request_handler/plan.rs
@@ -27,9 +27,9 @@
 use crate::traffic::request_handler::ResumePoint;
 use crate::traffic::send_attempt::SendPlan;
 
-/// An idempotent request without a response after this share of its target latency is sent to another server.
-/// A healthy server has nearly always responded by then.
-const HEDGE_DELAY_SHARE: f64 = 0.6;
+/// An attempt of an idempotent request without a response after this share of its target latency is abandoned, and
+/// the request is sent to another server.
+const ATTEMPT_TIMEOUT_SHARE: f64 = 0.6;
 /// Interval at which an unresponsive server is probed, as a share of the target latency.
 const PROBE_INTERVAL_SHARE: f64 = 1.0;
 
@@ -159,8 +159,9 @@
         }
     }
 
-    /// The time at which an attempt is abandoned although its server is reachable. Only idempotent requests are
-    /// hedged: sending prompts a second time would overload busy engines further.
+    /// The time at which an attempt is abandoned although its server is reachable: before the request's deadline only
+    /// if the request is idempotent and may be sent again. Sending prompts a second time would overload busy
+    /// engines further.
     fn attempt_deadline(&self) -> Instant {
         let facts = self.facts();
         let route = &facts.route;
@@ -168,7 +169,7 @@
         if is_last || route.kind != RouteKind::Idempotent {
             return facts.deadline;
         }
-        facts.deadline.min(Instant::now() + route.target_latency.mul_f64(HEDGE_DELAY_SHARE))
+        facts.deadline.min(Instant::now() + route.target_latency.mul_f64(ATTEMPT_TIMEOUT_SHARE))
     }
 
     /// The latest time at which a request may start on this weights version.
--- a/crates/entry/src/traffic/request_handler/stream_timing.rs
+++ b/crates/entry/src/traffic/request_handler/stream_timing.rs
@@ -22,7 +22,7 @@
         self.first_event.get_or_insert(now);
     }
 
-    /// The longest gap so far, as a share of the gap that the route allows.
+    /// The longest gap between events so far, as a share of the gap that the route allows.
     pub(crate) fn max_gap_share(&self, kind: RouteKind) -> f64 {
         let RouteKind::Stream(rule) = kind else { return 0.0 };
         self.max_gap.as_secs_f64() / rule.max_gap.as_secs_f64().max(f64::EPSILON)
--- a/crates/entry/src/traffic/request_service.rs
+++ b/crates/entry/src/traffic/request_service.rs
@@ -21,7 +21,8 @@
 use crate::traffic::request_handler::RequestHandler;
 use crate::traffic::response_body::ResponseBody;
 
-/// Assumed remaining time of callers during shutdown, when request heads are no longer decoded.
+/// Stands for the caller's remaining time during shutdown, when request heads are no longer decoded. It only
+/// bounds `retry-after`.
 const SHUTDOWN_TIME_LEFT: Duration = Duration::from_millis(300);
 
 /// Counts a request as open until its response starts.
--- a/crates/entry/src/traffic/send_attempt.rs
+++ b/crates/entry/src/traffic/send_attempt.rs
@@ -33,8 +33,8 @@
 /// How often a request that waits for a response checks whether its server has failed.
 const SERVER_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Failed probe connections after which an unresponsive server counts as unreachable. A refused connection
-/// counts at once.
+/// Failed probe connections after which an unresponsive server counts as unreachable. A single refused connection
+/// suffices.
 const MAX_FAILED_PROBES: u32 = 2;
 
 /// The chosen server and the parameters of a send.
@@ -191,7 +191,7 @@
         if err.outcome() == ConnectOutcome::Refused {
             return Some(err);
         }
-        if plan.in_flight.suspects_local_network() {
+        if plan.in_flight.suspects_local_fault() {
             return None;
         }
         if MAX_FAILED_PROBES <= failed_probes {
--- a/crates/entry/src/traffic/server_connection.rs
+++ b/crates/entry/src/traffic/server_connection.rs
@@ -23,7 +23,8 @@
 use crate::state::SharedState;
 use crate::state::record_connect_outcome;
 
-/// Shorter than the one second after which TCP retransmits a lost SYN: trying another server is faster.
+/// Shorter than the one second after which TCP retransmits a lost SYN: trying another server is faster. Must agree
+/// with the constant of the same name in the local fault detector of `fulmargate-dispatch`.
 pub(crate) const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
 /// How long data sent to a server may stay unacknowledged before the connection is dropped.
 const SERVER_TCP_TIMEOUT: Duration = Duration::from_millis(1_500);
@@ -38,7 +39,7 @@
 /// Why a connection could not be opened. No byte of the request was sent.
 #[derive(Debug, Display, Error)]
 pub(crate) enum ConnectError {
-    /// The connection was refused or reset by the server's host.
+    /// The connection was refused or reset by the server's machine.
     #[display("no connection: {reason}")]
     Refused { reason: String },
     /// Any other error, such as no route, or no free port or file descriptor on this host.
@@ -59,7 +60,8 @@
         }
     }
 
-    /// The outcome to record for the server.
+    /// The outcome to record for the server. Errors other than a refusal, including those of this host, are
+    /// recorded as timeouts.
     pub(crate) fn outcome(&self) -> ConnectOutcome {
         match self {
             ConnectError::Refused { .. } => ConnectOutcome::Refused,
--- a/crates/entry/src/traffic/stream_relay.rs
+++ b/crates/entry/src/traffic/stream_relay.rs
@@ -31,7 +31,7 @@
 
 /// Chunks buffered for a slow caller. A full buffer applies backpressure to the server.
 const MAX_BUFFERED_CHUNKS: usize = 4;
-/// A server that sends nothing for this many times the route's longest gap is probed.
+/// A server that sends nothing for this many times the longest gap that the route allows is probed.
 const PROBE_GAP_FACTOR: u32 = 2;
 
 /// Starts a task that relays the stream, and returns the response to the caller.
