--- a/crates/dispatch/src/chat_stall_tracker.rs
+++ b/crates/dispatch/src/chat_gap_tracker.rs
@@ -21,13 +21,13 @@
 /// How much a long prompt delays chats depends on the engine's prefill chunk size, which is not
 /// reported but can be inferred from the gaps between events.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct ChatStallTracker {
+pub(crate) struct ChatGapTracker {
     chats: f64,
     near_limit: f64,
     updated_at: Option<Instant>,
 }
 
-impl ChatStallTracker {
+impl ChatGapTracker {
     /// Records a chat whose longest gap was this share of the gap that its caller accepts.
     pub(crate) fn record(&mut self, share: f64, now: Instant) {
         let decay = self.decay(now);
--- a/crates/dispatch/src/engine_choice.rs
+++ b/crates/dispatch/src/engine_choice.rs
@@ -179,7 +179,7 @@
     /// Request rates of prompt parts.
     pub(crate) demand: &'a DemandMeter,
     /// How much long prompts delay chats, from 0 to 1.
-    pub(crate) stall: f64,
+    pub(crate) chat_delay: f64,
 }
 
 impl EngineRequest<'_> {
--- a/crates/dispatch/src/engine_choice/interference.rs
+++ b/crates/dispatch/src/engine_choice/interference.rs
@@ -35,14 +35,14 @@
             CallShape::Chat => {
                 let queued_tokens = state.backlog.total() + context.others.backlog.total();
                 let engines = context.engines as f64;
-                let excess_rank =
-                    context.chat_rank as f64 + 1.0 - (engines * chat_share(context.stall)).ceil();
+                let excess_rank = context.chat_rank as f64 + 1.0
+                    - (engines * chat_share(context.chat_delay)).ceil();
                 let rank_penalty_ms = excess_rank.max(0.0) * CHAT_RANK_PENALTY_MS;
                 rank_penalty_ms + queued_tokens / PREFILL_TOKENS_PER_MS * PREFILL_DELAY_SHARE
             }
             CallShape::Heavy => {
                 let chats = f64::from(state.chats + context.others.chats);
-                (chats * CHAT_DELAY_MS * context.stall).min(MAX_CHAT_DELAY_MS)
+                (chats * CHAT_DELAY_MS * context.chat_delay).min(MAX_CHAT_DELAY_MS)
             }
             CallShape::Plain => 0.0,
         }
--- a/crates/dispatch/src/engine_choice/sampling.rs
+++ b/crates/dispatch/src/engine_choice/sampling.rs
@@ -19,8 +19,8 @@
 const SAMPLED_HOLDERS: f64 = 3.0;
 
 /// Share of the engines that are filled with chats first.
-pub(super) fn chat_share(stall: f64) -> f64 {
-    1.0 - (1.0 - MIN_CHAT_SHARE) * stall
+pub(super) fn chat_share(chat_delay: f64) -> f64 {
+    1.0 - (1.0 - MIN_CHAT_SHARE) * chat_delay
 }
 
 impl EngineRequest<'_> {
@@ -47,12 +47,12 @@
             return true;
         }
         let mut share = SAMPLED_ENGINES / context.routers.max(1) as f64;
-        let chat_engines = (context.engines as f64 * chat_share(context.stall)).ceil();
+        let chat_engines = (context.engines as f64 * chat_share(context.chat_delay)).ceil();
         if context.shape == CallShape::Chat {
             if chat_engines <= context.chat_rank as f64 && share < 1.0 {
                 return false;
             }
-            share /= chat_share(context.stall);
+            share /= chat_share(context.chat_delay);
         }
         context.is_owner || self.jitter(state) < share || self.samples_holder(state, context)
     }
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -10,7 +10,7 @@
 mod call_facts;
 mod call_progress;
 mod call_shape;
-mod chat_stall_tracker;
+mod chat_gap_tracker;
 mod config_proof;
 mod connect_outcome;
 mod crash_tracker;
--- a/crates/dispatch/src/route_table.rs
+++ b/crates/dispatch/src/route_table.rs
@@ -25,7 +25,7 @@
     teams: Vec<Arc<TeamRule>>,
     teams_by_key: IndexMap<String, Arc<TeamRule>>,
     services: IndexMap<ServiceName, Arc<ServiceRule>>,
-    store: Option<CacheStore>,
+    cache_store: Option<CacheStore>,
     limits: CallerLimits,
     salts: SaltGenerator,
 }
@@ -53,7 +53,7 @@
                 teams_by_key.insert(key.clone(), team.clone());
             }
         }
-        let store = config.services.iter().find_map(|service| service.cache_store.clone());
+        let cache_store = config.services.iter().find_map(|service| service.cache_store.clone());
         let services = config
             .services
             .into_iter()
@@ -65,7 +65,7 @@
             teams_by_key,
             teams,
             services,
-            store,
+            cache_store,
             limits: config.limits,
             salts: SaltGenerator::new(isolated),
         }
@@ -115,12 +115,12 @@
 
     /// The prompt cache store, if one is configured.
     pub fn cache_store(&self) -> Option<&CacheStore> {
-        self.store.as_ref()
+        self.cache_store.as_ref()
     }
 
     /// Address of the prompt cache store, if one is configured.
     pub fn cache_store_address(&self) -> Option<SocketAddr> {
-        self.store.as_ref().map(|store| store.address)
+        self.cache_store.as_ref().map(|store| store.address)
     }
 
     /// Limits on requests and connections of callers.
--- a/crates/dispatch/src/server_registry.rs
+++ b/crates/dispatch/src/server_registry.rs
@@ -25,7 +25,7 @@
 use crate::ServerKey;
 use crate::ServerState;
 use crate::Urgency;
-use crate::chat_stall_tracker::ChatStallTracker;
+use crate::chat_gap_tracker::ChatGapTracker;
 use crate::engine_choice::scope_of;
 use crate::link_usage::LinkUsage;
 use crate::local_fault_detector::LocalFaultDetector;
@@ -69,7 +69,7 @@
     /// Request rate of each prompt part, over all routers.
     demand: DemandMeter,
     /// How much long prompts delay chat streams on the same engine.
-    stalls: ChatStallTracker,
+    chat_gaps: ChatGapTracker,
     /// Prompts sent since the last gossip message.
     pending_prompts: Vec<PromptNotice>,
     /// Cache updates received since the last gossip message.
@@ -213,7 +213,7 @@
     /// Records the longest gap between events of a finished stream, as a share of the gap that its route accepts.
     pub fn record_stall(&mut self, ticket: &SendTicket, share: f64, now: Instant) {
         if ticket.shape == CallShape::Chat {
-            self.stalls.record(share, now);
+            self.chat_gaps.record(share, now);
         }
     }
 
--- a/crates/dispatch/src/server_registry/choices.rs
+++ b/crates/dispatch/src/server_registry/choices.rs
@@ -136,7 +136,7 @@
             others: self.peers.total(engine.state.key()),
             sources: sources.get(&engine.weights).map_or(&[][..], Vec::as_slice),
             demand: &self.demand,
-            stall: self.stalls.strength(request.now),
+            chat_delay: self.chat_gaps.strength(request.now),
         };
         let is_sampled =
             |engine: &EligibleEngine<'_>| request.is_sampled(engine.state, &context(engine));
--- a/crates/dispatch/src/server_state.rs
+++ b/crates/dispatch/src/server_state.rs
@@ -161,7 +161,7 @@
         self.probe.record_failure(outcome, now);
     }
 
-    /// Backs off after a connection that probably failed through a local fault. Requests try other servers
+    /// Backs off after a connection that probably failed through a local network fault. Requests try other servers
     /// meanwhile. The failure is not counted, and the backoff stays short so that the server is used again
     /// soon after the fault ends.
     pub(crate) fn back_off_briefly(&mut self, now: Instant) {
