--- a/crates/dispatch/src/route_table.rs
+++ b/crates/dispatch/src/route_table.rs
@@ -20,12 +20,12 @@
 #[derive(Debug)]
 pub struct RouteTable {
     version: ConfigVersion,
-    /// Routes of each host, longest path prefix first.
+    /// Routes of each HTTP host name, longest path prefix first.
     hosts: IndexMap<String, Vec<Arc<RouteRule>>>,
     teams: Vec<Arc<TeamRule>>,
     teams_by_key: IndexMap<String, Arc<TeamRule>>,
     services: IndexMap<ServiceName, Arc<ServiceRule>>,
-    store: Option<CacheStore>,
+    cache_store: Option<CacheStore>,
     limits: CallerLimits,
     salts: SaltGenerator,
 }
@@ -53,7 +53,7 @@
                 teams_by_key.insert(key.clone(), team.clone());
             }
         }
-        let store = config.services.iter().find_map(|service| service.cache_store.clone());
+        let cache_store = config.services.iter().find_map(|service| service.cache_store.clone());
         let services = config
             .services
             .into_iter()
@@ -65,7 +65,7 @@
             teams_by_key,
             teams,
             services,
-            store,
+            cache_store,
             limits: config.limits,
             salts: SaltGenerator::new(isolated),
         }
@@ -76,7 +76,7 @@
         self.version
     }
 
-    /// Finds the route of the host with the longest matching path prefix.
+    /// Finds the route of the HTTP host name with the longest matching path prefix.
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<RouteRule>> {
         let routes = self.hosts.get(host.to_ascii_lowercase().as_str())?;
         routes.iter().find(|route| path.starts_with(&route.path_prefix))
@@ -113,14 +113,14 @@
         self.services.values()
     }
 
-    /// The prompt store, if one is configured.
+    /// The prompt cache store, if one is configured.
     pub fn cache_store(&self) -> Option<&CacheStore> {
-        self.store.as_ref()
+        self.cache_store.as_ref()
     }
 
-    /// Address of the prompt store, if one is configured.
+    /// Address of the prompt cache store, if one is configured.
     pub fn cache_store_address(&self) -> Option<SocketAddr> {
-        self.store.as_ref().map(|store| store.address)
+        self.cache_store.as_ref().map(|store| store.address)
     }
 
     /// Limits on requests and connections of callers.
@@ -133,7 +133,7 @@
         &self.salts
     }
 
-    /// Numbers of routes, hosts and keys, for status and logs.
+    /// Numbers of routes, HTTP host names and keys, for status and logs.
     pub fn sizes(&self) -> (usize, usize, usize) {
         let routes = self.hosts.values().map(Vec::len).sum();
         (routes, self.hosts.len(), self.teams_by_key.len())
--- a/crates/dispatch/src/server_state.rs
+++ b/crates/dispatch/src/server_state.rs
@@ -69,8 +69,8 @@
 const MIN_BACKOFF: Duration = Duration::from_millis(400);
 /// Upper bound of the backoff.
 const MAX_BACKOFF: Duration = Duration::from_millis(1_600);
-/// After this time an engine no longer counts as loading. Running requests finish within 1 to 2 s, and the
-/// load itself takes about 300 ms.
+/// After this time an engine no longer counts as loading. Covers the load and the running requests that must
+/// finish before it.
 const LOADING_TIMEOUT: Duration = Duration::from_millis(2_500);
 
 impl ServerState {
@@ -161,7 +161,7 @@
         self.probe.record_failure(outcome, now);
     }
 
-    /// Backs off after a connection that probably failed through a local fault. Requests try other servers
+    /// Backs off after a connection that probably failed through a local network fault. Requests try other servers
     /// meanwhile. The failure is not counted, and the backoff stays short so that the server is used again
     /// soon after the fault ends.
     pub(crate) fn back_off_briefly(&mut self, now: Instant) {
