--- a/crates/peers/examples/traffic.rs
+++ b/crates/peers/examples/traffic.rs
@@ -92,7 +92,7 @@
     for second in 0..MEASUREMENT_S {
         if rng.random_bool(0.19) {
             version += 1;
-            net.put_config(rng.random_range(0..hosts), version);
+            net.apply_config(rng.random_range(0..hosts), version);
         }
         if rng.random_bool(changes_per_s) {
             net.restart(rng.random_range(0..hosts));
@@ -189,11 +189,12 @@
         let item = PeerItem::ServerLeaving { server, incarnation: Incarnation(1) };
         let all_hosts = net.running();
         net.put(repetition % hosts, item.clone());
-        leaving_times.push(
-            net.run_until(60_000, |net| net.all_have(&all_hosts, |held_item| *held_item == item)),
-        );
-        net.put_config((repetition + 1) % hosts, 1_000 + repetition as u64);
-        config_times.push(net.run_until(60_000, |net| net.all_in_force(1_000 + repetition as u64)));
+        leaving_times.push(net.run_until(60_000, |net| {
+            net.all_have_item(&all_hosts, |held_item| *held_item == item)
+        }));
+        net.apply_config((repetition + 1) % hosts, 1_000 + repetition as u64);
+        config_times
+            .push(net.run_until(60_000, |net| net.all_have_config(1_000 + repetition as u64)));
         net.run(2_000);
     }
     println!("leaving server known on all hosts: {}", summarize_durations(&leaving_times));
@@ -201,7 +202,9 @@
     net.kill(hosts - 1);
     println!(
         "killed host gone on all hosts: {}",
-        format_duration(net.run_until(120_000, |net| net.all_hold(hosts - 1, MemberState::Gone)))
+        format_duration(
+            net.run_until(120_000, |net| net.all_see_state(hosts - 1, MemberState::Gone))
+        )
     );
     net.restart(hosts - 1);
     println!(
@@ -219,10 +222,10 @@
 }
 
 fn measure_partition(net: &mut SimNet, zones: usize) {
-    let inside = net.zone(&format!("zone-{}", zones - 1));
+    let inside = net.zone_hosts(&format!("zone-{}", zones - 1));
     let outside: Vec<usize> =
         net.running().into_iter().filter(|index| !inside.contains(index)).collect();
-    net.cut_both(&inside, &outside);
+    net.block_both(&inside, &outside);
     net.run(600_000);
     let seen_as_gone = inside
         .iter()
--- a/crates/peers/src/net/net_loop.rs
+++ b/crates/peers/src/net/net_loop.rs
@@ -115,7 +115,7 @@
                             self.state.core.borrow_mut().link_failed(to, now_ms);
                         }
                     }
-                    CoreOutput::News(news) => self.publish(news),
+                    CoreOutput::Event(news) => self.publish(news),
                     CoreOutput::DropLink { to } => self.links.close_links_to(to),
                     CoreOutput::DropLinks => self.links.close_all(),
                 }
--- a/crates/peers/src/net/net_state.rs
+++ b/crates/peers/src/net/net_state.rs
@@ -63,7 +63,7 @@
     pub(crate) fn encode_hello(&self) -> Bytes {
         let core = self.core.borrow();
         let message = PeerMessage::Hello { fleet: self.fleet.clone(), member: core.own().clone() };
-        self.encode(&PeerFrame { in_force: core.in_force(), message })
+        self.encode(&PeerFrame { config_version: core.config_version(), message })
     }
 }
 
--- a/crates/peers/src/peer_core.rs
+++ b/crates/peers/src/peer_core.rs
@@ -46,7 +46,7 @@
         frame: PeerFrame,
     },
     /// Notifies the router.
-    News(PeerNews),
+    Event(PeerNews),
     /// Closes the links to a peer that does not answer. After a network partition a new connection
     /// succeeds well before TCP retransmits on the old one.
     DropLink {
@@ -86,8 +86,8 @@
     /// A peer has sent all its records.
     joined: bool,
     join_attempts: u32,
-    full_welcomes_left: u32,
-    in_force: ConfigVersion,
+    full_join_responses_left: u32,
+    config_version: ConfigVersion,
     /// Version last reported by `ConfigAhead`, and when.
     reported_ahead: (ConfigVersion, u64),
     version_announcements_left: u32,
@@ -139,8 +139,8 @@
             seeds: conf.seeds.clone(),
             joined: false,
             join_attempts: 0,
-            full_welcomes_left: joining::FULL_WELCOMES_PER_PERIOD,
-            in_force: ConfigVersion(0),
+            full_join_responses_left: joining::MAX_FULL_JOIN_RESPONSES_PER_PERIOD,
+            config_version: ConfigVersion(0),
             reported_ahead: (ConfigVersion(0), 0),
             version_announcements_left: 0,
             new_urgent: 0,
@@ -156,7 +156,7 @@
             outputs: Vec::new(),
             pace,
         };
-        core.send_join();
+        core.send_join_request();
         core
     }
 
@@ -178,7 +178,7 @@
     }
 
     fn run_protocol_period(&mut self, now_ms: u64) {
-        self.full_welcomes_left = joining::FULL_WELCOMES_PER_PERIOD;
+        self.full_join_responses_left = joining::MAX_FULL_JOIN_RESPONSES_PER_PERIOD;
         self.gone_notices_left = probing::GONE_NOTICES_PER_PERIOD;
         self.items.expire(now_ms);
         self.gossip_queue.expire(now_ms);
@@ -210,25 +210,25 @@
         {
             return;
         }
-        self.check_config_version(from, frame.in_force, now_ms);
+        self.check_config_version(from, frame.config_version, now_ms);
         match frame.message {
             PeerMessage::Hello { .. } => {}
             PeerMessage::Probe { number, digest } => {
                 self.handle_probe(from, number, digest);
             }
             PeerMessage::ProbeAck { number } => self.handle_probe_ack(from, number),
-            PeerMessage::ProbeVia { number, host, address } => {
-                self.handle_probe_via(from, number, &host, address, now_ms);
+            PeerMessage::IndirectProbeRequest { number, host, address } => {
+                self.handle_indirect_probe_request(from, number, &host, address, now_ms);
             }
-            PeerMessage::Join => self.handle_join(from, now_ms),
-            PeerMessage::Welcome { part, records } => {
-                self.handle_welcome(from, part, records, now_ms);
+            PeerMessage::JoinRequest => self.handle_join_request(from, now_ms),
+            PeerMessage::JoinResponse { part, records } => {
+                self.handle_join_response(from, part, records, now_ms);
             }
             PeerMessage::Digest { buckets } => self.handle_digest(from, &buckets),
             PeerMessage::Summary { buckets, entries } => {
                 self.handle_summary(from, &buckets, &entries, now_ms);
             }
-            PeerMessage::Want { keys } => self.handle_want(from, &keys, now_ms),
+            PeerMessage::RecordRequest { keys } => self.handle_record_request(from, &keys, now_ms),
             PeerMessage::Update { records } => self.merge_records(from, records, now_ms),
         }
         self.gossip_urgent(now_ms);
@@ -248,7 +248,7 @@
         let queued = member_id.filter(|id| !is_full && !self.priority_probes.contains(id));
         self.priority_probes.extend(queued);
         if !self.joined && self.join_attempts < joining::MAX_FAST_JOIN_ATTEMPTS {
-            self.send_join();
+            self.send_join_request();
         }
     }
 
@@ -312,8 +312,8 @@
     }
 
     /// The configuration version in force on this host.
-    pub fn in_force(&self) -> ConfigVersion {
-        self.in_force
+    pub fn config_version(&self) -> ConfigVersion {
+        self.config_version
     }
 
     /// All known members, including this host.
@@ -370,7 +370,7 @@
     }
 
     fn notify(&mut self, news: PeerNews) {
-        self.outputs.push(CoreOutput::News(news));
+        self.outputs.push(CoreOutput::Event(news));
     }
 
     /// Queues a frame and charges it to the byte budget. Probe traffic is exempt: it is small, and
@@ -378,12 +378,16 @@
     fn send(&mut self, to: SocketAddr, message: PeerMessage) {
         let is_probe = matches!(
             message,
-            PeerMessage::Probe { .. } | PeerMessage::ProbeAck { .. } | PeerMessage::ProbeVia { .. }
+            PeerMessage::Probe { .. }
+                | PeerMessage::ProbeAck { .. }
+                | PeerMessage::IndirectProbeRequest { .. }
         );
         if !is_probe {
             self.byte_budget.consume(encoded_len(&message));
         }
-        self.outputs
-            .push(CoreOutput::Send { to, frame: PeerFrame { in_force: self.in_force, message } });
+        self.outputs.push(CoreOutput::Send {
+            to,
+            frame: PeerFrame { config_version: self.config_version, message },
+        });
     }
 }
--- a/crates/peers/src/peer_core/anti_entropy.rs
+++ b/crates/peers/src/peer_core/anti_entropy.rs
@@ -19,7 +19,7 @@
 /// Maximum bytes of records in one response. The rest follows in later rounds.
 const MAX_RESPONSE_BYTES: usize = 8 * 1_024;
 const MAX_SUMMARY_ENTRIES: usize = 256;
-/// Maximum number of keys in one `Want`.
+/// Maximum number of keys in one `RecordRequest`.
 const MAX_REQUESTED_KEYS: usize = 128;
 
 impl PeerCore {
@@ -107,12 +107,17 @@
         let offered: Vec<RecordKey> =
             own.iter().filter(|entry| !theirs.contains(entry)).map(|entry| entry.key).collect();
         if !keys.is_empty() && self.byte_budget.available() > 0 {
-            self.send(from.address, PeerMessage::Want { keys });
+            self.send(from.address, PeerMessage::RecordRequest { keys });
         }
         self.send_records(from, &offered, now_ms);
     }
 
-    pub(super) fn handle_want(&mut self, from: &MemberRecord, keys: &[RecordKey], now_ms: u64) {
+    pub(super) fn handle_record_request(
+        &mut self,
+        from: &MemberRecord,
+        keys: &[RecordKey],
+        now_ms: u64,
+    ) {
         self.send_records(from, keys, now_ms);
     }
 
--- a/crates/peers/src/peer_core/gossip.rs
+++ b/crates/peers/src/peer_core/gossip.rs
@@ -108,11 +108,11 @@
 
     /// Republishes the configuration version of this host before its record expires.
     pub(super) fn republish_version(&mut self, now_ms: u64) {
-        if self.in_force.0 == 0 || now_ms < self.next_version_refresh_ms {
+        if self.config_version.0 == 0 || now_ms < self.next_version_refresh_ms {
             return;
         }
         self.next_version_refresh_ms = now_ms + RecordKind::ConfigInForce.row().ttl_ms / 2;
         let host = self.members.own().host.clone();
-        self.paced_queue.push(PeerItem::ConfigInForce { host, version: self.in_force });
+        self.paced_queue.push(PeerItem::ConfigInForce { host, version: self.config_version });
     }
 }
--- a/crates/peers/src/peer_core/joining.rs
+++ b/crates/peers/src/peer_core/joining.rs
@@ -10,21 +10,21 @@
 use crate::PeerNews;
 use crate::RecordKind;
 use crate::SpreadScope;
+use crate::wire::JoinResponsePart;
 use crate::wire::PeerMessage;
 use crate::wire::PeerRecord;
-use crate::wire::WelcomePart;
 use crate::wire::encoded_len;
 
 /// Number of joining hosts per period that get all records. Others get a sample of the members and
 /// ask one of those, which limits the load when all hosts start at once.
-pub(super) const FULL_WELCOMES_PER_PERIOD: u32 = 4;
+pub(super) const MAX_FULL_JOIN_RESPONSES_PER_PERIOD: u32 = 4;
 /// Number of join attempts made every tick; later attempts are made every period.
 pub(super) const MAX_FAST_JOIN_ATTEMPTS: u32 = 10;
 /// Maximum number of seeds; the newest are kept.
 pub(super) const MAX_SEEDS: usize = 1_024;
 /// Number of members in a sample.
 const SAMPLE_SIZE: usize = 16;
-/// Maximum bytes of records in one part of a welcome.
+/// Maximum bytes of records in one part of a join response.
 const MAX_PART_BYTES: usize = 16 * 1_024;
 
 impl PeerCore {
@@ -32,19 +32,19 @@
     pub(super) fn retry_join(&mut self) {
         let is_fast = self.join_attempts < MAX_FAST_JOIN_ATTEMPTS;
         if !self.joined && (is_fast || self.latest_ms >= self.next_period_ms) {
-            self.send_join();
+            self.send_join_request();
         }
     }
 
     /// Sends a join request to a random seed or member.
-    pub(super) fn send_join(&mut self) {
+    pub(super) fn send_join_request(&mut self) {
         let own = self.members.own().address;
         let members = self.members.present_peers().map(|record| record.address);
         let known: Vec<SocketAddr> =
             members.chain(self.seeds.iter().copied()).filter(|address| *address != own).collect();
         if let Some(&address) = known.choose(&mut self.rng) {
             self.join_attempts += 1;
-            self.send(address, PeerMessage::Join);
+            self.send(address, PeerMessage::JoinRequest);
         }
     }
 
@@ -58,7 +58,7 @@
         let unknown_seeds: Vec<SocketAddr> =
             self.seeds.iter().filter(is_unknown).copied().collect();
         if let Some(&address) = unknown_seeds.choose(&mut self.rng) {
-            self.send(address, PeerMessage::Join);
+            self.send(address, PeerMessage::JoinRequest);
         }
         let gone: Vec<MemberRecord> = self
             .members
@@ -71,19 +71,28 @@
         }
     }
 
-    pub(super) fn handle_join(&mut self, from: &MemberRecord, now_ms: u64) {
-        if self.full_welcomes_left == 0 {
+    pub(super) fn handle_join_request(&mut self, from: &MemberRecord, now_ms: u64) {
+        if self.full_join_responses_left == 0 {
             let records = self.member_sample(now_ms);
-            self.send(from.address, PeerMessage::Welcome { part: WelcomePart::Sample, records });
+            self.send(
+                from.address,
+                PeerMessage::JoinResponse { part: JoinResponsePart::Sample, records },
+            );
             return;
         }
-        self.full_welcomes_left -= 1;
+        self.full_join_responses_left -= 1;
         let mut parts = split_by_size(self.records_for(from, now_ms));
         let last = parts.pop().unwrap_or_default();
         for records in parts {
-            self.send(from.address, PeerMessage::Welcome { part: WelcomePart::More, records });
+            self.send(
+                from.address,
+                PeerMessage::JoinResponse { part: JoinResponsePart::More, records },
+            );
         }
-        self.send(from.address, PeerMessage::Welcome { part: WelcomePart::Last, records: last });
+        self.send(
+            from.address,
+            PeerMessage::JoinResponse { part: JoinResponsePart::Last, records: last },
+        );
     }
 
     fn member_sample(&mut self, now_ms: u64) -> Vec<PeerRecord> {
@@ -112,15 +121,15 @@
         }
     }
 
-    pub(super) fn handle_welcome(
+    pub(super) fn handle_join_response(
         &mut self,
         from: &MemberRecord,
-        part: WelcomePart,
+        part: JoinResponsePart,
         records: Vec<PeerRecord>,
         now_ms: u64,
     ) {
         self.merge_records(from, records, now_ms);
-        if part == WelcomePart::Last && !self.joined {
+        if part == JoinResponsePart::Last && !self.joined {
             self.joined = true;
             self.join_attempts = 0;
             self.neighbors.refresh(&self.members, &mut self.rng);
--- a/crates/peers/src/peer_core/merging.rs
+++ b/crates/peers/src/peer_core/merging.rs
@@ -179,21 +179,21 @@
     pub(super) fn check_config_version(
         &mut self,
         from: &MemberRecord,
-        in_force: ConfigVersion,
+        config_version: ConfigVersion,
         now_ms: u64,
     ) {
         let (reported, reported_ms) = self.reported_ahead;
-        let is_due = in_force > reported || now_ms >= reported_ms + REPORT_AHEAD_INTERVAL_MS;
-        if in_force > self.in_force && is_due {
-            self.reported_ahead = (in_force, now_ms);
-            self.notify(PeerNews::ConfigAhead { host: from.host.clone(), version: in_force });
+        let is_due = config_version > reported || now_ms >= reported_ms + REPORT_AHEAD_INTERVAL_MS;
+        if config_version > self.config_version && is_due {
+            self.reported_ahead = (config_version, now_ms);
+            self.notify(PeerNews::ConfigAhead { host: from.host.clone(), version: config_version });
         }
     }
 
     /// Raises the version in force. The next frames announce it, even if they carry no records.
     pub(super) fn advance_version(&mut self, version: ConfigVersion) {
-        if version > self.in_force {
-            self.in_force = version;
+        if version > self.config_version {
+            self.config_version = version;
             self.version_announcements_left = URGENT_SENDS;
             self.new_urgent += 1;
         }
--- a/crates/peers/src/peer_core/probing.rs
+++ b/crates/peers/src/peer_core/probing.rs
@@ -64,7 +64,7 @@
         }
     }
 
-    pub(super) fn handle_probe_via(
+    pub(super) fn handle_indirect_probe_request(
         &mut self,
         from: &MemberRecord,
         number: u64,
@@ -111,7 +111,7 @@
         self.probes.set_helpers(number, helpers.iter().map(|helper| helper.id()).collect());
         for helper in helpers {
             let (host, address) = (record.host.clone(), record.address);
-            self.send(helper.address, PeerMessage::ProbeVia { number, host, address });
+            self.send(helper.address, PeerMessage::IndirectProbeRequest { number, host, address });
         }
     }
 
--- a/crates/peers/src/peer_counters.rs
+++ b/crates/peers/src/peer_counters.rs
@@ -3,7 +3,7 @@
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
 
-use crate::RECORD_KINDS;
+use crate::RECORD_KIND_COUNT;
 use crate::RecordKind;
 use crate::wire::PeerFrame;
 use crate::wire::PeerMessage;
@@ -28,7 +28,7 @@
 }
 
 /// Number of traffic categories.
-pub const TRAFFIC_KINDS: usize = RECORD_KINDS + 5;
+pub const TRAFFIC_KIND_COUNT: usize = RECORD_KIND_COUNT + 5;
 
 impl TrafficKind {
     /// All categories.
@@ -59,11 +59,11 @@
     fn index(self) -> usize {
         match self {
             TrafficKind::Record(kind) => kind as usize,
-            TrafficKind::Framing => RECORD_KINDS,
-            TrafficKind::Probe => RECORD_KINDS + 1,
-            TrafficKind::Digest => RECORD_KINDS + 2,
-            TrafficKind::Hello => RECORD_KINDS + 3,
-            TrafficKind::Ask => RECORD_KINDS + 4,
+            TrafficKind::Framing => RECORD_KIND_COUNT,
+            TrafficKind::Probe => RECORD_KIND_COUNT + 1,
+            TrafficKind::Digest => RECORD_KIND_COUNT + 2,
+            TrafficKind::Hello => RECORD_KIND_COUNT + 3,
+            TrafficKind::Ask => RECORD_KIND_COUNT + 4,
         }
     }
 }
@@ -91,8 +91,8 @@
 /// Counters of one host.
 #[derive(Debug, Default)]
 pub struct PeerCounters {
-    sent: [AtomicU64; TRAFFIC_KINDS],
-    received: [AtomicU64; TRAFFIC_KINDS],
+    sent: [AtomicU64; TRAFFIC_KIND_COUNT],
+    received: [AtomicU64; TRAFFIC_KIND_COUNT],
     /// Frames sent.
     pub frames_sent: AtomicU64,
     /// Frames received.
@@ -122,7 +122,7 @@
         };
         frames.fetch_add(1, Ordering::Relaxed);
         match &frame.message {
-            PeerMessage::Update { records } | PeerMessage::Welcome { records, .. } => {
+            PeerMessage::Update { records } | PeerMessage::JoinResponse { records, .. } => {
                 self.count_records(direction, records, length);
             }
             message => self.count(direction, traffic_kind(message), length),
@@ -162,13 +162,13 @@
 
 fn traffic_kind(message: &PeerMessage) -> TrafficKind {
     match message {
-        PeerMessage::Hello { .. } | PeerMessage::Join => TrafficKind::Hello,
-        PeerMessage::Probe { .. } | PeerMessage::ProbeAck { .. } | PeerMessage::ProbeVia { .. } => {
-            TrafficKind::Probe
-        }
-        PeerMessage::Digest { .. } | PeerMessage::Summary { .. } | PeerMessage::Want { .. } => {
-            TrafficKind::Digest
-        }
-        PeerMessage::Welcome { .. } | PeerMessage::Update { .. } => TrafficKind::Framing,
+        PeerMessage::Hello { .. } | PeerMessage::JoinRequest => TrafficKind::Hello,
+        PeerMessage::Probe { .. }
+        | PeerMessage::ProbeAck { .. }
+        | PeerMessage::IndirectProbeRequest { .. } => TrafficKind::Probe,
+        PeerMessage::Digest { .. }
+        | PeerMessage::Summary { .. }
+        | PeerMessage::RecordRequest { .. } => TrafficKind::Digest,
+        PeerMessage::JoinResponse { .. } | PeerMessage::Update { .. } => TrafficKind::Framing,
     }
 }
--- a/crates/peers/src/record_kind.rs
+++ b/crates/peers/src/record_kind.rs
@@ -84,7 +84,7 @@
     /// Default TTL in milliseconds.
     pub ttl_ms: u64,
     /// Maximum number of records of this kind per host.
-    pub limit: usize,
+    pub max_records: usize,
     /// Which hosts receive it.
     pub scope: SpreadScope,
     /// How it is prioritized.
@@ -109,24 +109,24 @@
 use SpreadUrgency::Urgent;
 
 /// Number of record kinds.
-pub const RECORD_KINDS: usize = 13;
+pub const RECORD_KIND_COUNT: usize = 13;
 
 /// Indexed by the discriminant of `RecordKind`.
 #[rustfmt::skip]
-const ROWS: [KindRow; RECORD_KINDS] = [
-    KindRow { kind: RecordKind::Member, name: "member", ttl_ms: 6 * HOUR, limit: 4096, scope: Fleet, urgency: Urgent, group: Group::Stable, order: SingleWriter },
-    KindRow { kind: RecordKind::ConfigInForce, name: "config_in_force", ttl_ms: 6 * HOUR, limit: 4096, scope: Fleet, urgency: Lazy, group: Group::Volatile, order: SingleWriter },
-    KindRow { kind: RecordKind::ServerLeaving, name: "server_leaving", ttl_ms: 6 * HOUR, limit: 4096, scope: Fleet, urgency: Urgent, group: Group::Stable, order: HigherValue },
-    KindRow { kind: RecordKind::CrashVerdict, name: "crash_verdict", ttl_ms: HOUR, limit: 1024, scope: Fleet, urgency: Urgent, group: Group::Stable, order: CountedWrites },
-    KindRow { kind: RecordKind::TeamUsage, name: "team_usage", ttl_ms: 30_000, limit: 1024, scope: Aggregator, urgency: Lazy, group: Group::None, order: SingleWriter },
-    KindRow { kind: RecordKind::ZoneUsage, name: "zone_usage", ttl_ms: 30_000, limit: 256, scope: Fleet, urgency: Lazy, group: Group::None, order: CountedWrites },
-    KindRow { kind: RecordKind::HotPrefix, name: "hot_prefix", ttl_ms: MINUTE, limit: 1024, scope: Zone, urgency: Lazy, group: Group::None, order: HigherValue },
-    KindRow { kind: RecordKind::ServerSeen, name: "server_seen", ttl_ms: 6 * HOUR, limit: 4096, scope: Fleet, urgency: Urgent, group: Group::Stable, order: HigherValue },
-    KindRow { kind: RecordKind::ClaimerGone, name: "claimer_gone", ttl_ms: 6 * HOUR, limit: 4096, scope: Fleet, urgency: Urgent, group: Group::Stable, order: HigherValue },
-    KindRow { kind: RecordKind::SuspectWord, name: "suspect_word", ttl_ms: HOUR, limit: 1024, scope: Fleet, urgency: Urgent, group: Group::Volatile, order: SingleWriter },
-    KindRow { kind: RecordKind::TeamUseWord, name: "team_use_word", ttl_ms: 10_000, limit: 1024, scope: Fleet, urgency: Lazy, group: Group::None, order: SingleWriter },
-    KindRow { kind: RecordKind::DemandWord, name: "demand_word", ttl_ms: 10_000, limit: 1024, scope: Fleet, urgency: Lazy, group: Group::None, order: SingleWriter },
-    KindRow { kind: RecordKind::PlanWord, name: "plan_word", ttl_ms: MINUTE, limit: 256, scope: Fleet, urgency: Lazy, group: Group::None, order: SingleWriter },
+const ROWS: [KindRow; RECORD_KIND_COUNT] = [
+    KindRow { kind: RecordKind::Member, name: "member", ttl_ms: 6 * HOUR, max_records: 4096, scope: Fleet, urgency: Urgent, group: Group::Stable, order: SingleWriter },
+    KindRow { kind: RecordKind::ConfigInForce, name: "config_in_force", ttl_ms: 6 * HOUR, max_records: 4096, scope: Fleet, urgency: Lazy, group: Group::Volatile, order: SingleWriter },
+    KindRow { kind: RecordKind::ServerLeaving, name: "server_leaving", ttl_ms: 6 * HOUR, max_records: 4096, scope: Fleet, urgency: Urgent, group: Group::Stable, order: HigherValue },
+    KindRow { kind: RecordKind::CrashVerdict, name: "crash_verdict", ttl_ms: HOUR, max_records: 1024, scope: Fleet, urgency: Urgent, group: Group::Stable, order: CountedWrites },
+    KindRow { kind: RecordKind::TeamUsage, name: "team_usage", ttl_ms: 30_000, max_records: 1024, scope: Aggregator, urgency: Lazy, group: Group::None, order: SingleWriter },
+    KindRow { kind: RecordKind::ZoneUsage, name: "zone_usage", ttl_ms: 30_000, max_records: 256, scope: Fleet, urgency: Lazy, group: Group::None, order: CountedWrites },
+    KindRow { kind: RecordKind::HotPrefix, name: "hot_prefix", ttl_ms: MINUTE, max_records: 1024, scope: Zone, urgency: Lazy, group: Group::None, order: HigherValue },
+    KindRow { kind: RecordKind::ServerSeen, name: "server_seen", ttl_ms: 6 * HOUR, max_records: 4096, scope: Fleet, urgency: Urgent, group: Group::Stable, order: HigherValue },
+    KindRow { kind: RecordKind::ClaimerGone, name: "claimer_gone", ttl_ms: 6 * HOUR, max_records: 4096, scope: Fleet, urgency: Urgent, group: Group::Stable, order: HigherValue },
+    KindRow { kind: RecordKind::SuspectWord, name: "suspect_word", ttl_ms: HOUR, max_records: 1024, scope: Fleet, urgency: Urgent, group: Group::Volatile, order: SingleWriter },
+    KindRow { kind: RecordKind::TeamUseWord, name: "team_use_word", ttl_ms: 10_000, max_records: 1024, scope: Fleet, urgency: Lazy, group: Group::None, order: SingleWriter },
+    KindRow { kind: RecordKind::DemandWord, name: "demand_word", ttl_ms: 10_000, max_records: 1024, scope: Fleet, urgency: Lazy, group: Group::None, order: SingleWriter },
+    KindRow { kind: RecordKind::PlanWord, name: "plan_word", ttl_ms: MINUTE, max_records: 256, scope: Fleet, urgency: Lazy, group: Group::None, order: SingleWriter },
 ];
 
 impl RecordKind {
--- a/crates/peers/src/state/item_table.rs
+++ b/crates/peers/src/state/item_table.rs
@@ -8,7 +8,7 @@
 use crate::ItemRecord;
 use crate::OrderRule;
 use crate::PeerItem;
-use crate::RECORD_KINDS;
+use crate::RECORD_KIND_COUNT;
 use crate::RecordKey;
 use crate::RecordKind;
 use crate::VERDICT_SERVERS;
@@ -39,7 +39,7 @@
 #[derive(Debug)]
 pub(crate) struct ItemTable {
     entries: IndexMap<RecordKey, ItemEntry>,
-    counts_by_kind: [usize; RECORD_KINDS],
+    counts_by_kind: [usize; RECORD_KIND_COUNT],
     digest: DigestBuckets,
 }
 
@@ -47,7 +47,7 @@
     pub(crate) fn new() -> ItemTable {
         ItemTable {
             entries: IndexMap::new(),
-            counts_by_kind: [0; RECORD_KINDS],
+            counts_by_kind: [0; RECORD_KIND_COUNT],
             digest: DigestBuckets::new(),
         }
     }
@@ -133,7 +133,7 @@
         self.entries.insert(key, ItemEntry { record, expires_ms });
         self.counts_by_kind[key.kind as usize] += 1;
         self.digest.toggle(key, stamp);
-        if self.counts_by_kind[key.kind as usize] > key.kind.row().limit {
+        if self.counts_by_kind[key.kind as usize] > key.kind.row().max_records {
             self.evict(key.kind);
         }
         self.entries.contains_key(&key)
--- a/crates/peers/src/state/member_table.rs
+++ b/crates/peers/src/state/member_table.rs
@@ -231,7 +231,7 @@
     /// Makes room for one more member by evicting the one that has been absent longest. Returns
     /// false if all are present.
     fn ensure_capacity(&mut self) -> bool {
-        if self.entries.len() < RecordKind::Member.row().limit {
+        if self.entries.len() < RecordKind::Member.row().max_records {
             return true;
         }
         let absent = self.entries.iter().filter(|(_, entry)| !entry.record.is_present());
--- a/crates/peers/src/state/paced_queue.rs
+++ b/crates/peers/src/state/paced_queue.rs
@@ -3,10 +3,10 @@
 use indexmap::IndexMap;
 
 use crate::PeerItem;
-use crate::RECORD_KINDS;
+use crate::RECORD_KIND_COUNT;
 use crate::RecordKey;
 use crate::RecordKind;
-use crate::wire::item_len;
+use crate::wire::estimated_record_len;
 
 /// Maximum number of pending items; the oldest is dropped first.
 const MAX_PENDING_ITEMS: usize = 64;
@@ -27,7 +27,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct PacedQueue {
     pending: IndexMap<RecordKey, PeerItem>,
-    next_send_ms: [u64; RECORD_KINDS],
+    next_send_ms: [u64; RECORD_KIND_COUNT],
 }
 
 impl PacedQueue {
@@ -72,7 +72,7 @@
         RecordKind::PlanWord => (1, 500),
         _ => return 0,
     };
-    let interval_ms = (item_len(item) * writers * 1_000 / bytes_per_s) as u64;
+    let interval_ms = (estimated_record_len(item) * writers * 1_000 / bytes_per_s) as u64;
     match item.kind() {
         RecordKind::TeamUsage => interval_ms.max(MIN_USAGE_INTERVAL_MS),
         _ => interval_ms,
--- a/crates/peers/src/state/token_bucket.rs
+++ b/crates/peers/src/state/token_bucket.rs
@@ -1,6 +1,6 @@
 //! Rate limit for the bytes that a host sends.
 
-/// Maximum debt, in seconds of refill. Limits how long a full welcome can block gossip.
+/// Maximum debt, in seconds of refill. Limits how long a full join response can block gossip.
 const MAX_DEBT_S: u64 = 2;
 
 /// A token bucket that may be overdrawn.
--- a/crates/peers/src/wire/frame_codec.rs
+++ b/crates/peers/src/wire/frame_codec.rs
@@ -14,21 +14,21 @@
 /// Protocol version, sent as the first byte of every frame.
 pub const PROTOCOL_VERSION: u8 = 1;
 /// Maximum length of a frame in bytes, without its length prefix.
-pub const FRAME_LIMIT: usize = 256 * 1024;
+pub const MAX_FRAME_BYTES: usize = 256 * 1024;
 /// Size of the length prefix in bytes.
-pub const LENGTH_BYTES: usize = 4;
+pub const LENGTH_PREFIX_BYTES: usize = 4;
 
 /// Variable-length integers; the limit bounds what a corrupt length can make the decoder allocate.
 pub(crate) const BINCODE_CONFIG: Configuration<
     bincode::config::LittleEndian,
     bincode::config::Varint,
-    Limit<FRAME_LIMIT>,
-> = bincode::config::standard().with_limit::<FRAME_LIMIT>();
+    Limit<MAX_FRAME_BYTES>,
+> = bincode::config::standard().with_limit::<MAX_FRAME_BYTES>();
 
 /// Error reading a frame. The stream cannot be resynchronized afterwards, so the link is closed.
 #[derive(Debug, Display, Error)]
 pub enum FrameError {
-    /// The frame is empty or longer than `FRAME_LIMIT`.
+    /// The frame is empty or longer than `MAX_FRAME_BYTES`.
     #[display("invalid frame length: {length} bytes")]
     Length {
         /// Length given by the prefix.
@@ -47,10 +47,10 @@
         source: bincode::error::DecodeError,
     },
     /// Bytes remain in the frame after the message.
-    #[display("{excess} unexpected bytes after the message")]
-    Excess {
+    #[display("{count} unexpected bytes after the message")]
+    TrailingBytes {
         /// Number of remaining bytes.
-        excess: usize,
+        count: usize,
     },
 }
 
@@ -58,7 +58,7 @@
 pub fn encode_frame(frame: &PeerFrame) -> Bytes {
     let body = bincode::encode_to_vec(frame, BINCODE_CONFIG)
         .expect("messages are kept below the frame limit");
-    let mut out = BytesMut::with_capacity(LENGTH_BYTES + 1 + body.len());
+    let mut out = BytesMut::with_capacity(LENGTH_PREFIX_BYTES + 1 + body.len());
     out.put_u32(1 + body.len() as u32);
     out.put_u8(PROTOCOL_VERSION);
     out.put_slice(&body);
@@ -76,7 +76,7 @@
     let (frame, read) = bincode::borrow_decode_from_slice(body, BINCODE_CONFIG)
         .map_err(|source| FrameError::Message { source })?;
     if read < body.len() {
-        return Err(FrameError::Excess { excess: body.len() - read });
+        return Err(FrameError::TrailingBytes { count: body.len() - read });
     }
     Ok(frame)
 }
@@ -95,17 +95,17 @@
 
     /// Removes the next complete frame from the buffer, without its length prefix.
     pub fn next_frame(&mut self) -> Result<Option<Bytes>, FrameError> {
-        if self.buffer.len() < LENGTH_BYTES {
+        if self.buffer.len() < LENGTH_PREFIX_BYTES {
             return Ok(None);
         }
-        let length = (&self.buffer[..LENGTH_BYTES]).get_u32() as usize;
-        if length == 0 || length > FRAME_LIMIT {
+        let length = (&self.buffer[..LENGTH_PREFIX_BYTES]).get_u32() as usize;
+        if length == 0 || length > MAX_FRAME_BYTES {
             return Err(FrameError::Length { length });
         }
-        if self.buffer.len() < LENGTH_BYTES + length {
+        if self.buffer.len() < LENGTH_PREFIX_BYTES + length {
             return Ok(None);
         }
-        self.buffer.advance(LENGTH_BYTES);
+        self.buffer.advance(LENGTH_PREFIX_BYTES);
         Ok(Some(self.buffer.split_to(length).freeze()))
     }
 }
--- a/crates/peers/src/wire/item_codec.rs
+++ b/crates/peers/src/wire/item_codec.rs
@@ -57,7 +57,7 @@
 }
 
 /// Estimates the encoded size of the record for an item before the record is created.
-pub(crate) fn item_len(item: &PeerItem) -> usize {
+pub(crate) fn estimated_record_len(item: &PeerItem) -> usize {
     let mut size_encoder = EncoderImpl::new(SizeWriter::default(), BINCODE_CONFIG);
     encode_item(item, &mut size_encoder).expect("a size count cannot fail");
     RECORD_HEADER_BYTES + size_encoder.into_writer().bytes_written
--- a/crates/peers/src/wire/message_codec.rs
+++ b/crates/peers/src/wire/message_codec.rs
@@ -10,10 +10,10 @@
 
 use crate::RecordKind;
 use crate::record_key::RecordKey;
+use crate::wire::peer_message::JoinResponsePart;
 use crate::wire::peer_message::PeerFrame;
 use crate::wire::peer_message::PeerMessage;
 use crate::wire::peer_message::SummaryEntry;
-use crate::wire::peer_message::WelcomePart;
 use crate::wire::primitive_codec::decode_name;
 use crate::wire::primitive_codec::decode_tag;
 use crate::wire::primitive_codec::decode_u64;
@@ -26,17 +26,17 @@
 const HELLO: u8 = 0;
 const PROBE: u8 = 1;
 const PROBE_ACK: u8 = 2;
-const PROBE_VIA: u8 = 3;
-const JOIN: u8 = 4;
-const WELCOME: u8 = 5;
+const INDIRECT_PROBE_REQUEST: u8 = 3;
+const JOIN_REQUEST: u8 = 4;
+const JOIN_RESPONSE: u8 = 5;
 const DIGEST: u8 = 6;
 const SUMMARY: u8 = 7;
-const WANT: u8 = 8;
+const RECORD_REQUEST: u8 = 8;
 const UPDATE: u8 = 9;
 
 impl Encode for PeerFrame {
     fn encode<E: Encoder>(&self, encoder: &mut E) -> Result<(), EncodeError> {
-        self.in_force.0.encode(encoder)?;
+        self.config_version.0.encode(encoder)?;
         self.message.encode(encoder)
     }
 }
@@ -46,7 +46,7 @@
         decoder: &mut D,
     ) -> Result<Self, DecodeError> {
         Ok(PeerFrame {
-            in_force: ConfigVersion(decode_u64(decoder)?),
+            config_version: ConfigVersion(decode_u64(decoder)?),
             message: decode_message(decoder)?,
         })
     }
@@ -64,14 +64,14 @@
                 (PROBE, *number, digest.to_le_bytes()).encode(encoder)
             }
             PeerMessage::ProbeAck { number } => (PROBE_ACK, *number).encode(encoder),
-            PeerMessage::ProbeVia { number, host, address } => {
-                (PROBE_VIA, *number).encode(encoder)?;
+            PeerMessage::IndirectProbeRequest { number, host, address } => {
+                (INDIRECT_PROBE_REQUEST, *number).encode(encoder)?;
                 encode_name(encoder, host.as_str())?;
                 address.encode(encoder)
             }
-            PeerMessage::Join => JOIN.encode(encoder),
-            PeerMessage::Welcome { part, records } => {
-                (WELCOME, *part as u8).encode(encoder)?;
+            PeerMessage::JoinRequest => JOIN_REQUEST.encode(encoder),
+            PeerMessage::JoinResponse { part, records } => {
+                (JOIN_RESPONSE, *part as u8).encode(encoder)?;
                 encode_records(records, encoder)
             }
             PeerMessage::Digest { buckets } => {
@@ -83,8 +83,8 @@
                 buckets.encode(encoder)?;
                 entries.encode(encoder)
             }
-            PeerMessage::Want { keys } => {
-                WANT.encode(encoder)?;
+            PeerMessage::RecordRequest { keys } => {
+                RECORD_REQUEST.encode(encoder)?;
                 keys.encode(encoder)
             }
             PeerMessage::Update { records } => {
@@ -102,14 +102,14 @@
         }
         PROBE => PeerMessage::Probe { number: decode_u64(decoder)?, digest: decode_hash(decoder)? },
         PROBE_ACK => PeerMessage::ProbeAck { number: decode_u64(decoder)? },
-        PROBE_VIA => PeerMessage::ProbeVia {
+        INDIRECT_PROBE_REQUEST => PeerMessage::IndirectProbeRequest {
             number: decode_u64(decoder)?,
             host: decode_name(decoder)?,
             address: BorrowDecode::borrow_decode(decoder)?,
         },
-        JOIN => PeerMessage::Join,
-        WELCOME => PeerMessage::Welcome {
-            part: decode_welcome_part(decoder)?,
+        JOIN_REQUEST => PeerMessage::JoinRequest,
+        JOIN_RESPONSE => PeerMessage::JoinResponse {
+            part: decode_join_response_part(decoder)?,
             records: decode_records(decoder)?,
         },
         DIGEST => PeerMessage::Digest { buckets: decode_buckets(decoder)? },
@@ -117,20 +117,20 @@
             buckets: BorrowDecode::borrow_decode(decoder)?,
             entries: decode_entries(decoder)?,
         },
-        WANT => PeerMessage::Want { keys: decode_keys(decoder)? },
+        RECORD_REQUEST => PeerMessage::RecordRequest { keys: decode_keys(decoder)? },
         UPDATE => PeerMessage::Update { records: decode_records(decoder)? },
         tag => return unknown_tag(tag, UPDATE),
     };
     Ok(message)
 }
 
-fn decode_welcome_part<'de, D: BorrowDecoder<'de>>(
+fn decode_join_response_part<'de, D: BorrowDecoder<'de>>(
     decoder: &mut D,
-) -> Result<WelcomePart, DecodeError> {
+) -> Result<JoinResponsePart, DecodeError> {
     match decode_tag(decoder)? {
-        0 => Ok(WelcomePart::More),
-        1 => Ok(WelcomePart::Last),
-        2 => Ok(WelcomePart::Sample),
+        0 => Ok(JoinResponsePart::More),
+        1 => Ok(JoinResponsePart::Last),
+        2 => Ok(JoinResponsePart::Sample),
         tag => unknown_tag(tag, 2),
     }
 }
--- a/crates/peers/src/wire/peer_message.rs
+++ b/crates/peers/src/wire/peer_message.rs
@@ -15,7 +15,7 @@
 pub struct PeerFrame {
     /// Active configuration version. It is part of every frame so that an outdated host learns of a
     /// newer one from any peer.
-    pub in_force: ConfigVersion,
+    pub config_version: ConfigVersion,
     /// The message.
     pub message: PeerMessage,
 }
@@ -37,13 +37,14 @@
         /// Hash of the sender's rarely changing records.
         digest: u32,
     },
-    /// Acknowledges a `Probe`, or reports to the sender of `ProbeVia` that its target is alive.
+    /// Acknowledges a `Probe`, or tells the sender of an `IndirectProbeRequest` that the target is
+    /// alive.
     ProbeAck {
         /// Number of the acknowledged probe.
         number: u64,
     },
     /// Requests an indirect probe of a host that did not acknowledge a direct one.
-    ProbeVia {
+    IndirectProbeRequest {
         /// Probe number, repeated in the acknowledgement.
         number: u64,
         /// Host to probe.
@@ -52,11 +53,11 @@
         address: SocketAddr,
     },
     /// Requests all known records, sent by a host that joins.
-    Join,
-    /// Part of the response to `Join`.
-    Welcome {
+    JoinRequest,
+    /// Part of the response to `JoinRequest`.
+    JoinResponse {
         /// Whether more parts follow.
-        part: WelcomePart,
+        part: JoinResponsePart,
         /// Known records.
         records: Vec<PeerRecord>,
     },
@@ -73,7 +74,7 @@
         entries: Vec<SummaryEntry>,
     },
     /// Requests records by key.
-    Want {
+    RecordRequest {
         /// Keys of the requested records.
         keys: Vec<RecordKey>,
     },
@@ -84,10 +85,10 @@
     },
 }
 
-/// Position of a frame within the response to `Join`.
+/// Position of a frame within the response to `JoinRequest`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
-pub enum WelcomePart {
+pub enum JoinResponsePart {
     /// More parts follow.
     More = 0,
     /// Final part of the full set of records.
--- a/crates/peers/tests/bounds.rs
+++ b/crates/peers/tests/bounds.rs
@@ -57,7 +57,7 @@
         net.put(0, server_seen(&format!("t-{count}"), 1));
         net.run(100);
     }
-    let limit = |kind: RecordKind| kind.row().limit;
+    let limit = |kind: RecordKind| kind.row().max_records;
     for index in 0..2 {
         let items = net.nodes[index].core.items(net.now_ms);
         let count = |kind| items.iter().filter(|record| record.item.kind() == kind).count();
@@ -74,7 +74,7 @@
         }
         _ => false,
     };
-    assert!(net.has(0, hottest));
+    assert!(net.has_item(0, hottest));
 }
 
 /// A host that publishes far more than its byte budget must stay within it and keep probing, so
@@ -102,7 +102,7 @@
         sent(&net) - before
     );
     for holder in 0..6 {
-        assert_eq!(net.told_states(holder), [], "host {holder}");
+        assert_eq!(net.take_member_states(holder), [], "host {holder}");
     }
 }
 
@@ -129,7 +129,7 @@
             let item = server_leaving(&format!("s-{second}"), 1);
             net.put(second % hosts, item.clone());
             let elapsed_ms =
-                net.run_until(10_000, |net| net.all_have(&all, |stored| *stored == item));
+                net.run_until(10_000, |net| net.all_have_item(&all, |stored| *stored == item));
             max_elapsed_ms = max_elapsed_ms.max(elapsed_ms.expect("the item reaches all hosts"));
         }
         let bytes_per_host_s = (sent(&net) - before) / hosts as u64 / 48;
@@ -142,7 +142,10 @@
             PeerNews::Item { record } => record.item.kind() == RecordKind::TeamUseWord,
             _ => false,
         };
-        assert!(all.iter().all(|&index| net.heard(index, is_host_word) > 0), "{hosts} hosts");
+        assert!(
+            all.iter().all(|&index| net.count_events(index, is_host_word) > 0),
+            "{hosts} hosts"
+        );
     }
 }
 
@@ -154,7 +157,7 @@
         net.run(5_000);
         let is_host_word = |stored: &PeerItem| matches!(stored, PeerItem::HostWord { .. });
         assert_eq!(
-            net.has(0, is_host_word) && net.has(1, is_host_word),
+            net.has_item(0, is_host_word) && net.has_item(1, is_host_word),
             is_published,
             "{length} bytes"
         );
--- a/crates/peers/tests/frames.rs
+++ b/crates/peers/tests/frames.rs
@@ -16,16 +16,16 @@
 use fulmargate_peers::TeamRate;
 use fulmargate_peers::VerdictState;
 use fulmargate_peers::WordTopic;
-use fulmargate_peers::wire::FRAME_LIMIT;
 use fulmargate_peers::wire::FrameError;
 use fulmargate_peers::wire::FrameReader;
-use fulmargate_peers::wire::LENGTH_BYTES;
+use fulmargate_peers::wire::JoinResponsePart;
+use fulmargate_peers::wire::LENGTH_PREFIX_BYTES;
+use fulmargate_peers::wire::MAX_FRAME_BYTES;
 use fulmargate_peers::wire::PROTOCOL_VERSION;
 use fulmargate_peers::wire::PeerFrame;
 use fulmargate_peers::wire::PeerMessage;
 use fulmargate_peers::wire::PeerRecord;
 use fulmargate_peers::wire::SummaryEntry;
-use fulmargate_peers::wire::WelcomePart;
 use fulmargate_peers::wire::decode_frame;
 use fulmargate_peers::wire::encode_frame;
 use quickcheck::Gen;
@@ -100,27 +100,27 @@
         PeerMessage::Hello { fleet: "shop".to_owned(), member: member(MemberState::Alive) },
         PeerMessage::Probe { number: 300, digest: u32::MAX },
         PeerMessage::ProbeAck { number: 300 },
-        PeerMessage::ProbeVia {
+        PeerMessage::IndirectProbeRequest {
             number: 1,
             host: HostName::new("h"),
             address: "127.0.0.1:1".parse().expect("an address"),
         },
-        PeerMessage::Join,
-        PeerMessage::Welcome { part: WelcomePart::More, records: records() },
-        PeerMessage::Welcome { part: WelcomePart::Last, records: Vec::new() },
-        PeerMessage::Welcome { part: WelcomePart::Sample, records: Vec::new() },
+        PeerMessage::JoinRequest,
+        PeerMessage::JoinResponse { part: JoinResponsePart::More, records: records() },
+        PeerMessage::JoinResponse { part: JoinResponsePart::Last, records: Vec::new() },
+        PeerMessage::JoinResponse { part: JoinResponsePart::Sample, records: Vec::new() },
         PeerMessage::Digest { buckets: vec![0, u32::MAX] },
         PeerMessage::Summary {
             buckets: vec![1, 300],
             entries: vec![SummaryEntry { key, stamp: 7 }],
         },
-        PeerMessage::Want { keys: vec![key] },
+        PeerMessage::RecordRequest { keys: vec![key] },
         PeerMessage::Update { records: records() },
     ]
 }
 
 fn frame(message: PeerMessage) -> PeerFrame {
-    PeerFrame { in_force: ConfigVersion(70_000), message }
+    PeerFrame { config_version: ConfigVersion(70_000), message }
 }
 
 #[test]
@@ -128,7 +128,7 @@
     for message in messages() {
         let frame = frame(message);
         let bytes = encode_frame(&frame);
-        assert_eq!(decode_frame(&bytes[LENGTH_BYTES..]).expect("readable"), frame);
+        assert_eq!(decode_frame(&bytes[LENGTH_PREFIX_BYTES..]).expect("readable"), frame);
     }
 }
 
@@ -155,7 +155,7 @@
 fn unknown_record_kinds_and_trailing_fields_are_ignored() {
     let known = records().remove(0);
     let update = |records| frame(PeerMessage::Update { records });
-    let mut bytes = encode_frame(&update(vec![known.clone()]))[LENGTH_BYTES..].to_vec();
+    let mut bytes = encode_frame(&update(vec![known.clone()]))[LENGTH_PREFIX_BYTES..].to_vec();
     let count_index = bytes.len() - record_bytes(&known).len() - 1;
     assert_eq!(bytes[count_index], 1);
     bytes[count_index] = 3;
@@ -176,15 +176,15 @@
 #[test]
 fn invalid_frames_are_rejected() {
     let mut reader = FrameReader::default();
-    reader.push(&(FRAME_LIMIT as u32 + 1).to_be_bytes());
+    reader.push(&(MAX_FRAME_BYTES as u32 + 1).to_be_bytes());
     assert!(matches!(reader.next_frame(), Err(FrameError::Length { .. })));
-    let join = &encode_frame(&frame(PeerMessage::Join))[LENGTH_BYTES..];
+    let join = &encode_frame(&frame(PeerMessage::JoinRequest))[LENGTH_PREFIX_BYTES..];
     let mut other_version = join.to_vec();
     other_version[0] = PROTOCOL_VERSION + 1;
     assert!(matches!(decode_frame(&other_version), Err(FrameError::Version { .. })));
     assert!(matches!(decode_frame(&join[..join.len() - 1]), Err(FrameError::Message { .. })));
     let longer = [join, &[0]].concat();
-    assert!(matches!(decode_frame(&longer), Err(FrameError::Excess { excess: 1 })));
+    assert!(matches!(decode_frame(&longer), Err(FrameError::TrailingBytes { count: 1 })));
     assert!(matches!(decode_frame(&[]), Err(FrameError::Length { length: 0 })));
 }
 
@@ -200,7 +200,7 @@
     ) -> bool {
         let messages = messages();
         let mut bytes = encode_frame(&frame(messages[message_index % messages.len()].clone()))
-            [LENGTH_BYTES..]
+            [LENGTH_PREFIX_BYTES..]
             .to_vec();
         let byte_index = 1 + byte_index % (bytes.len() - 1);
         bytes[byte_index] = byte;
--- a/crates/peers/tests/items.rs
+++ b/crates/peers/tests/items.rs
@@ -67,12 +67,14 @@
         let mut net = converged_net(24, 3, 1);
         net.put(4, item.clone());
         let all: Vec<usize> = (0..24).collect();
-        let zone = net.zone("zone-1");
+        let zone = net.zone_hosts("zone-1");
         let is_zonal = item.kind().row().scope == SpreadScope::Zone;
         let wanted = if is_zonal { &zone } else { &all };
-        let elapsed_ms = net.run_until(8_000, |net| net.all_have(wanted, |stored| *stored == item));
+        let elapsed_ms =
+            net.run_until(8_000, |net| net.all_have_item(wanted, |stored| *stored == item));
         assert!(elapsed_ms.is_some(), "{item:?}");
-        let holders = all.iter().filter(|&&index| net.has(index, |stored| *stored == item)).count();
+        let holders =
+            all.iter().filter(|&&index| net.has_item(index, |stored| *stored == item)).count();
         assert_eq!(holders, wanted.len(), "{item:?}");
     }
 }
@@ -90,21 +92,22 @@
     fn check(&self) {
         for (writers, seed) in [([0, 1], 1), ([1, 0], 2), ([4, 3], 3)] {
             let mut net = converged_net(6, 3, seed);
-            let (a, b) = (net.zone("zone-0"), net.zone("zone-1"));
-            net.cut_both(&a, &b);
-            let c = net.zone("zone-2");
-            net.cut_both(&c, &b);
+            let (a, b) = (net.zone_hosts("zone-0"), net.zone_hosts("zone-1"));
+            net.block_both(&a, &b);
+            let c = net.zone_hosts("zone-2");
+            net.block_both(&c, &b);
             net.put(writers[0], (self.first)());
             net.put(writers[1], (self.second)());
             net.run(3_000);
             net.heal();
             let all: Vec<usize> = (0..6).collect();
-            let elapsed_ms = net
-                .run_until(10_000, |net| net.all_have(&all, |stored| *stored == (self.expected)()));
+            let elapsed_ms = net.run_until(10_000, |net| {
+                net.all_have_item(&all, |stored| *stored == (self.expected)())
+            });
             assert!(elapsed_ms.is_some(), "{}: seed {seed}", self.name);
             net.run(10_000);
             assert!(
-                net.all_have(&all, |stored| *stored == (self.expected)()),
+                net.all_have_item(&all, |stored| *stored == (self.expected)()),
                 "{}: reverted, seed {seed}",
                 self.name
             );
@@ -166,7 +169,7 @@
     net.run(3_000);
     net.put(5, verdict(VerdictState::Cleared, &["s"]));
     net.run(3_000);
-    assert!(net.all_have(&all, |stored| *stored == verdict(VerdictState::Cleared, &["s"])));
+    assert!(net.all_have_item(&all, |stored| *stored == verdict(VerdictState::Cleared, &["s"])));
 }
 
 /// A restart resets the sequence; records of the new incarnation must still replace those of the
@@ -175,14 +178,14 @@
 fn records_of_a_new_incarnation_replace_those_of_the_old_one() {
     let mut net = converged_net(6, 3, 1);
     for version in 1..=100 {
-        net.put_config(0, version);
+        net.apply_config(0, version);
         net.run(400);
     }
     net.restart(0);
     net.run(3_000);
     let host = net.nodes[0].conf.host.clone();
     let incarnation = net.nodes[0].conf.incarnation;
-    net.put_config(0, 100);
+    net.apply_config(0, 100);
     net.run(10_000);
     for index in 0..6 {
         let items = net.nodes[index].core.items(net.now_ms);
@@ -204,13 +207,13 @@
     net.run(ttl_ms - 10_000);
     net.restart(5);
     assert!(
-        net.run_until(5_000, |net| net.all_have(&all, |stored| *stored == hot_prefix(9, "s")))
+        net.run_until(5_000, |net| net.all_have_item(&all, |stored| *stored == hot_prefix(9, "s")))
             .is_some()
     );
     net.run(15_000);
-    assert!(!all.iter().any(|&index| net.has(index, |stored| *stored == hot_prefix(9, "s"))));
+    assert!(!all.iter().any(|&index| net.has_item(index, |stored| *stored == hot_prefix(9, "s"))));
     net.run(60_000);
-    assert!(!all.iter().any(|&index| net.has(index, |stored| *stored == hot_prefix(9, "s"))));
+    assert!(!all.iter().any(|&index| net.has_item(index, |stored| *stored == hot_prefix(9, "s"))));
 }
 
 /// Anti-entropy must repair lost gossip within seconds when a third of the frames is lost.
@@ -222,7 +225,7 @@
         net.put(4, server_leaving("s", 1));
         let all: Vec<usize> = (0..24).collect();
         let elapsed_ms = net.run_until(10_000, |net| {
-            net.all_have(&all, |stored| *stored == server_leaving("s", 1))
+            net.all_have_item(&all, |stored| *stored == server_leaving("s", 1))
         });
         assert!(elapsed_ms.is_some(), "seed {seed}");
     }
@@ -253,10 +256,10 @@
                 }
                 _ => false,
             };
-            assert!(net.has(index, is_sum), "{name} at host {index}");
+            assert!(net.has_item(index, is_sum), "{name} at host {index}");
             let is_reported =
                 |news: &PeerNews| matches!(news, PeerNews::Item { record } if is_sum(&record.item));
-            assert!(net.heard(index, is_reported) > 0, "{name} at host {index}");
+            assert!(net.count_events(index, is_reported) > 0, "{name} at host {index}");
         }
     }
 }
@@ -282,7 +285,7 @@
                 net.put(index, PeerItem::TeamUsage { host, teams: vec![team_rate("shop", 50)] });
             }
             net.run(1_000);
-            is_aggregated |= net.all_have(&[1, 2, 3, 4, 5], is_sum);
+            is_aggregated |= net.all_have_item(&[1, 2, 3, 4, 5], is_sum);
         }
         assert!(is_aggregated, "after {restarts} restarts");
     }
@@ -294,29 +297,29 @@
 fn configuration_versions_converge_and_never_decrease() {
     for seed in 1..=3 {
         let mut net = converged_net(6, 3, seed);
-        net.put_config(0, 5);
+        net.apply_config(0, 5);
         net.run(2_000);
-        assert!(net.all_in_force(5));
-        let (a, b) = (net.zone("zone-0"), net.zone("zone-1"));
-        let c = net.zone("zone-2");
-        net.cut_both(&a, &b);
-        net.cut_both(&a, &c);
-        net.put_config(1, 9);
-        net.put_config(0, 7);
+        assert!(net.all_have_config(5));
+        let (a, b) = (net.zone_hosts("zone-0"), net.zone_hosts("zone-1"));
+        let c = net.zone_hosts("zone-2");
+        net.block_both(&a, &b);
+        net.block_both(&a, &c);
+        net.apply_config(1, 9);
+        net.apply_config(0, 7);
         net.run(60_000);
-        assert_eq!(net.nodes[3].core.in_force().0, 7);
+        assert_eq!(net.nodes[3].core.config_version().0, 7);
         net.heal();
         let mut highest = [0; 6];
         for _ in 0..100 {
             net.run(100);
             for (index, highest) in highest.iter_mut().enumerate() {
-                let version = net.nodes[index].core.in_force().0;
+                let version = net.nodes[index].core.config_version().0;
                 assert!(version >= *highest, "host {index}, seed {seed}");
                 *highest = version;
             }
         }
-        assert!(net.all_in_force(9), "seed {seed}");
+        assert!(net.all_have_config(9), "seed {seed}");
         net.restart(4);
-        assert!(net.run_until(3_000, |net| net.all_in_force(9)).is_some(), "seed {seed}");
+        assert!(net.run_until(3_000, |net| net.all_have_config(9)).is_some(), "seed {seed}");
     }
 }
--- a/crates/peers/tests/links.rs
+++ b/crates/peers/tests/links.rs
@@ -275,7 +275,7 @@
 }
 
 fn frame(message: wire::PeerMessage) -> Bytes {
-    wire::encode_frame(&wire::PeerFrame { in_force: ConfigVersion(0), message })
+    wire::encode_frame(&wire::PeerFrame { config_version: ConfigVersion(0), message })
 }
 
 /// Incompatible or corrupted frames must close the link on which they arrive, and no other.
@@ -307,7 +307,7 @@
     }
 }
 
-/// A frozen peer must not make its queue grow without limit or delay updates to other peers.
+/// A paused peer must not make its queue grow without limit or delay updates to other peers.
 #[actix_rt::test]
 async fn the_link_to_a_peer_that_does_not_read_is_closed() {
     let pace = PeerPace {
@@ -323,7 +323,7 @@
     let second = start(&conf("b", &[first.handle.address()]));
     first.wait_until_alive("b").await;
     let mut slow = raw_peer(first.handle.address(), "slow", 2_000).await;
-    slow.stream.send_data(frame(wire::PeerMessage::Join), false).expect("sent");
+    slow.stream.send_data(frame(wire::PeerMessage::JoinRequest), false).expect("sent");
     first.wait_until_alive("slow").await;
     let counters = first.handle.counters();
     let mut count = 0;
--- a/crates/peers/tests/membership.rs
+++ b/crates/peers/tests/membership.rs
@@ -11,7 +11,7 @@
 use fulmargate_peers::wire::PeerFrame;
 use fulmargate_peers::wire::PeerMessage;
 use fulmargate_peers::wire::PeerRecord;
-use support::HeldFrames;
+use support::BufferedFrames;
 use support::SimNet;
 
 /// A fault, and the condition that the fleet must reach within a time limit on the virtual clock.
@@ -54,7 +54,7 @@
         hosts: 6,
         zones: 3,
         inject_fault: |net| net.kill(0),
-        expected: |net| net.all_hold(0, MemberState::Gone),
+        expected: |net| net.all_see_state(0, MemberState::Gone),
         within_ms: 15_000,
     },
     FaultCase {
@@ -85,9 +85,11 @@
         name: "a zone fails",
         hosts: 24,
         zones: 3,
-        inject_fault: |net| net.zone("zone-1").into_iter().for_each(|index| net.kill(index)),
+        inject_fault: |net| net.zone_hosts("zone-1").into_iter().for_each(|index| net.kill(index)),
         expected: |net| {
-            net.zone("zone-1").into_iter().all(|index| net.all_hold(index, MemberState::Gone))
+            net.zone_hosts("zone-1")
+                .into_iter()
+                .all(|index| net.all_see_state(index, MemberState::Gone))
         },
         within_ms: 40_000,
     },
@@ -129,9 +131,11 @@
         hosts: 9,
         zones: 3,
         inject_fault: |net| {
-            let (inside, outside) =
-                (net.zone("zone-0"), [net.zone("zone-1"), net.zone("zone-2")].concat());
-            net.cut_both(&inside, &outside);
+            let (inside, outside) = (
+                net.zone_hosts("zone-0"),
+                [net.zone_hosts("zone-1"), net.zone_hosts("zone-2")].concat(),
+            );
+            net.block_both(&inside, &outside);
             (0..3).for_each(|index| net.kill(index));
             net.run(60_000);
             net.heal();
@@ -144,9 +148,11 @@
         hosts: 6,
         zones: 3,
         inject_fault: |net| {
-            let (inside, outside) =
-                (net.zone("zone-0"), [net.zone("zone-1"), net.zone("zone-2")].concat());
-            net.cut_both(&inside, &outside);
+            let (inside, outside) = (
+                net.zone_hosts("zone-0"),
+                [net.zone_hosts("zone-1"), net.zone_hosts("zone-2")].concat(),
+            );
+            net.block_both(&inside, &outside);
             (0..6).for_each(|index| net.restart(index));
             net.run(60_000);
             net.heal();
@@ -163,7 +169,7 @@
             net.run(50);
             net.kill(7);
         },
-        expected: |net| net.all_hold(7, MemberState::Left),
+        expected: |net| net.all_see_state(7, MemberState::Left),
         within_ms: 3_000,
     },
     FaultCase {
@@ -192,9 +198,9 @@
     for seed in 1..=3 {
         let mut net = SimNet::new(6, 3, seed);
         net.run(10_000);
-        net.freeze(4);
+        net.pause(4);
         net.run(30_000);
-        let twin = net.start_twin(4);
+        let twin = net.start_duplicate(4);
         net.run(10_000);
         let (old, new) = (net.nodes[4].conf.incarnation, net.nodes[twin].conf.incarnation);
         let replaced = PeerNews::IncarnationOver {
@@ -203,14 +209,14 @@
             cause: OverCause::Replaced,
         };
         assert!(
-            (0..4).all(|holder| net.heard(holder, |news| *news == replaced) == 1),
+            (0..4).all(|holder| net.count_events(holder, |news| *news == replaced) == 1),
             "seed {seed}"
         );
         net.clear_news();
-        net.thaw(4, HeldFrames::Delivered);
+        net.resume(4, BufferedFrames::Delivered);
         net.run(30_000);
         assert_eq!(
-            net.heard(4, |news| *news == PeerNews::Superseded { by: new }),
+            net.count_events(4, |news| *news == PeerNews::Superseded { by: new }),
             1,
             "seed {seed}"
         );
@@ -222,7 +228,7 @@
                 (new, MemberState::Alive),
                 "seed {seed}"
             );
-            assert_eq!(net.told_states(holder), [], "host {holder}, seed {seed}");
+            assert_eq!(net.take_member_states(holder), [], "host {holder}, seed {seed}");
         }
     }
 }
@@ -236,7 +242,7 @@
     net.run(10_000);
     net.kill(3);
     net.run(6 * HOURS - 60_000);
-    assert!(net.all_hold(3, MemberState::Gone));
+    assert!(net.all_see_state(3, MemberState::Gone));
     net.run(3 * 60_000);
     let forgotten = |net: &SimNet| (0..3).all(|holder| net.state(holder, 3).is_none());
     assert!(forgotten(&net));
@@ -254,7 +260,7 @@
     net.nodes[1].conf.incarnation = Incarnation(earlier.0 - 5_000);
     net.restart(1);
     net.run(5_000);
-    assert_eq!(net.heard(1, |news| *news == PeerNews::Superseded { by: earlier }), 1);
+    assert_eq!(net.count_events(1, |news| *news == PeerNews::Superseded { by: earlier }), 1);
 }
 
 /// Delayed records of an earlier incarnation must not affect the record of the newer one, even
@@ -272,8 +278,10 @@
         earlier.heartbeat += 50;
         earlier.state = state;
         let records = vec![PeerRecord::Member(earlier.clone())];
-        let frame =
-            PeerFrame { in_force: ConfigVersion(0), message: PeerMessage::Update { records } };
+        let frame = PeerFrame {
+            config_version: ConfigVersion(0),
+            message: PeerMessage::Update { records },
+        };
         let now_ms = net.now_ms;
         net.nodes[0].core.receive(&sender, frame, now_ms);
         let stored = net.nodes[0].core.member(&earlier.host).expect("the host is known");
@@ -313,8 +321,10 @@
         gone.state = MemberState::Gone;
         net.nodes[0].core.take_outputs();
         let records = vec![PeerRecord::Member(gone.clone()); reported];
-        let frame =
-            PeerFrame { in_force: ConfigVersion(0), message: PeerMessage::Update { records } };
+        let frame = PeerFrame {
+            config_version: ConfigVersion(0),
+            message: PeerMessage::Update { records },
+        };
         let mut probes = 0;
         let mut notices = 0;
         let now_ms = net.now_ms;
--- a/crates/peers/tests/support/checks.rs
+++ b/crates/peers/tests/support/checks.rs
@@ -17,7 +17,7 @@
     }
 
     /// Indices of the hosts in a zone.
-    pub fn zone(&self, name: &str) -> Vec<usize> {
+    pub fn zone_hosts(&self, name: &str) -> Vec<usize> {
         (0..self.nodes.len())
             .filter(|&index| self.nodes[index].conf.zone.as_str() == name)
             .collect()
@@ -29,7 +29,7 @@
     }
 
     /// Whether `subject` has the given state in the member tables of all running hosts.
-    pub fn all_hold(&self, subject: usize, state: MemberState) -> bool {
+    pub fn all_see_state(&self, subject: usize, state: MemberState) -> bool {
         self.running().into_iter().all(|observer| self.state(observer, subject) == Some(state))
     }
 
@@ -48,18 +48,18 @@
     }
 
     /// Whether each running host of `hosts` has a matching item.
-    pub fn all_have(&self, hosts: &[usize], matches: impl Fn(&PeerItem) -> bool) -> bool {
+    pub fn all_have_item(&self, hosts: &[usize], matches: impl Fn(&PeerItem) -> bool) -> bool {
         let running =
             hosts.iter().filter(|&&index| self.nodes[index].run_state == RunState::Running);
-        running.into_iter().all(|&index| self.has(index, &matches))
+        running.into_iter().all(|&index| self.has_item(index, &matches))
     }
 
-    pub fn has(&self, index: usize, matches: impl Fn(&PeerItem) -> bool) -> bool {
+    pub fn has_item(&self, index: usize, matches: impl Fn(&PeerItem) -> bool) -> bool {
         self.nodes[index].core.items(self.now_ms).iter().any(|record| matches(&record.item))
     }
 
     /// Member states reported to `observer` since its news were last cleared. Clears its news.
-    pub fn told_states(&mut self, observer: usize) -> Vec<(HostName, MemberState)> {
+    pub fn take_member_states(&mut self, observer: usize) -> Vec<(HostName, MemberState)> {
         let news = std::mem::take(&mut self.nodes[observer].news);
         let members = news.into_iter().filter_map(|(_, news)| match news {
             PeerNews::Member { member } => Some((member.host, member.state)),
@@ -73,7 +73,7 @@
     }
 
     /// Number of matching news reported to a host.
-    pub fn heard(&self, index: usize, matches: impl Fn(&PeerNews) -> bool) -> usize {
+    pub fn count_events(&self, index: usize, matches: impl Fn(&PeerNews) -> bool) -> usize {
         self.nodes[index].news.iter().filter(|(_, news)| matches(news)).count()
     }
 }
--- a/crates/peers/tests/support/mod.rs
+++ b/crates/peers/tests/support/mod.rs
@@ -37,20 +37,20 @@
 const CONFIG_FETCH_MS: u64 = 4;
 /// Minimum length of a frame with a probe. Acknowledgements are shorter.
 const MIN_PROBE_BYTES: u64 = 12;
-/// Maximum number of frames held in the sockets of a frozen host; further ones are lost.
+/// Maximum number of frames held in the sockets of a paused host; further ones are lost.
 const MAX_INBOX: usize = 256;
 
 /// State of a host's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunState {
     Running,
-    Frozen,
+    Paused,
     Down,
 }
 
-/// Whether frames received while a host was frozen are delivered when it resumes.
+/// Whether frames received while a host was paused are delivered when it resumes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum HeldFrames {
+pub enum BufferedFrames {
     Delivered,
     Lost,
 }
@@ -173,8 +173,8 @@
             }
             Event::Frame { from, bytes } => match node.run_state {
                 RunState::Running => node.receive(&from, &bytes, now_ms),
-                RunState::Frozen if node.inbox.len() < MAX_INBOX => node.inbox.push((from, bytes)),
-                RunState::Frozen => {}
+                RunState::Paused if node.inbox.len() < MAX_INBOX => node.inbox.push((from, bytes)),
+                RunState::Paused => {}
                 RunState::Down => {
                     let sender = index_of(from.address);
                     self.schedule(
@@ -191,7 +191,7 @@
             }
             Event::ConfigApplied { version } => {
                 let host = node.conf.host.clone();
-                if node.run_state == RunState::Running && version > node.core.in_force() {
+                if node.run_state == RunState::Running && version > node.core.config_version() {
                     node.core.put(PeerItem::ConfigInForce { host, version }, now_ms);
                 }
             }
@@ -202,7 +202,7 @@
     fn apply_outputs(&mut self, index: usize) {
         for output in self.nodes[index].core.take_outputs() {
             match output {
-                CoreOutput::News(news) => {
+                CoreOutput::Event(news) => {
                     if let PeerNews::ConfigAhead { version, .. } = &news {
                         self.schedule(
                             self.now_ms + CONFIG_FETCH_MS,
@@ -274,7 +274,7 @@
     }
 
     /// Starts a second process with the name of a host and an address of its own.
-    pub fn start_twin(&mut self, original: usize) -> usize {
+    pub fn start_duplicate(&mut self, original: usize) -> usize {
         let index = self.nodes.len();
         let mut conf = self.nodes[original].conf.clone();
         conf.incarnation = Incarnation(conf.incarnation.0 + 1_000);
@@ -289,17 +289,17 @@
     }
 
     /// Suspends a process like SIGSTOP.
-    pub fn freeze(&mut self, index: usize) {
-        self.nodes[index].run_state = RunState::Frozen;
+    pub fn pause(&mut self, index: usize) {
+        self.nodes[index].run_state = RunState::Paused;
     }
 
     /// Resumes a process like SIGCONT. Frames received meanwhile are either delivered first
     /// or lost, as if their links had been closed on resuming.
-    pub fn thaw(&mut self, index: usize, frame_handling: HeldFrames) {
+    pub fn resume(&mut self, index: usize, frame_handling: BufferedFrames) {
         let node = &mut self.nodes[index];
         node.run_state = RunState::Running;
         let frames = std::mem::take(&mut node.inbox);
-        let delivered = if frame_handling == HeldFrames::Delivered { frames.len() } else { 0 };
+        let delivered = if frame_handling == BufferedFrames::Delivered { frames.len() } else { 0 };
         for (from, bytes) in frames.into_iter().take(delivered) {
             node.receive(&from, &bytes, self.now_ms);
         }
@@ -307,7 +307,7 @@
     }
 
     /// Advances the clock until a host has sent a probe.
-    pub fn run_to_probe(&mut self, index: usize) {
+    pub fn run_until_probe_sent(&mut self, index: usize) {
         let probe_bytes_sent = |net: &SimNet| {
             let rows = net.nodes[index].counters.rows();
             rows.iter()
@@ -322,13 +322,13 @@
     }
 
     /// Blocks traffic from each host in `from` to each host in `to`, in this direction only.
-    pub fn cut(&mut self, from: &[usize], to: &[usize]) {
+    pub fn block(&mut self, from: &[usize], to: &[usize]) {
         self.blocked_routes.extend(from.iter().flat_map(|&a| to.iter().map(move |&b| (a, b))));
     }
 
-    pub fn cut_both(&mut self, a: &[usize], b: &[usize]) {
-        self.cut(a, b);
-        self.cut(b, a);
+    pub fn block_both(&mut self, a: &[usize], b: &[usize]) {
+        self.block(a, b);
+        self.block(b, a);
     }
 
     pub fn heal(&mut self) {
@@ -342,14 +342,14 @@
     }
 
     /// Applies a configuration on one host; the others apply it when they learn of it.
-    pub fn put_config(&mut self, index: usize, version: u64) {
+    pub fn apply_config(&mut self, index: usize, version: u64) {
         let host = self.nodes[index].conf.host.clone();
         self.put(index, PeerItem::ConfigInForce { host, version: ConfigVersion(version) });
     }
 
     /// Whether all running hosts have applied this configuration version or a newer one.
-    pub fn all_in_force(&self, version: u64) -> bool {
-        self.running().into_iter().all(|index| self.nodes[index].core.in_force().0 >= version)
+    pub fn all_have_config(&self, version: u64) -> bool {
+        self.running().into_iter().all(|index| self.nodes[index].core.config_version().0 >= version)
     }
 
     pub fn leave(&mut self, index: usize) {
@@ -361,7 +361,8 @@
 
 impl SimNode {
     fn receive(&mut self, from: &MemberRecord, bytes: &Bytes, now_ms: u64) {
-        let frame = wire::decode_frame(&bytes[wire::LENGTH_BYTES..]).expect("frames are readable");
+        let frame =
+            wire::decode_frame(&bytes[wire::LENGTH_PREFIX_BYTES..]).expect("frames are readable");
         self.counters.count_frame(Direction::Received, &frame, bytes.len());
         self.core.receive(from, frame, now_ms);
     }
