--- a/crates/dispatch/src/config_proof.rs
+++ b/crates/dispatch/src/config_proof.rs
@@ -11,16 +11,15 @@
 /// are rewritten in the same way, are back within about two seconds.
 const RESTORE_GRACE_PERIOD: Duration = Duration::from_millis(2_000);
 
-/// Decides whether requests with an API key may be admitted, by the age of the configuration.
+/// Decides whether requests with an API key may be admitted, by the time since the configuration
+/// was last known to be the newest. A revoked key must stop working even if the store is
+/// unreachable.
 ///
-/// A revoked key must stop working even on a host that cannot reach the store. An answered read
-/// proves that there was nothing newer when the read was sent, not when the answer arrived.
-///
-/// A store restored from a backup may have lost the configuration that revoked a key. Until
-/// operators have rewritten it, reads return an older configuration as the newest and prove
-/// nothing.
+/// After the store is restored from a backup, reads may return an older configuration as the newest
+/// until operators have rewritten the lost one. Such reads are not trusted.
 #[derive(Clone, Copy, Debug)]
 pub struct ConfigProof {
+    /// Send time of the newest trusted read. The configuration was the newest at that time.
     newest_read: Option<BootTime>,
     max_admit_age: Duration,
     max_reject_age: Duration,
@@ -30,9 +29,9 @@
     untrusted_epoch: Option<StoreEpoch>,
     /// The newest untrusted read; it counts once the epoch is known to be complete.
     pending_read: Option<BootTime>,
-    in_force: ConfigVersion,
-    /// The newest configuration that any router has had in force.
-    newest_known: ConfigVersion,
+    active_version: ConfigVersion,
+    /// The newest version that any router has had in force.
+    newest_seen_version: ConfigVersion,
 }
 
 impl ConfigProof {
@@ -47,8 +46,8 @@
             untrusted_until: None,
             untrusted_epoch: None,
             pending_read: None,
-            in_force: ConfigVersion(0),
-            newest_known: ConfigVersion(0),
+            active_version: ConfigVersion(0),
+            newest_seen_version: ConfigVersion(0),
         }
     }
 
@@ -88,18 +87,18 @@
 
     /// Sets the configuration in force on this host.
     pub fn set_active_version(&mut self, version: ConfigVersion) {
-        self.in_force = version;
+        self.active_version = version;
     }
 
     /// The configuration in force on this host; 0 before the first.
     pub fn active_version(&self) -> ConfigVersion {
-        self.in_force
+        self.active_version
     }
 
     /// Records that a router has had this configuration in force. While this host has an older one,
     /// it admits nothing, since that one may contain revoked keys.
     pub fn observe_version(&mut self, version: ConfigVersion) {
-        self.newest_known = self.newest_known.max(version);
+        self.newest_seen_version = self.newest_seen_version.max(version);
     }
 
     /// Time since the newest trusted read was sent; `None` before the first.
@@ -121,6 +120,7 @@
     }
 
     fn is_fresh(&self, max_age: Duration, now: BootTime) -> bool {
-        self.newest_known <= self.in_force && self.age(now).is_some_and(|age| age < max_age)
+        self.newest_seen_version <= self.active_version
+            && self.age(now).is_some_and(|age| age < max_age)
     }
 }
--- a/crates/dispatch/src/crash_tracker.rs
+++ b/crates/dispatch/src/crash_tracker.rs
@@ -14,8 +14,8 @@
 /// Limits of the crash tracker.
 #[derive(Clone, Copy, Debug)]
 pub struct CrashConf {
-    /// Crashed servers after which a request is rejected. An innocent request may happen to run on
-    /// two servers that crash, but hardly on three.
+    /// Number of crashed servers from which a request is rejected. Two may crash by coincidence while
+    /// they run a request that is not the cause; three hardly do.
     pub min_crashes: usize,
     /// How long a request is tracked after its last crash.
     pub retention: Duration,
@@ -29,8 +29,8 @@
 
 /// The server incarnations that crashed while they ran each request, as seen by any router.
 ///
-/// A caller may retry such a request under new ids and at any router. If each router counted only
-/// its own crashes, the request could take down several servers at every router.
+/// A caller may retry such a request under new ids and at any router, so that crashes seen by all
+/// routers are counted together.
 #[derive(Debug)]
 pub struct CrashTracker {
     conf: CrashConf,
--- a/crates/dispatch/src/experiment.rs
+++ b/crates/dispatch/src/experiment.rs
@@ -56,15 +56,15 @@
     ];
 }
 
-/// Whether a mechanism is enabled. Builds with the `experiments` feature disable those listed,
-/// separated by commas, in the environment variable `FULMARGATE_OFF`.
+/// Whether a mechanism is enabled: always in builds without the `experiments` feature.
 #[cfg(not(feature = "experiments"))]
 #[inline]
 pub const fn is_enabled(_: Mechanism) -> bool {
     true
 }
 
-/// Whether a mechanism is enabled.
+/// Whether a mechanism is enabled. Disabled are those set by [`disable`] and those listed,
+/// separated by commas, in the environment variable `FULMARGATE_OFF`.
 #[cfg(feature = "experiments")]
 pub fn is_enabled(mechanism: Mechanism) -> bool {
     switches::is_enabled(mechanism)
--- a/crates/dispatch/src/fleet_state.rs
+++ b/crates/dispatch/src/fleet_state.rs
@@ -19,8 +19,8 @@
 use crate::ZonePeer;
 
 /// Hosts count as present for this long after their record was read, even if no gossip message has
-/// come from them. Other hosts open their links to a new one a few at a time, which takes seconds
-/// on a busy host.
+/// come from them. Other hosts connect to new ones a few at a time, which takes seconds on a busy
+/// host.
 const NEW_MEMBER_PERIOD: Duration = Duration::from_secs(10);
 
 /// A host as described by its record.
@@ -32,10 +32,10 @@
     read_at: BootTime,
 }
 
-/// The newest lease record in the topic.
+/// The newest lease record in the topic. The lease may have expired.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HeldLease {
-    /// The host of the router that holds the lease.
+    /// The host of the router that took the lease.
     pub host: HostName,
     /// Incarnation of that router.
     pub incarnation: Incarnation,
@@ -136,7 +136,7 @@
         self.epoch_first_seen.is_some()
     }
 
-    /// The newest lease of which a record was read.
+    /// The newest lease record read. The lease may have expired.
     pub fn lease(&self) -> Option<&HeldLease> {
         self.lease.as_ref()
     }
@@ -145,8 +145,13 @@
     /// duration. `None` if nothing was lost, or if a lease was taken in the current epoch: its
     /// holder has waited out the lost one.
     pub fn lost_lease_since(&self) -> Option<BootTime> {
-        let is_settled = self.lease.as_ref().is_some_and(|lease| lease.epoch == self.end.epoch);
-        if is_settled { None } else { self.epoch_first_seen.filter(|_| self.has_earlier_epochs) }
+        let has_current_lease =
+            self.lease.as_ref().is_some_and(|lease| lease.epoch == self.end.epoch);
+        if has_current_lease {
+            None
+        } else {
+            self.epoch_first_seen.filter(|_| self.has_earlier_epochs)
+        }
     }
 
     fn merge_restore_report(&mut self, report: RestoreReport) {
@@ -181,7 +186,8 @@
         self.members.get(host).map(|member| member.address)
     }
 
-    /// All members, and whether the record of each was read recently.
+    /// All hosts with a record in the fleet topic, and whether the record of each was read
+    /// recently.
     pub fn fleet_hosts(&self, now: BootTime) -> impl Iterator<Item = (FleetHost, bool)> {
         self.members.iter().map(move |(host, member)| {
             let (host, zone) = (host.clone(), member.zone.clone());
--- a/crates/dispatch/src/forward_budget.rs
+++ b/crates/dispatch/src/forward_budget.rs
@@ -17,13 +17,11 @@
 
 /// Token bucket for the records that other hosts request.
 ///
-/// All hosts of a zone request a new configuration from their reader at once. Without a limit a
-/// large one would saturate the reader's link for seconds, blocking answers to callers and
-/// connections to servers. A host that is refused reads the store directly.
+/// All hosts of a zone request a new configuration from their zone reader at once, which could
+/// saturate the reader's link. A host that is refused reads the store directly.
 ///
-/// A host that cannot reach the store has no alternative. It gets a large answer whenever the
-/// budget is not overdrawn, and later answers wait until the excess is refilled. It gets small
-/// answers at any time, so that it learns of draining servers.
+/// A host that cannot reach the store gets small answers at any time, and a large one whenever the
+/// budget is not overdrawn, even if it exceeds the budget.
 #[derive(Debug)]
 pub struct ForwardBudget {
     link_bytes_per_s: f64,
--- a/crates/dispatch/src/gossip_message.rs
+++ b/crates/dispatch/src/gossip_message.rs
@@ -19,7 +19,7 @@
 pub struct ServerKey(pub u64);
 
 impl ServerKey {
-    /// The store of cached prompts.
+    /// The prompt cache store.
     pub const STORE: ServerKey = ServerKey(0);
 
     /// The key of one incarnation of the named server.
@@ -43,10 +43,9 @@
     pub loading: Vec<LoadingNotice>,
     /// Prompts sent to engines since the sender's last message.
     pub prompts: Vec<PromptNotice>,
-    /// The newest weights known to the sender, and for how long they have been wanted, if it saw
-    /// them announced.
+    /// Target weights versions and their ages, for versions published recently.
     pub weights: Vec<WeightsAge>,
-    /// Cache updates that the sender received from engines and from the store.
+    /// Cache updates that the sender received from engines and from the prompt cache store.
     pub caches: Vec<CacheNotice>,
     /// Bandwidth of the sender's link, in kbit/s. Encoded after the message, where routers of
     /// earlier versions ignore it; `None` for their messages.
@@ -62,21 +61,21 @@
     pub quotas: Option<QuotaReport>,
 }
 
-/// How long ago a version of the weights was announced.
+/// Time since a target weights version was published.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WeightsAge {
     /// The model.
     pub model: ModelName,
     /// The version.
     pub version: WeightsVersion,
-    /// Milliseconds since the version was announced.
+    /// Milliseconds since the version was published.
     pub age_ms: u64,
 }
 
-/// A cache update of an engine or of the store.
+/// A cache update of an engine or of the prompt cache store.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheNotice {
-    /// The engine or the store of cached prompts.
+    /// The engine, or [`ServerKey::STORE`].
     pub server: ServerKey,
     /// Discards all earlier updates: the server has restarted, or events were lost.
     pub is_reset: bool,
@@ -106,11 +105,11 @@
     pub model: ModelName,
     /// The weights.
     pub version: WeightsVersion,
-    /// Progress of the load.
+    /// Progress of loading the weights.
     pub stage: LoadingStage,
 }
 
-/// Progress of an engine with new weights.
+/// Progress of an engine that loads weights.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LoadingStage {
     /// It rejects requests, or will soon.
@@ -118,7 +117,7 @@
     /// The weights are loaded.
     #[serde(rename = "InPlace")]
     Loaded,
-    /// The load failed and the engine keeps its previous weights. Without this notice routers would
+    /// Loading failed and the engine keeps its previous weights. Without this notice routers would
     /// avoid the engine for seconds and overload the others.
     #[serde(rename = "GivenUp")]
     Failed,
@@ -137,7 +136,7 @@
     pub taken_tokens: u32,
     /// Expected time until the engine has processed them, in milliseconds.
     pub ready_ms: u32,
-    /// The parts are in the store of cached prompts as well.
+    /// The parts are in the prompt cache store as well.
     pub is_stored: bool,
     /// The server from which the engine fetches the other parts.
     pub source: Option<ServerKey>,
--- a/crates/dispatch/src/gossip_topology.rs
+++ b/crates/dispatch/src/gossip_topology.rs
@@ -1,10 +1,8 @@
 //! Topology of the gossip between routers: who sends to whom, and who relays.
 //!
-//! Traffic grows with the square of the fleet if every router sends to every other, so that
-//! messages must be sent less often. In large fleets the hosts with the widest links in each zone
-//! act as relays instead: they forward the messages of their zone to the rest of it and to the
-//! relays of other zones. Every other host sends to the relays of its zone and subscribes to one of
-//! them.
+//! In a small fleet every router sends to every other. In a large one the hosts with the widest
+//! links in each zone are relays: they forward the messages of their zone to its hosts and to
+//! relays of other zones. Other hosts send to all relays of their zone and subscribe to one.
 
 use std::cmp::Reverse;
 use std::time::Duration;
@@ -20,11 +18,12 @@
 /// Interval between two messages of a host, per host in the fleet. The total traffic then takes the
 /// same share of a link at any fleet size.
 const INTERVAL_PER_HOST: Duration = Duration::from_millis(1);
-/// Lower bound of the interval; relays forward about as often.
-const MIN_INTERVAL: Duration = Duration::from_millis(50);
-/// Upper bound of the interval. With a longer one, hosts would consider each other gone between two
-/// messages.
-const MAX_INTERVAL: Duration = Duration::from_millis(600);
+/// Lower bound of the interval between a host's messages where relays forward them. Relays forward
+/// batches about as often.
+const MIN_RELAYED_INTERVAL: Duration = Duration::from_millis(50);
+/// Upper bound of the same interval. With a longer one, the last message of a host could expire
+/// before the next arrives.
+const MAX_RELAYED_INTERVAL: Duration = Duration::from_millis(600);
 /// Typical size of a message: the loads of some ten servers, and now and then a prompt and cache
 /// updates.
 const MESSAGE_BYTES: f64 = 300.0;
@@ -79,27 +78,27 @@
 }
 
 impl GossipTopology {
-    /// Computes the topology of a fleet. Fleets of up to `direct_hosts` hosts, and those whose
-    /// links are too narrow for relays, send from all to all.
-    pub fn new(hosts: &[FleetHost], direct_hosts: usize) -> GossipTopology {
+    /// Computes the topology of a fleet. Fleets of up to `max_full_mesh_hosts` hosts, and those
+    /// whose links are too narrow for relays, send from all to all.
+    pub fn new(hosts: &[FleetHost], max_full_mesh_hosts: usize) -> GossipTopology {
         let direct = GossipTopology {
             interval: gossip_interval(hosts.len().saturating_sub(1)),
             relays: None,
         };
-        if hosts.len() <= direct_hosts {
+        if hosts.len() <= max_full_mesh_hosts {
             return direct;
         }
         let zones = hosts_by_zone(hosts);
         let interval = INTERVAL_PER_HOST.saturating_mul(hosts.len() as u32);
-        let mut interval = interval.clamp(MIN_INTERVAL, MAX_INTERVAL);
+        let mut interval = interval.clamp(MIN_RELAYED_INTERVAL, MAX_RELAYED_INTERVAL);
         loop {
             if let Some(relays) = relays_by_zone(&zones, hosts.len(), interval) {
                 return GossipTopology { interval, relays: Some(relays) };
             }
-            if MAX_INTERVAL <= interval {
+            if MAX_RELAYED_INTERVAL <= interval {
                 return direct;
             }
-            interval = (interval * 2).min(MAX_INTERVAL);
+            interval = (interval * 2).min(MAX_RELAYED_INTERVAL);
         }
     }
 
@@ -156,14 +155,14 @@
     chosen: IndexMap<ZoneName, (HostName, Instant)>,
     /// When each relay last forwarded messages.
     last_received: IndexMap<HostName, Instant>,
-    /// Failed relays, with the time of detection.
-    timed_out: IndexMap<HostName, Instant>,
+    /// Relays that timed out or ended their stream, with the time of detection.
+    failed_at: IndexMap<HostName, Instant>,
 }
 
 impl RelayChoice {
     /// Records that a relay has forwarded messages.
     pub fn record_message(&mut self, relay: &HostName, now: Instant) {
-        self.timed_out.swap_remove(relay);
+        self.failed_at.swap_remove(relay);
         self.last_received.insert(relay.clone(), now);
     }
 
@@ -172,14 +171,14 @@
     pub fn record_end(&mut self, relay: &HostName, now: Instant) {
         if self.chosen.values().any(|(chosen, _)| chosen == relay) {
             self.chosen.retain(|_, (chosen, _)| chosen != relay);
-            self.timed_out.insert(relay.clone(), now);
+            self.failed_at.insert(relay.clone(), now);
         }
     }
 
     /// Whether a relay failed recently.
     pub fn failed_recently(&self, host: &HostName, now: Instant) -> bool {
-        let timed_out = self.timed_out.get(host);
-        timed_out.is_some_and(|at| now.saturating_duration_since(*at) < FAILED_RELAY_COOLDOWN)
+        let failed_at = self.failed_at.get(host);
+        failed_at.is_some_and(|at| now.saturating_duration_since(*at) < FAILED_RELAY_COOLDOWN)
     }
 
     /// Whether a chosen relay has not forwarded anything yet. The subscription travels in a
@@ -211,7 +210,7 @@
                     return Some(relay);
                 }
             } else {
-                self.timed_out.insert(relay, now);
+                self.failed_at.insert(relay, now);
             }
         }
         let responsive = relays.iter().filter(|relay| !self.failed_recently(relay, now));
--- a/crates/dispatch/src/lease_keeper.rs
+++ b/crates/dispatch/src/lease_keeper.rs
@@ -12,11 +12,11 @@
 use crate::LinkRank;
 use crate::LogPosition;
 
-/// The holder stops this long before its lease ends. Clocks of two hosts may drift, and an order
-/// with a lost packet takes another 200 ms.
+/// The holder sends no more orders this long before its lease expires. Allows for clock drift
+/// between hosts and for an order whose first packet is lost and sent again after 200 ms.
 const EXPIRY_MARGIN: Duration = Duration::from_millis(500);
-/// Head start of the last holder, so that the lease does not move with each piece of work. Its
-/// renewal takes one append, about 10 ms unless the host is busy.
+/// Other hosts wait this long after a rollout begins before they take an expired lease, so that the
+/// last holder can renew it. Otherwise the holder would change with each rollout.
 const LAST_HOLDER_HEAD_START: Duration = Duration::from_millis(400);
 
 /// Upper bound of the random delay, per host in the fleet. If all hosts appended at once, only one
@@ -42,10 +42,9 @@
 
 /// Acquires and renews the lease for one router.
 ///
-/// The store accepts a lease record only at the end to which its writer has read, so that of two
-/// routers one wins and the other reads the winner's record. A lease that is not renewed expires by
-/// time, on clocks that keep running during suspension: the holder counts from before it sent the
-/// append, all others from the later time at which they read the record.
+/// Lease records are appended conditionally: the store rejects one whose writer has not read to the
+/// end of the topic. Leases expire by time, on clocks that keep running during suspension. The
+/// holder counts from when it sent the append, the others from when they read the record.
 #[derive(Debug)]
 pub struct LeaseKeeper {
     host: HostName,
@@ -110,8 +109,8 @@
     /// Random delay before this host tries to take the lease, drawn again for each record in the
     /// topic.
     ///
-    /// The holder publishes the load of each engine to all routers, which takes much of a narrow
-    /// link and delays these updates. Hosts with the widest links therefore try first.
+    /// Hosts with the widest links try first: the holder announces each engine that loads weights
+    /// to all routers, which takes much of a narrow link.
     fn acquire_delay(&self, fleet_state: &FleetState, rank: LinkRank) -> Duration {
         let hash = xxh3_64(format!("{}/{}", self.host, fleet_state.end().offset).as_bytes());
         let fraction = (hash >> 11) as f64 / (1_u64 << 53) as f64;
@@ -141,7 +140,8 @@
         Some(own.fence)
     }
 
-    /// Whether this router holds the lease to its own knowledge.
+    /// Whether this router took the lease and has not dropped it. Stays true after the lease has
+    /// expired; use [`LeaseKeeper::usable_fence`] to check the time.
     pub fn is_holder(&self) -> bool {
         self.own.is_some()
     }
--- a/crates/dispatch/src/log_cache.rs
+++ b/crates/dispatch/src/log_cache.rs
@@ -14,7 +14,7 @@
 /// Topics of the store that routers follow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum LogTopic {
-    /// Written by operators: the configuration and the wanted weights.
+    /// Written by operators: the configuration and the target weights versions.
     Operator,
     /// The list of backend servers.
     Servers,
@@ -68,8 +68,8 @@
     }
 }
 
-/// Maximum size of the records kept of one topic: 20 s of heartbeats of 1,000 servers.
-const MAX_BYTES: usize = 6 << 20;
+/// Maximum size of the cached records of one topic: 20 s of heartbeats of 1,000 servers.
+const MAX_CACHED_BYTES: usize = 6 << 20;
 
 /// The newest records of a topic.
 #[derive(Debug, Default)]
@@ -78,8 +78,8 @@
     start: LogPosition,
     records: VecDeque<Vec<u8>>,
     bytes: usize,
-    /// When the newest read that reached the end of the topic was sent.
-    validated_at: Option<BootTime>,
+    /// Send time of the newest read that reached the end of the topic.
+    complete_as_of: Option<BootTime>,
 }
 
 impl LogCache {
@@ -93,7 +93,7 @@
             self.bytes += record.len();
             self.records.push_back(record.clone());
         }
-        while MAX_BYTES < self.bytes {
+        while MAX_CACHED_BYTES < self.bytes {
             let Some(oldest) = self.records.pop_front() else { break };
             self.bytes -= oldest.len();
             self.start = self.start.after(1);
@@ -102,12 +102,12 @@
 
     /// Records that a read sent at this time reached the end of the topic.
     pub fn mark_complete(&mut self, sent: BootTime) {
-        self.validated_at = self.validated_at.max(Some(sent));
+        self.complete_as_of = self.complete_as_of.max(Some(sent));
     }
 
-    /// When the newest read that reached the end of the topic was sent.
+    /// Send time of the newest read that reached the end of the topic.
     pub fn complete_as_of(&self) -> Option<BootTime> {
-        self.validated_at
+        self.complete_as_of
     }
 
     /// Position of the next record.
@@ -125,7 +125,7 @@
         received: BootTime,
         now: BootTime,
     ) -> Option<LogResponse> {
-        let age = now.since(self.validated_at?);
+        let age = now.since(self.complete_as_of?);
         if from.epoch != self.start.epoch || max_age < age {
             return None;
         }
--- a/crates/dispatch/src/peer_discovery.rs
+++ b/crates/dispatch/src/peer_discovery.rs
@@ -1,7 +1,7 @@
 //! Startup delay until a router knows which other routers exist.
 //!
-//! Work that is divided among the known routers would otherwise all fall to one that has just
-//! started and knows no other yet, and would saturate a small link.
+//! A starting router that knows no others would otherwise take on all shared work and saturate its
+//! link.
 
 use std::time::Duration;
 
@@ -37,8 +37,8 @@
         if self.joined_at.is_none() && members.contains(own) {
             self.joined_at = Some(now);
         }
-        let visible_since = self.joined_at.unwrap_or(self.started_at + MAX_JOIN_TIME);
-        self.is_complete |= DISCOVERY_TIME <= now.saturating_duration_since(visible_since);
+        let discoverable_since = self.joined_at.unwrap_or(self.started_at + MAX_JOIN_TIME);
+        self.is_complete |= DISCOVERY_TIME <= now.saturating_duration_since(discoverable_since);
         self.is_complete
     }
 }
--- a/crates/dispatch/src/peer_load_table.rs
+++ b/crates/dispatch/src/peer_load_table.rs
@@ -23,19 +23,20 @@
 /// reporting may have ended, and its requests with it.
 const MESSAGE_TTL: Duration = Duration::from_millis(1_200);
 
-/// Interval between the gossip messages of a router. Until others have heard of a long prompt, they
-/// may queue short ones behind it.
-const MIN_INTERVAL: Duration = Duration::from_millis(25);
-/// Added for each pair of routers, since every router sends to every other.
-const INTERVAL_PER_PAIR: Duration = Duration::from_micros(71);
-/// Minimum interval without the fast gossip mechanism.
-const SLOW_INTERVAL: Duration = Duration::from_millis(150);
-/// Longest interval. With a longer one, reports would expire before the next; routers would
-/// consider each other gone, and all would read the store and the engines' events themselves.
-const MAX_INTERVAL: Duration = Duration::from_millis(600);
-
-/// Minimum interval before a message that announces that an engine is about to load. Announcing
-/// each load at once would overload small hosts when many engines are ordered to load together.
+/// Base interval between the gossip messages of a router, to which the term for the fleet size is
+/// added. Until others have heard of a long prompt, they may queue short ones behind it.
+const BASE_INTERVAL: Duration = Duration::from_millis(25);
+/// Multiplied by the square of the number of peers, as the number of messages in the fleet grows
+/// with it.
+const INTERVAL_PER_SQUARED_PEERS: Duration = Duration::from_micros(71);
+/// Base interval without the fast gossip mechanism.
+const SLOW_BASE_INTERVAL: Duration = Duration::from_millis(150);
+/// Upper bound of the interval. With a longer one, reports could expire before the next arrives,
+/// and each router would read the store and the engines' events itself.
+const MAX_GOSSIP_INTERVAL: Duration = Duration::from_millis(600);
+
+/// Minimum interval before a message that announces an engine about to load weights. Many engines
+/// may be ordered to load together, and a message for each would overload small hosts.
 const MIN_URGENT_INTERVAL: Duration = Duration::from_millis(30);
 /// Added for each other router.
 const URGENT_INTERVAL_PER_PEER: Duration = Duration::from_millis(1);
@@ -45,22 +46,24 @@
 
 /// Interval between the gossip messages of a router with this many peers.
 pub fn gossip_interval(peers: usize) -> Duration {
-    let pairs = (peers as u32).saturating_mul(peers as u32);
-    let min_interval = if is_enabled(Mechanism::FastGossip) { MIN_INTERVAL } else { SLOW_INTERVAL };
-    (min_interval + INTERVAL_PER_PAIR.saturating_mul(pairs)).min(MAX_INTERVAL)
+    let squared_peers = (peers as u32).saturating_mul(peers as u32);
+    let min_interval =
+        if is_enabled(Mechanism::FastGossip) { BASE_INTERVAL } else { SLOW_BASE_INTERVAL };
+    (min_interval + INTERVAL_PER_SQUARED_PEERS.saturating_mul(squared_peers))
+        .min(MAX_GOSSIP_INTERVAL)
 }
 
 /// Interval after which an urgent message may follow the last message, whose size was
 /// `message_bytes`.
 ///
-/// While new weights are rolled out, each message lists dozens of engines and goes to all routers,
-/// which would saturate a narrow link. An interval in proportion to the size of the last message
-/// limits the bandwidth; it never exceeds the regular interval.
+/// The interval is proportional to the message size, up to the regular interval, so that
+/// announcements of a weights rollout don't saturate a narrow link.
 pub fn urgent_interval(peers: usize, message_bytes: usize, link_bytes_per_s: f64) -> Duration {
     let min_interval = MIN_URGENT_INTERVAL + URGENT_INTERVAL_PER_PEER.saturating_mul(peers as u32);
     let bytes = message_bytes as f64 * peers as f64;
     let link_interval_s = bytes / (link_bytes_per_s * URGENT_LINK_SHARE);
-    let link_interval = Duration::from_secs_f64(link_interval_s.min(MAX_INTERVAL.as_secs_f64()));
+    let link_interval =
+        Duration::from_secs_f64(link_interval_s.min(MAX_GOSSIP_INTERVAL.as_secs_f64()));
     min_interval.max(link_interval).min(gossip_interval(peers))
 }
 
@@ -130,9 +133,9 @@
         self.reports.iter().filter(move |(_, report)| is_fresh(report)).map(|(host, _)| host)
     }
 
-    /// Those of them in one availability zone.
+    /// Routers of one availability zone with a current report.
     pub fn zone_peers(&self, zone: &ZoneName, now: Instant) -> impl Iterator<Item = ZonePeer> {
-        let is_there = move |report: &PeerReport| {
+        let is_fresh_in_zone = move |report: &PeerReport| {
             report.zone.as_ref() == Some(zone)
                 && now.saturating_duration_since(report.received_at) < MESSAGE_TTL
         };
@@ -140,7 +143,7 @@
             host: host.clone(),
             link_kbps: report.link_kbps.unwrap_or_default(),
         };
-        self.reports.iter().filter(move |(_, report)| is_there(report)).map(peer)
+        self.reports.iter().filter(move |(_, report)| is_fresh_in_zone(report)).map(peer)
     }
 
     /// Routers with a current report whose zone is known.
--- a/crates/dispatch/src/reader_choice.rs
+++ b/crates/dispatch/src/reader_choice.rs
@@ -7,7 +7,7 @@
 
 use crate::ZonePeer;
 
-/// Two readers, since one may fail. Each zone has its own, since it may be cut off from the others.
+/// One zone reader may fail. Each zone has its own, since it may be cut off from the others.
 const READERS_PER_ZONE: usize = 2;
 
 /// Where a router gets the records of the store from.
@@ -19,17 +19,17 @@
     Routers(Vec<HostName>),
 }
 
-/// Chooses the source of a host. In a zone of up to `max_direct_hosts` all hosts read the store. In
-/// a larger one the two hosts with the widest links do, ties broken by a hash of the name, and the
-/// others ask them. If hosts disagree for a moment on who reads, the one that is asked declines and
-/// the requester reads the store.
+/// Chooses the source of a host. In a zone of up to `max_store_reader_hosts` all hosts read the
+/// store. In a larger one the two hosts with the widest links are the zone readers and the others
+/// ask them. A host that does not consider itself a zone reader declines, and the requester reads
+/// the store.
 pub fn record_source(
     own: &ZonePeer,
     zone_peers: &[ZonePeer],
-    max_direct_hosts: usize,
+    max_store_reader_hosts: usize,
 ) -> RecordSource {
     let mut hosts: Vec<&ZonePeer> = zone_peers.iter().chain([own]).collect();
-    if hosts.len() <= max_direct_hosts {
+    if hosts.len() <= max_store_reader_hosts {
         return RecordSource::Store;
     }
     hosts.sort_unstable_by_key(|peer| (Reverse(peer.link_kbps), hash_of(&peer.host)));
--- a/crates/dispatch/src/salt_generator.rs
+++ b/crates/dispatch/src/salt_generator.rs
@@ -5,11 +5,11 @@
 use fulmargate_names::WeightsVersion;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Builds the salt of a request. Requests share cached prompt parts only if their salts are equal, so a salt
-/// contains the model, its weights version, and the team if it is isolated.
+/// Builds the salt of a request from the model, its weights version, and the team if it is isolated. Requests
+/// share cached prompt parts only if their salts are equal.
 ///
-/// All other teams share a salt that contains a hash of the set of isolated teams. It changes on all routers
-/// when a team becomes isolated, so that this team and the others cannot reach each other's older entries.
+/// The salt of all other teams contains a hash of the isolated ones, so that a team which becomes isolated no
+/// longer shares older entries with them.
 #[derive(Debug)]
 pub struct SaltGenerator {
     isolated: Vec<TeamName>,
@@ -18,7 +18,7 @@
 }
 
 impl SaltGenerator {
-    /// Creates a builder for a set of isolated teams.
+    /// Creates a generator for a set of isolated teams.
     pub fn new(mut isolated: Vec<TeamName>) -> SaltGenerator {
         isolated.sort_unstable();
         let mut names = String::new();
--- a/crates/dispatch/tests/configuration.rs
+++ b/crates/dispatch/tests/configuration.rs
@@ -247,9 +247,8 @@
     }
 }
 
-/// Guards against admitting a revoked key on a host without the store. The proof must age from the
-/// time its read was sent, not answered, also during suspension. Requests without a known route
-/// must stop being rejected earlier than keys stop being admitted.
+/// Guards against admitting a revoked key on a host that cannot reach the store, also after a
+/// suspension, and against rejecting requests for routes it has not read.
 #[test]
 fn a_proof_ages_from_the_time_its_read_was_sent() {
     for case in PROOF_CASES {
--- a/crates/dispatch/tests/gossip_topologies.rs
+++ b/crates/dispatch/tests/gossip_topologies.rs
@@ -23,13 +23,13 @@
 const RELAY_HOPS: usize = 2;
 
 /// Zones of equal size; the first `wide` hosts of each have wide links.
-fn fleet(zones: usize, hosts: usize, wide: usize) -> Vec<FleetHost> {
+fn fleet(zones: usize, hosts_per_zone: usize, wide: usize) -> Vec<FleetHost> {
     let host = |zone: usize, number: usize| FleetHost {
         host: HostName::new(&format!("host-{zone}-{number}")),
         zone: ZoneName::new(&format!("zone-{zone}")),
         link_kbps: if number < wide { WIDE_KBPS } else { NARROW_KBPS },
     };
-    (0..zones).flat_map(|zone| (0..hosts).map(move |number| host(zone, number))).collect()
+    (0..zones).flat_map(|zone| (0..hosts_per_zone).map(move |number| host(zone, number))).collect()
 }
 
 /// Simulated hosts with their choices of relays.
@@ -145,7 +145,7 @@
 struct FleetCase {
     name: &'static str,
     zones: usize,
-    hosts: usize,
+    hosts_per_zone: usize,
     wide: usize,
     /// Maximum number of messages that a host which is no relay, and a relay, send in a round.
     max_sent: usize,
@@ -156,7 +156,7 @@
     FleetCase {
         name: "90 hosts in four zones",
         zones: 4,
-        hosts: 23,
+        hosts_per_zone: 23,
         wide: 2,
         max_sent: 2,
         max_relayed: 60,
@@ -164,7 +164,7 @@
     FleetCase {
         name: "195 hosts in five zones",
         zones: 5,
-        hosts: 39,
+        hosts_per_zone: 39,
         wide: 3,
         max_sent: 2,
         max_relayed: 100,
@@ -172,12 +172,19 @@
     FleetCase {
         name: "740 hosts in ten zones",
         zones: 10,
-        hosts: 74,
+        hosts_per_zone: 74,
         wide: 6,
         max_sent: 6,
         max_relayed: 200,
     },
-    FleetCase { name: "no wide links", zones: 5, hosts: 39, wide: 0, max_sent: 9, max_relayed: 60 },
+    FleetCase {
+        name: "no wide links",
+        zones: 5,
+        hosts_per_zone: 39,
+        wide: 0,
+        max_sent: 9,
+        max_relayed: 60,
+    },
 ];
 
 /// Guards against traffic that grows with the square of the fleet. Through relays each host must
@@ -185,7 +192,7 @@
 #[test]
 fn each_message_reaches_each_host_once() {
     for case in FLEET_CASES {
-        let mut fleet = TestFleet::new(fleet(case.zones, case.hosts, case.wide));
+        let mut fleet = TestFleet::new(fleet(case.zones, case.hosts_per_zone, case.wide));
         let start = Instant::now();
         fleet.round(start);
         fleet.sent.fill(0);
@@ -236,7 +243,7 @@
 struct IntervalCase {
     name: &'static str,
     zones: usize,
-    hosts: usize,
+    hosts_per_zone: usize,
     wide: usize,
     /// Upper bound of the interval between two messages, in milliseconds.
     max_interval_ms: u64,
@@ -247,7 +254,7 @@
     IntervalCase {
         name: "8 hosts",
         zones: 2,
-        hosts: 4,
+        hosts_per_zone: 4,
         wide: 0,
         max_interval_ms: 29,
         relays: None,
@@ -255,7 +262,7 @@
     IntervalCase {
         name: "32 hosts",
         zones: 4,
-        hosts: 8,
+        hosts_per_zone: 8,
         wide: 0,
         max_interval_ms: 94,
         relays: None,
@@ -263,7 +270,7 @@
     IntervalCase {
         name: "92 hosts",
         zones: 4,
-        hosts: 23,
+        hosts_per_zone: 23,
         wide: 2,
         max_interval_ms: 92,
         relays: Some(2),
@@ -271,7 +278,7 @@
     IntervalCase {
         name: "195 hosts",
         zones: 5,
-        hosts: 39,
+        hosts_per_zone: 39,
         wide: 3,
         max_interval_ms: 195,
         relays: Some(2),
@@ -279,7 +286,7 @@
     IntervalCase {
         name: "740 hosts",
         zones: 10,
-        hosts: 74,
+        hosts_per_zone: 74,
         wide: 7,
         max_interval_ms: 600,
         relays: Some(5),
@@ -287,7 +294,7 @@
     IntervalCase {
         name: "narrow links",
         zones: 5,
-        hosts: 39,
+        hosts_per_zone: 39,
         wide: 0,
         max_interval_ms: 600,
         relays: Some(8),
@@ -297,7 +304,7 @@
 #[test]
 fn intervals_and_relay_counts() {
     for case in INTERVAL_CASES {
-        let hosts = fleet(case.zones, case.hosts, case.wide);
+        let hosts = fleet(case.zones, case.hosts_per_zone, case.wide);
         let topology = GossipTopology::new(&hosts, DIRECT_HOSTS);
         assert!(
             topology.interval.as_millis() as u64 <= case.max_interval_ms,
--- a/crates/dispatch/tests/leases.rs
+++ b/crates/dispatch/tests/leases.rs
@@ -100,8 +100,7 @@
 }
 
 /// Guards against two routers giving orders at once, even if a holder is suspended while another
-/// takes the lease. Fencing numbers must rise with each holder, and orders of two hosts must be
-/// separated by the rest of the lease.
+/// takes the lease.
 #[test]
 fn holders_do_not_overlap() {
     fn property(steps: Vec<(u8, u8, u16)>) -> bool {
@@ -349,7 +348,7 @@
 ];
 
 /// Guards against a host with a narrow link taking the lease although others have wider ones: it
-/// would have to publish the load of all engines. The others must still try if the widest do not.
+/// would have to announce each engine that loads weights.
 #[test]
 fn hosts_with_the_widest_links_append_first() {
     for case in RANK_CASES {
--- a/crates/dispatch/tests/peers.rs
+++ b/crates/dispatch/tests/peers.rs
@@ -163,9 +163,8 @@
     },
 ];
 
-/// Guards against the host that rolls out weights saturating a narrow link by announcing each
-/// engine's load to all routers at once. The interval must grow with the message size, up to the
-/// regular interval.
+/// Guards against the host that rolls out weights saturating a narrow link with announcements of
+/// engines that load.
 #[test]
 fn urgent_messages_keep_to_a_share_of_the_link() {
     for case in URGENT_CASES {
--- a/crates/dispatch/tests/restores.rs
+++ b/crates/dispatch/tests/restores.rs
@@ -230,58 +230,57 @@
     }
 }
 
-struct RestoreNoteCase {
+struct RestoreReportCase {
     name: &'static str,
     /// Epochs of the reports, their configurations, and whether they say that lost records have
     /// been rewritten.
-    notes: &'static [(u64, u64, bool)],
+    reports: &'static [(u64, u64, bool)],
     expected_config: Option<u64>,
     is_recent: bool,
 }
 
-const RESTORE_NOTE_CASES: &[RestoreNoteCase] = &[
-    RestoreNoteCase { name: "no reports", notes: &[], expected_config: None, is_recent: true },
-    RestoreNoteCase {
+const RESTORE_REPORT_CASES: &[RestoreReportCase] = &[
+    RestoreReportCase { name: "no reports", reports: &[], expected_config: None, is_recent: true },
+    RestoreReportCase {
         name: "one report",
-        notes: &[(1, 7, false)],
+        reports: &[(1, 7, false)],
         expected_config: Some(7),
         is_recent: true,
     },
-    RestoreNoteCase {
+    RestoreReportCase {
         name: "the newest configuration counts",
-        notes: &[(1, 7, false), (1, 5, false)],
+        reports: &[(1, 7, false), (1, 5, false)],
         expected_config: Some(7),
         is_recent: true,
     },
-    RestoreNoteCase {
+    RestoreReportCase {
         name: "lost records have been rewritten",
-        notes: &[(1, 7, false), (1, 7, true)],
+        reports: &[(1, 7, false), (1, 7, true)],
         expected_config: Some(7),
         is_recent: false,
     },
-    RestoreNoteCase {
+    RestoreReportCase {
         name: "a report of an earlier epoch",
-        notes: &[(0, 9, true)],
+        reports: &[(0, 9, true)],
         expected_config: None,
         is_recent: true,
     },
 ];
 
 /// Guards against a starting host admitting revoked keys from the older configuration of a restored
-/// store. It must detect the restore from records of earlier epochs, and learn the newest
-/// configuration from other hosts.
+/// store.
 #[test]
 fn hosts_report_the_newest_configuration_after_a_restore() {
-    for case in RESTORE_NOTE_CASES {
+    for case in RESTORE_REPORT_CASES {
         let mut fleet_state = FleetState::default();
         fleet_state.begin_epoch(StoreEpoch(1), BootTime(1_000));
         fleet_state.apply(LogOffset(0), &joined_record("h0"), BootTime(1_000));
-        for (offset, (epoch, config, is_settled)) in (1..).zip(case.notes) {
+        for (offset, (epoch, config, is_settled)) in (1..).zip(case.reports) {
             let (epoch, config) = (StoreEpoch(*epoch), ConfigVersion(*config));
-            let note = FleetRecord::Restored { epoch, config, is_settled: *is_settled };
-            fleet_state.apply(LogOffset(offset), &note, BootTime(1_000));
+            let report = FleetRecord::Restored { epoch, config, is_settled: *is_settled };
+            fleet_state.apply(LogOffset(offset), &report, BootTime(1_000));
         }
-        let config = fleet_state.restore_report().map(|note| note.config.0);
+        let config = fleet_state.restore_report().map(|report| report.config.0);
         assert_eq!(config, case.expected_config, "{}", case.name);
         assert_eq!(fleet_state.is_restore_pending(), case.is_recent, "{}", case.name);
     }
