--- a/crates/dispatch/src/engine_choice/sampling.rs
+++ b/crates/dispatch/src/engine_choice/sampling.rs
@@ -24,8 +24,8 @@
 }
 
 impl EngineRequest<'_> {
-    /// Rendezvous hash of the engine for the prompt's shared prefix; the highest score is the prompt's
-    /// owner.
+    /// Rendezvous hash of the engine for the prompt's shared prefix. The engine with the highest score is the
+    /// prompt's owner.
     pub(crate) fn owner_score(&self, state: &ServerState) -> u64 {
         let key = self.call.owner_key().unwrap_or_default();
         mix(key, xxh3_64(state.entry.name.as_str().as_bytes()))
--- a/crates/dispatch/src/local_fault_detector.rs
+++ b/crates/dispatch/src/local_fault_detector.rs
@@ -46,7 +46,7 @@
 struct ConnectAttempt {
     at: Instant,
     outcome: ConnectOutcome,
-    /// First of the consecutive attempts with the same result.
+    /// Time of the first of the consecutive attempts with the same outcome.
     since: Instant,
 }
 
--- a/crates/dispatch/src/request_queue.rs
+++ b/crates/dispatch/src/request_queue.rs
@@ -43,9 +43,9 @@
 
 #[derive(Debug)]
 struct QueuedPrompt {
-    number: QueueTicket,
+    ticket: QueueTicket,
     request: PlacementRequest,
-    /// Tokens that the best engine would prefill, as of the last placement attempt.
+    /// Tokens that the best engine would prefill, as of the last placement attempt; at first the whole prompt.
     prefill_tokens: f64,
 }
 
@@ -67,16 +67,16 @@
 
     /// Adds a prompt to the queue.
     pub fn push(&mut self, request: PlacementRequest) -> QueueTicket {
-        let number = QueueTicket(self.next);
+        let ticket = QueueTicket(self.next);
         self.next += 1;
         let prefill_tokens = f64::from(request.call.prompt_tokens());
-        self.waiting.push(QueuedPrompt { number, request, prefill_tokens });
-        number
+        self.waiting.push(QueuedPrompt { ticket, request, prefill_tokens });
+        ticket
     }
 
     /// Removes a prompt whose caller has disconnected.
-    pub fn remove(&mut self, number: QueueTicket) {
-        self.waiting.retain(|prompt| prompt.number != number);
+    pub fn remove(&mut self, ticket: QueueTicket) {
+        self.waiting.retain(|prompt| prompt.ticket != ticket);
     }
 
     /// Assigns queued prompts to engines with room, and rejects those that are too late.
@@ -94,9 +94,9 @@
             }
             match registry.place(&prompt.request, view) {
                 Placement::Assigned(assigned) => {
-                    outcomes.push((prompt.number, QueueOutcome::Assigned(assigned)));
+                    outcomes.push((prompt.ticket, QueueOutcome::Assigned(assigned)));
                 }
-                Placement::NoEngine => outcomes.push((prompt.number, QueueOutcome::NoEngine)),
+                Placement::NoEngine => outcomes.push((prompt.ticket, QueueOutcome::NoEngine)),
                 Placement::Queued(prefill_tokens) => {
                     prompt.prefill_tokens = prefill_tokens;
                     failed_placements += 1;
@@ -105,7 +105,7 @@
             }
             false
         });
-        self.refuse_late(view.now, &mut outcomes);
+        self.reject_late(view.now, &mut outcomes);
         outcomes
     }
 
@@ -119,7 +119,7 @@
         self.waiting.sort_by(|a, b| sort_key(a).compare(&sort_key(b)));
     }
 
-    fn refuse_late(&mut self, now: Instant, outcomes: &mut Vec<(QueueTicket, QueueOutcome)>) {
+    fn reject_late(&mut self, now: Instant, outcomes: &mut Vec<(QueueTicket, QueueOutcome)>) {
         let is_timely = |prompt: &QueuedPrompt| !admission::is_late(&prompt.request.call, now);
         let has_timely = self.waiting.iter().any(is_timely);
         self.waiting.retain(|prompt| {
@@ -127,7 +127,7 @@
             else {
                 return true;
             };
-            outcomes.push((prompt.number, QueueOutcome::Refused(retry_after)));
+            outcomes.push((prompt.ticket, QueueOutcome::Refused(retry_after)));
             false
         });
     }
--- a/crates/entry/src/traffic/prompt_queue.rs
+++ b/crates/entry/src/traffic/prompt_queue.rs
@@ -50,7 +50,7 @@
 /// A queued prompt. Dropping it removes the prompt from the queue, such as when the caller disconnects.
 pub(crate) struct QueuedPrompt {
     state: Arc<SharedState>,
-    number: QueueTicket,
+    ticket: QueueTicket,
     receiver: Receiver<QueueOutcome>,
 }
 
@@ -84,11 +84,11 @@
         if requests.is_empty() {
             return;
         }
-        let ends = with_view(state, |servers, view| requests.run(servers, view));
-        for (number, end) in ends.unwrap_or_default() {
-            let Some(sender) = senders.swap_remove(&number) else { continue };
-            if let Err(QueueOutcome::Assigned(taken)) = sender.send(end) {
-                state.servers().record_end(&taken.ticket);
+        let outcomes = with_view(state, |servers, view| requests.run(servers, view));
+        for (ticket, outcome) in outcomes.unwrap_or_default() {
+            let Some(sender) = senders.swap_remove(&ticket) else { continue };
+            if let Err(QueueOutcome::Assigned(assigned)) = sender.send(outcome) {
+                state.servers().record_end(&assigned.ticket);
             }
         }
     }
@@ -108,12 +108,12 @@
 impl Drop for QueuedPrompt {
     fn drop(&mut self) {
         let mut queue = self.state.prompt_queue.lock();
-        queue.requests.remove(self.number);
-        queue.senders.swap_remove(&self.number);
+        queue.requests.remove(self.ticket);
+        queue.senders.swap_remove(&self.ticket);
         drop(queue);
         // Release an engine that was assigned in the meantime.
-        if let Ok(QueueOutcome::Assigned(taken)) = self.receiver.try_recv() {
-            self.state.servers().record_end(&taken.ticket);
+        if let Ok(QueueOutcome::Assigned(assigned)) = self.receiver.try_recv() {
+            self.state.servers().record_end(&assigned.ticket);
         }
     }
 }
@@ -130,11 +130,11 @@
 pub(crate) fn enqueue(state: &Arc<SharedState>, placement: PlacementRequest) -> QueuedPrompt {
     let (sender, receiver) = oneshot::channel();
     let mut queue = state.prompt_queue.lock();
-    let number = queue.requests.push(placement);
-    queue.senders.insert(number, sender);
+    let ticket = queue.requests.push(placement);
+    queue.senders.insert(ticket, sender);
     drop(queue);
     state.prompt_queue.wake();
-    QueuedPrompt { state: state.clone(), number, receiver }
+    QueuedPrompt { state: state.clone(), ticket, receiver }
 }
 
 /// Runs `decide` on the current state. Returns none until a configuration is loaded.
--- a/crates/entry/src/traffic/request_handler/plan.rs
+++ b/crates/entry/src/traffic/request_handler/plan.rs
@@ -85,8 +85,8 @@
             only_weights: point.weights,
             excluded: self.excluded_servers.clone(),
         };
-        let Some(taken) = self.reserve_engine(placement).await? else { return Ok(None) };
-        let AssignedEngine { choice, ticket } = taken;
+        let Some(assigned) = self.reserve_engine(placement).await? else { return Ok(None) };
+        let AssignedEngine { choice, ticket } = assigned;
         // Releases the ticket on every early return below.
         let in_flight = InFlightRequest::new(self.state.clone(), ticket);
         // The configuration may have changed, and the key may have been revoked, while the prompt was queued.
@@ -124,18 +124,18 @@
         placement: PlacementRequest,
     ) -> Result<Option<AssignedEngine>, RequestFailure> {
         match try_place(&self.state, &placement) {
-            Placement::Assigned(taken) => return Ok(Some(*taken)),
+            Placement::Assigned(assigned) => return Ok(Some(*assigned)),
             Placement::NoEngine => return Ok(None),
             Placement::Queued(_) => {}
         }
         let deadline = placement.call.deadline;
-        let began = Instant::now();
+        let started_at = Instant::now();
         let queued = enqueue(&self.state, placement);
         self.log_queued();
-        let end = timeout_at(deadline, queued.wait()).await;
-        record_engine_wait(wait_outcome_label(end.as_ref().ok()), began.elapsed());
-        match end {
-            Ok(QueueOutcome::Assigned(taken)) => Ok(Some(*taken)),
+        let outcome = timeout_at(deadline, queued.wait()).await;
+        record_engine_wait(wait_outcome_label(outcome.as_ref().ok()), started_at.elapsed());
+        match outcome {
+            Ok(QueueOutcome::Assigned(assigned)) => Ok(Some(*assigned)),
             Ok(QueueOutcome::NoEngine) => Ok(None),
             Ok(QueueOutcome::Refused(delay)) => {
                 Err(self.failure(self.progress.timeout()).with_retry_delay(delay))
@@ -193,8 +193,8 @@
     }
 }
 
-fn wait_outcome_label(end: Option<&QueueOutcome>) -> &'static str {
-    match end {
+fn wait_outcome_label(outcome: Option<&QueueOutcome>) -> &'static str {
+    match outcome {
         Some(QueueOutcome::Assigned(_)) => "taken",
         Some(QueueOutcome::Refused(_)) => "refused",
         Some(QueueOutcome::NoEngine) | None => "none",
