--- a/crates/entry/src/traffic/in_flight_request.rs
+++ b/crates/entry/src/traffic/in_flight_request.rs
@@ -47,7 +47,7 @@
         self.state.servers().record_unreachable(self.ticket.server, Instant::now());
     }
 
-    /// Returns whether connection failures are most likely caused by this host's own network.
+    /// Returns whether a local network fault is suspected.
     pub(crate) fn suspects_local_fault(&self) -> bool {
         self.state.servers().suspects_local_fault(Instant::now())
     }
--- a/crates/entry/src/traffic/send_attempt.rs
+++ b/crates/entry/src/traffic/send_attempt.rs
@@ -178,11 +178,11 @@
     }
 }
 
-/// Returns why the server is unreachable; none if a connection succeeds, or if the failures are most likely
-/// caused by this host's own network.
+/// Returns why the server is unreachable; none if a connection succeeds, or if one times out while a local network
+/// fault is suspected.
 ///
-/// A single timeout is not enough: when this host's link becomes saturated, the first connections time out
-/// before the failures of others show that the server is not the cause.
+/// A single timeout is not enough: at the start of a local network fault, the first connections time out before
+/// the fault is suspected.
 async fn probe_connection(plan: &SendPlan) -> Option<ConnectError> {
     let mut failed_probes = 0;
     loop {
