--- a/crates/peers/src/net.rs
+++ b/crates/peers/src/net.rs
@@ -15,5 +15,5 @@
 
 pub use peer_handle::PeerHandle;
 pub use peer_handle::PeerNet;
-pub use peer_question::AskError;
 pub use peer_question::PeerQuestion;
+pub use peer_question::QueryError;
--- a/crates/peers/src/net/link_table.rs
+++ b/crates/peers/src/net/link_table.rs
@@ -206,9 +206,9 @@
     }
 
     pub(crate) fn close_idle(&mut self, now_ms: u64) {
-        let idle_ms = self.state.idle_ms;
+        let idle_timeout_ms = self.state.idle_timeout_ms;
         let idle_factor = |link: &Link| if link.is_outgoing { 1 } else { INCOMING_IDLE_FACTOR };
-        let limit_ms = |link: &Link| idle_factor(link) * idle_ms;
+        let limit_ms = |link: &Link| idle_factor(link) * idle_timeout_ms;
         let is_idle = |link: &Link| now_ms.saturating_sub(link.last_used_ms) >= limit_ms(link);
         let idle: Vec<u64> = self
             .links
--- a/crates/peers/src/net/listener_task.rs
+++ b/crates/peers/src/net/listener_task.rs
@@ -98,7 +98,7 @@
         connection: &mut Connection<CountingStream, Bytes>,
         cancellation: &CancellationToken,
     ) -> Result<(), LinkError> {
-        let idle_timeout = Duration::from_millis(self.state.idle_ms);
+        let idle_timeout = Duration::from_millis(self.state.idle_timeout_ms);
         loop {
             match timeout(idle_timeout, connection.accept()).await {
                 Ok(Some(accepted)) => {
--- a/crates/peers/src/net/net_loop.rs
+++ b/crates/peers/src/net/net_loop.rs
@@ -42,8 +42,8 @@
 }
 
 impl NetLoop {
-    pub(crate) async fn run(mut self, tick_ms: u64) {
-        let mut ticks = tokio::time::interval(Duration::from_millis(tick_ms));
+    pub(crate) async fn run(mut self, gossip_interval_ms: u64) {
+        let mut ticks = tokio::time::interval(Duration::from_millis(gossip_interval_ms));
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let state = self.state.clone();
         loop {
--- a/crates/peers/src/net/net_state.rs
+++ b/crates/peers/src/net/net_state.rs
@@ -32,7 +32,7 @@
     pub(crate) core: RefCell<PeerCore>,
     pub(crate) fleet: String,
     /// Idle timeout of links.
-    pub(crate) idle_ms: u64,
+    pub(crate) idle_timeout_ms: u64,
     pub(crate) counters: Arc<PeerCounters>,
     pub(crate) query_handler: RefCell<Option<QueryHandler>>,
     pub(crate) active_queries: Cell<usize>,
--- a/crates/peers/src/net/peer_handle.rs
+++ b/crates/peers/src/net/peer_handle.rs
@@ -30,8 +30,8 @@
 use crate::net::net_loop::NetLoop;
 use crate::net::net_state::EVENT_QUEUE_CAPACITY;
 use crate::net::net_state::NetState;
-use crate::net::peer_question::AskError;
 use crate::net::peer_question::PeerQuestion;
+use crate::net::peer_question::QueryError;
 use crate::net::peer_question::QueryFrame;
 use crate::net::query_client::send_query;
 
@@ -60,7 +60,7 @@
         let state = Rc::new(NetState {
             core: RefCell::new(PeerCore::new(conf, address, 0)),
             fleet: conf.fleet.clone(),
-            idle_ms: conf.pace.idle_ms,
+            idle_timeout_ms: conf.pace.idle_timeout_ms,
             counters: Arc::default(),
             query_handler: RefCell::new(None),
             active_queries: Cell::new(0),
@@ -90,7 +90,7 @@
             open_connections: Rc::new(Cell::new(0)),
         };
         actix_rt::spawn(listener_task.run(listener));
-        actix_rt::spawn(net_loop.run(conf.pace.tick_ms));
+        actix_rt::spawn(net_loop.run(conf.pace.gossip_interval_ms));
         Ok((PeerHandle { state, items: item_sender, leave_requests: leave_sender }, news))
     }
 }
@@ -126,8 +126,8 @@
     }
 
     /// Publishes an item that expires after `ttl_ms`.
-    pub fn put_for(&self, item: PeerItem, ttl_ms: u64) {
-        self.state.core.borrow_mut().put_for(item, ttl_ms, self.state.now_ms());
+    pub fn publish_with_ttl(&self, item: PeerItem, ttl_ms: u64) {
+        self.state.core.borrow_mut().publish_with_ttl(item, ttl_ms, self.state.now_ms());
         self.state.wake.notify_one();
     }
 
@@ -137,8 +137,8 @@
     }
 
     /// Sends a query to one host. Does not retry with another host.
-    pub async fn ask(&self, host: &HostName, query: PeerQuestion) -> Result<Bytes, AskError> {
-        let address = self.address_of(host).ok_or(AskError::UnknownHost)?;
+    pub async fn ask(&self, host: &HostName, query: PeerQuestion) -> Result<Bytes, QueryError> {
+        let address = self.address_of(host).ok_or(QueryError::UnknownHost)?;
         let frame = QueryFrame { fleet: self.state.fleet.clone(), host: host.clone(), query };
         send_query(self.state.clone(), address, frame).await
     }
--- a/crates/peers/src/net/peer_question.rs
+++ b/crates/peers/src/net/peer_question.rs
@@ -35,7 +35,7 @@
 
 /// Reason why a query failed.
 #[derive(Debug, Display, Error)]
-pub enum AskError {
+pub enum QueryError {
     /// No live host has this name.
     #[display("unknown host")]
     UnknownHost,
--- a/crates/peers/src/net/query_client.rs
+++ b/crates/peers/src/net/query_client.rs
@@ -20,7 +20,7 @@
 use crate::TrafficKind;
 use crate::net::counting_stream::CountingStream;
 use crate::net::net_state::NetState;
-use crate::net::peer_question::AskError;
+use crate::net::peer_question::QueryError;
 use crate::net::peer_question::QueryFrame;
 use crate::net::query_server::QUERY_PATH;
 
@@ -35,7 +35,7 @@
     state: Rc<NetState>,
     address: SocketAddr,
     query: QueryFrame,
-) -> Result<Bytes, AskError> {
+) -> Result<Bytes, QueryError> {
     let response = async {
         let stream = TcpStream::connect(address).await.map_err(connection_error)?;
         stream.set_nodelay(true).map_err(connection_error)?;
@@ -47,13 +47,13 @@
             .initial_connection_window_size(RESPONSE_WINDOW_BYTES);
         let (client, connection) = builder.handshake(stream).await.map_err(connection_error)?;
         tokio::select! {
-            result = connection => Err(result.err().map_or(AskError::NoAnswer, connection_error)),
+            result = connection => Err(result.err().map_or(QueryError::NoAnswer, connection_error)),
             response = post_query(&state, client, &query) => response,
         }
     };
     tokio::select! {
-        response = timeout(QUERY_TIMEOUT, response) => response.unwrap_or(Err(AskError::Timeout)),
-        () = state.cancellation.cancelled() => Err(AskError::Timeout),
+        response = timeout(QUERY_TIMEOUT, response) => response.unwrap_or(Err(QueryError::Timeout)),
+        () = state.cancellation.cancelled() => Err(QueryError::Timeout),
     }
 }
 
@@ -61,7 +61,7 @@
     state: &NetState,
     client: h2::client::SendRequest<Bytes>,
     query: &QueryFrame,
-) -> Result<Bytes, AskError> {
+) -> Result<Bytes, QueryError> {
     let request =
         Request::builder().method(Method::POST).uri(QUERY_PATH).body(()).expect("a valid request");
     let (response, mut stream) = client
@@ -76,26 +76,26 @@
     let response = response.await.map_err(connection_error)?;
     match response.status() {
         StatusCode::OK => read_response(state, response.into_body()).await,
-        StatusCode::MISDIRECTED_REQUEST => Err(AskError::WrongHost),
-        StatusCode::SERVICE_UNAVAILABLE => Err(AskError::Busy),
-        _ => Err(AskError::NoAnswer),
+        StatusCode::MISDIRECTED_REQUEST => Err(QueryError::WrongHost),
+        StatusCode::SERVICE_UNAVAILABLE => Err(QueryError::Busy),
+        _ => Err(QueryError::NoAnswer),
     }
 }
 
-async fn read_response(state: &NetState, mut body: RecvStream) -> Result<Bytes, AskError> {
+async fn read_response(state: &NetState, mut body: RecvStream) -> Result<Bytes, QueryError> {
     let mut bytes = BytesMut::new();
     while let Some(chunk) = body.data().await {
         let chunk = chunk.map_err(connection_error)?;
         body.flow_control().release_capacity(chunk.len()).map_err(connection_error)?;
         bytes.extend_from_slice(&chunk);
         if bytes.len() > MAX_RESPONSE_BYTES {
-            return Err(AskError::TooLong);
+            return Err(QueryError::TooLong);
         }
     }
     state.counters.count(Direction::Received, TrafficKind::Ask, bytes.len());
     Ok(bytes.freeze())
 }
 
-fn connection_error<E: std::fmt::Display>(error: E) -> AskError {
-    AskError::Connection { reason: error.to_string() }
+fn connection_error<E: std::fmt::Display>(error: E) -> QueryError {
+    QueryError::Connection { reason: error.to_string() }
 }
--- a/crates/peers/src/peer_core.rs
+++ b/crates/peers/src/peer_core.rs
@@ -146,10 +146,10 @@
             new_urgent: 0,
             sequence: 0,
             latest_ms: now_ms,
-            next_period_ms: now_ms + pace.period_ms,
-            next_digest_ms: now_ms + pace.digest_ms,
+            next_period_ms: now_ms + pace.probe_interval_ms,
+            next_digest_ms: now_ms + pace.anti_entropy_interval_ms,
             can_start_comparison: true,
-            next_reconnect_ms: now_ms + pace.seed_ms,
+            next_reconnect_ms: now_ms + pace.reconnect_interval_ms,
             next_rotation_ms: now_ms + NEIGHBOR_ROTATION_MS,
             next_usage_report_ms: now_ms,
             next_version_refresh_ms: now_ms,
@@ -160,7 +160,7 @@
         core
     }
 
-    /// Runs timers and one gossip round. Call every `PeerPace::tick_ms`.
+    /// Runs timers and one gossip round. Call every `PeerPace::gossip_interval_ms`.
     pub fn tick(&mut self, now_ms: u64) {
         self.detect_pause(now_ms);
         if self.participation != Participation::Active {
@@ -170,7 +170,7 @@
         self.check_probe_timeouts(now_ms);
         self.retry_join();
         if now_ms >= self.next_period_ms {
-            self.next_period_ms = now_ms + self.pace.period_ms;
+            self.next_period_ms = now_ms + self.pace.probe_interval_ms;
             self.run_protocol_period(now_ms);
         }
         self.publish_due_items(now_ms);
@@ -190,11 +190,11 @@
         self.neighbors.refresh(&self.members, &mut self.rng);
         self.send_probes(now_ms);
         if now_ms >= self.next_digest_ms {
-            self.next_digest_ms = now_ms + self.pace.digest_ms;
+            self.next_digest_ms = now_ms + self.pace.anti_entropy_interval_ms;
             self.send_digest();
         }
         if now_ms >= self.next_reconnect_ms {
-            self.next_reconnect_ms = now_ms + self.pace.seed_ms;
+            self.next_reconnect_ms = now_ms + self.pace.reconnect_interval_ms;
             self.contact_missing_peers(now_ms);
         }
         self.publish_zone_usage(now_ms);
@@ -255,12 +255,12 @@
     /// Publishes an item with the default TTL of its kind.
     pub fn put(&mut self, item: PeerItem, now_ms: u64) {
         let ttl_ms = item.kind().row().ttl_ms;
-        self.put_for(item, ttl_ms, now_ms);
+        self.publish_with_ttl(item, ttl_ms, now_ms);
     }
 
     /// Publishes an item. `ttl_ms` applies to urgent items only; lazy items get the default TTL of
     /// their kind.
-    pub fn put_for(&mut self, item: PeerItem, ttl_ms: u64, now_ms: u64) {
+    pub fn publish_with_ttl(&mut self, item: PeerItem, ttl_ms: u64, now_ms: u64) {
         self.detect_pause(now_ms);
         if self.participation != Participation::Active {
             return;
@@ -346,7 +346,7 @@
     fn detect_pause(&mut self, now_ms: u64) -> bool {
         let paused_ms = now_ms.saturating_sub(self.latest_ms);
         self.latest_ms = self.latest_ms.max(now_ms);
-        if paused_ms < self.pace.pause_ms || self.participation != Participation::Active {
+        if paused_ms < self.pace.pause_threshold_ms || self.participation != Participation::Active {
             return false;
         }
         self.probes.clear();
--- a/crates/peers/src/peer_core/anti_entropy.rs
+++ b/crates/peers/src/peer_core/anti_entropy.rs
@@ -95,7 +95,7 @@
     ) {
         // Differing buckets suggest a partition or a mass restart: compare again soon.
         if buckets.iter().any(|&bucket| is_stable_bucket(bucket)) {
-            self.next_digest_ms = self.next_digest_ms.min(now_ms + self.pace.period_ms);
+            self.next_digest_ms = self.next_digest_ms.min(now_ms + self.pace.probe_interval_ms);
         }
         let own = self.summary(buckets);
         let is_covered = |entry: &&SummaryEntry| {
--- a/crates/peers/src/peer_core/gossip.rs
+++ b/crates/peers/src/peer_core/gossip.rs
@@ -32,7 +32,7 @@
     /// wait, so that many records share a frame and the byte budget holds.
     pub(super) fn gossip_urgent(&mut self, now_ms: u64) {
         let can_send_now = self.new_urgent <= MAX_IMMEDIATE_RECORDS
-            && self.byte_budget.available() > self.pace.frame_bytes;
+            && self.byte_budget.available() > self.pace.max_gossip_bytes;
         if self.new_urgent > 0 && can_send_now {
             let targets = self.neighbors.ids().to_vec();
             self.gossip_to(&targets, now_ms);
@@ -59,7 +59,7 @@
 
     fn select_records(&mut self, target: &MemberRecord, now_ms: u64) -> Vec<PeerRecord> {
         let urgent_limit =
-            self.pace.frame_bytes.min(self.byte_budget.available_above(ANTI_ENTROPY_RESERVE));
+            self.pace.max_gossip_bytes.min(self.byte_budget.available_above(ANTI_ENTROPY_RESERVE));
         let lazy_limit = urgent_limit.min(self.byte_budget.available_above(URGENT_RESERVE));
         let mut records = Vec::new();
         let mut bytes = 0;
--- a/crates/peers/src/peer_core/merging.rs
+++ b/crates/peers/src/peer_core/merging.rs
@@ -4,10 +4,10 @@
 
 use super::Participation;
 use super::PeerCore;
+use crate::IncarnationEndReason;
 use crate::ItemRecord;
 use crate::MemberRecord;
 use crate::MemberState;
-use crate::OverCause;
 use crate::PeerItem;
 use crate::PeerNews;
 use crate::RecordKind;
@@ -94,18 +94,20 @@
         };
         let (host, incarnation) = (member.host.clone(), member.incarnation);
         let replaced = previous.filter(|previous| previous.incarnation < incarnation);
-        let superseded = replaced.map(|previous| (previous.incarnation, OverCause::Replaced));
+        let superseded =
+            replaced.map(|previous| (previous.incarnation, IncarnationEndReason::Replaced));
         let is_unchanged = previous.is_some_and(|previous| {
             previous.incarnation == incarnation
                 && previous.state == member.state
                 && previous.address == member.address
         });
-        let left = (member.state == MemberState::Left).then_some((incarnation, OverCause::Left));
+        let left = (member.state == MemberState::Left)
+            .then_some((incarnation, IncarnationEndReason::Left));
         if !is_unchanged {
             self.notify(PeerNews::Member { member });
         }
-        for (incarnation, cause) in superseded.into_iter().chain(left) {
-            self.notify(PeerNews::IncarnationOver { host: host.clone(), incarnation, cause });
+        for (incarnation, reason) in superseded.into_iter().chain(left) {
+            self.notify(PeerNews::IncarnationOver { host: host.clone(), incarnation, reason });
         }
     }
 
--- a/crates/peers/src/peer_core/probing.rs
+++ b/crates/peers/src/peer_core/probing.rs
@@ -7,9 +7,9 @@
 
 use super::PeerCore;
 use crate::CoreOutput;
+use crate::IncarnationEndReason;
 use crate::MemberRecord;
 use crate::MemberState;
-use crate::OverCause;
 use crate::PeerNews;
 use crate::record_key::name_hash;
 use crate::state::probe_tracker::AckResult;
@@ -84,7 +84,7 @@
         for (number, target) in self.probes.take_overdue(now_ms, self.pace.probe_timeout_ms) {
             self.request_indirect_probes(number, target);
         }
-        for target in self.probes.take_failed(now_ms, self.pace.period_ms) {
+        for target in self.probes.take_failed(now_ms, self.pace.probe_interval_ms) {
             self.suspect(target, now_ms);
         }
     }
@@ -145,7 +145,11 @@
             self.gossip_queue.remove(member.key());
             let (host, incarnation) = (member.host.clone(), member.incarnation);
             self.notify(PeerNews::Member { member });
-            self.notify(PeerNews::IncarnationOver { host, incarnation, cause: OverCause::Gone });
+            self.notify(PeerNews::IncarnationOver {
+                host,
+                incarnation,
+                reason: IncarnationEndReason::Gone,
+            });
         }
     }
 
--- a/crates/peers/src/peer_item.rs
+++ b/crates/peers/src/peer_item.rs
@@ -16,11 +16,11 @@
 use crate::record_key::numbered_name_hash;
 
 /// Maximum number of teams in a usage record.
-pub const TOP_TEAMS: usize = 16;
+pub const MAX_TEAMS: usize = 16;
 /// Maximum length of the payload of a `HostWord`.
-pub const WORD_BYTES: usize = 3_072;
+pub const MAX_PAYLOAD_BYTES: usize = 3_072;
 /// Maximum number of backend servers in a verdict.
-pub const VERDICT_SERVERS: usize = 8;
+pub const MAX_VERDICT_SERVERS: usize = 8;
 
 /// An item that a router publishes to the others.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -45,14 +45,14 @@
         fingerprint: u64,
         /// The verdict.
         state: VerdictState,
-        /// Servers that crashed while processing it, at most `VERDICT_SERVERS`.
+        /// Servers that crashed while processing it, at most `MAX_VERDICT_SERVERS`.
         servers: Vec<ServerName>,
     },
     /// Usage by the most active teams on an entry host. Published only by that host.
     TeamUsage {
         /// The host.
         host: HostName,
-        /// Most active first, at most `TOP_TEAMS`.
+        /// Most active first, at most `MAX_TEAMS`.
         teams: Vec<TeamRate>,
     },
     /// Usage by the most active teams in a zone, aggregated from `TeamUsage` by this crate.
@@ -61,7 +61,7 @@
         zone: ZoneName,
         /// Number of hosts included.
         hosts: u32,
-        /// Most active first, at most `TOP_TEAMS`.
+        /// Most active first, at most `MAX_TEAMS`.
         teams: Vec<TeamRate>,
     },
     /// A hot prefix and a server that has it cached.
@@ -96,7 +96,7 @@
         host: HostName,
         /// Part of the topic; the newest payload of each part is kept.
         part: u64,
-        /// The payload, at most `WORD_BYTES` long.
+        /// The payload, at most `MAX_PAYLOAD_BYTES` long.
         bytes: Bytes,
     },
 }
@@ -118,10 +118,10 @@
     /// The record kind of the topic.
     pub fn kind(self) -> RecordKind {
         match self {
-            WordTopic::Suspect => RecordKind::SuspectWord,
-            WordTopic::TeamUse => RecordKind::TeamUseWord,
-            WordTopic::PrefixDemand => RecordKind::DemandWord,
-            WordTopic::SpreadPlan => RecordKind::PlanWord,
+            WordTopic::Suspect => RecordKind::SuspectPayload,
+            WordTopic::TeamUse => RecordKind::TeamUsePayload,
+            WordTopic::PrefixDemand => RecordKind::DemandPayload,
+            WordTopic::SpreadPlan => RecordKind::PlanPayload,
         }
     }
 
@@ -197,7 +197,7 @@
     /// Truncates lists to their maximum length, keeping the most active teams.
     pub(crate) fn truncated(mut self) -> PeerItem {
         match &mut self {
-            PeerItem::CrashVerdict { servers, .. } => servers.truncate(VERDICT_SERVERS),
+            PeerItem::CrashVerdict { servers, .. } => servers.truncate(MAX_VERDICT_SERVERS),
             PeerItem::TeamUsage { teams, .. } | PeerItem::ZoneUsage { teams, .. } => {
                 keep_most_active(teams);
             }
@@ -206,9 +206,9 @@
         self
     }
 
-    /// Whether the payload exceeds `WORD_BYTES`.
+    /// Whether the payload exceeds `MAX_PAYLOAD_BYTES`.
     pub(crate) fn is_oversized(&self) -> bool {
-        matches!(self, PeerItem::HostWord { bytes, .. } if bytes.len() > WORD_BYTES)
+        matches!(self, PeerItem::HostWord { bytes, .. } if bytes.len() > MAX_PAYLOAD_BYTES)
     }
 
     /// The order value for a record of this item that replaces `stored`, given as the order and item
@@ -248,5 +248,5 @@
 
 fn keep_most_active(teams: &mut Vec<TeamRate>) {
     teams.sort_by_key(|rate| std::cmp::Reverse((rate.tokens_per_s, rate.milli_requests_per_s)));
-    teams.truncate(TOP_TEAMS);
+    teams.truncate(MAX_TEAMS);
 }
--- a/crates/peers/src/peer_news.rs
+++ b/crates/peers/src/peer_news.rs
@@ -27,7 +27,7 @@
         /// The incarnation.
         incarnation: Incarnation,
         /// The reason for this conclusion.
-        cause: OverCause,
+        reason: IncarnationEndReason,
     },
     /// A newer item was received, or the usage of this zone was aggregated here.
     Item {
@@ -55,7 +55,7 @@
 
 /// Why an incarnation is considered to have ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum OverCause {
+pub enum IncarnationEndReason {
     /// The host announced its departure.
     Left,
     /// A newer incarnation of the host is running.
--- a/crates/peers/src/record_kind.rs
+++ b/crates/peers/src/record_kind.rs
@@ -23,13 +23,13 @@
     /// An entry host incarnation whose claims will get no outcome.
     ClaimerGone = 8,
     /// Payload of a host about a request that may crash backend servers.
-    SuspectWord = 9,
+    SuspectPayload = 9,
     /// Payload of a host about its team usage.
-    TeamUseWord = 10,
+    TeamUsePayload = 10,
     /// Payload of a host about the prefixes requested there.
-    DemandWord = 11,
+    DemandPayload = 11,
     /// Payload of a host about the placement of hot prefixes.
-    PlanWord = 12,
+    PlanPayload = 12,
 }
 
 /// Which hosts receive a record.
@@ -123,10 +123,10 @@
     KindRow { kind: RecordKind::HotPrefix, name: "hot_prefix", ttl_ms: MINUTE, max_records: 1024, scope: Zone, urgency: Lazy, group: Group::None, order: HigherValue },
     KindRow { kind: RecordKind::ServerSeen, name: "server_seen", ttl_ms: 6 * HOUR, max_records: 4096, scope: Fleet, urgency: Urgent, group: Group::Stable, order: HigherValue },
     KindRow { kind: RecordKind::ClaimerGone, name: "claimer_gone", ttl_ms: 6 * HOUR, max_records: 4096, scope: Fleet, urgency: Urgent, group: Group::Stable, order: HigherValue },
-    KindRow { kind: RecordKind::SuspectWord, name: "suspect_word", ttl_ms: HOUR, max_records: 1024, scope: Fleet, urgency: Urgent, group: Group::Volatile, order: SingleWriter },
-    KindRow { kind: RecordKind::TeamUseWord, name: "team_use_word", ttl_ms: 10_000, max_records: 1024, scope: Fleet, urgency: Lazy, group: Group::None, order: SingleWriter },
-    KindRow { kind: RecordKind::DemandWord, name: "demand_word", ttl_ms: 10_000, max_records: 1024, scope: Fleet, urgency: Lazy, group: Group::None, order: SingleWriter },
-    KindRow { kind: RecordKind::PlanWord, name: "plan_word", ttl_ms: MINUTE, max_records: 256, scope: Fleet, urgency: Lazy, group: Group::None, order: SingleWriter },
+    KindRow { kind: RecordKind::SuspectPayload, name: "suspect_word", ttl_ms: HOUR, max_records: 1024, scope: Fleet, urgency: Urgent, group: Group::Volatile, order: SingleWriter },
+    KindRow { kind: RecordKind::TeamUsePayload, name: "team_use_word", ttl_ms: 10_000, max_records: 1024, scope: Fleet, urgency: Lazy, group: Group::None, order: SingleWriter },
+    KindRow { kind: RecordKind::DemandPayload, name: "demand_word", ttl_ms: 10_000, max_records: 1024, scope: Fleet, urgency: Lazy, group: Group::None, order: SingleWriter },
+    KindRow { kind: RecordKind::PlanPayload, name: "plan_word", ttl_ms: MINUTE, max_records: 256, scope: Fleet, urgency: Lazy, group: Group::None, order: SingleWriter },
 ];
 
 impl RecordKind {
--- a/crates/peers/src/state/item_table.rs
+++ b/crates/peers/src/state/item_table.rs
@@ -6,12 +6,12 @@
 use indexmap::IndexMap;
 
 use crate::ItemRecord;
+use crate::MAX_VERDICT_SERVERS;
 use crate::OrderRule;
 use crate::PeerItem;
 use crate::RECORD_KIND_COUNT;
 use crate::RecordKey;
 use crate::RecordKind;
-use crate::VERDICT_SERVERS;
 use crate::peer_item::RANK_BITS;
 use crate::state::digest_buckets::DigestBuckets;
 use crate::state::digest_buckets::bucket_of;
@@ -175,7 +175,7 @@
     combined.extend(other_servers.iter().cloned());
     combined.sort();
     combined.dedup();
-    combined.truncate(VERDICT_SERVERS);
+    combined.truncate(MAX_VERDICT_SERVERS);
     Some(PeerItem::CrashVerdict {
         fingerprint: *fingerprint,
         state: *state.max(other_state),
--- a/crates/peers/src/state/paced_queue.rs
+++ b/crates/peers/src/state/paced_queue.rs
@@ -63,13 +63,13 @@
 fn send_interval_ms(item: &PeerItem, size: FleetSize) -> u64 {
     let (writers, bytes_per_s) = match item.kind() {
         RecordKind::ConfigInForce => (size.hosts, 500),
-        RecordKind::TeamUseWord => (size.hosts, 1_000),
+        RecordKind::TeamUsePayload => (size.hosts, 1_000),
         // Demand reports count for 5 s. With this rate, six hosts send theirs every 2.3 s.
-        RecordKind::DemandWord => (size.hosts, 1_600),
+        RecordKind::DemandPayload => (size.hosts, 1_600),
         RecordKind::HotPrefix => (size.zone_hosts, 500),
         RecordKind::TeamUsage => (size.zone_hosts, 2_500),
         // Only one host of the fleet writes these.
-        RecordKind::PlanWord => (1, 500),
+        RecordKind::PlanPayload => (1, 500),
         _ => return 0,
     };
     let interval_ms = (estimated_record_len(item) * writers * 1_000 / bytes_per_s) as u64;
--- a/crates/peers/src/state/probe_tracker.rs
+++ b/crates/peers/src/state/probe_tracker.rs
@@ -120,10 +120,10 @@
     }
 
     /// Removes expired probes and returns the targets of this host's own ones.
-    pub(crate) fn take_failed(&mut self, now_ms: u64, period_ms: u64) -> Vec<u64> {
+    pub(crate) fn take_failed(&mut self, now_ms: u64, probe_interval_ms: u64) -> Vec<u64> {
         let mut failed = Vec::new();
         self.open.retain(|_, entry| {
-            let is_open = now_ms < entry.started_ms + period_ms;
+            let is_open = now_ms < entry.started_ms + probe_interval_ms;
             if !is_open && matches!(entry.origin, ProbeOrigin::Own) {
                 failed.push(entry.target);
             }
--- a/crates/peers/src/wire/item_codec.rs
+++ b/crates/peers/src/wire/item_codec.rs
@@ -148,10 +148,10 @@
             host: decode_name(decoder)?,
             incarnation: Incarnation(decode_u64(decoder)?),
         },
-        RecordKind::SuspectWord
-        | RecordKind::TeamUseWord
-        | RecordKind::DemandWord
-        | RecordKind::PlanWord => decode_host_word(kind, decoder)?,
+        RecordKind::SuspectPayload
+        | RecordKind::TeamUsePayload
+        | RecordKind::DemandPayload
+        | RecordKind::PlanPayload => decode_host_word(kind, decoder)?,
     };
     Ok(item)
 }
--- a/crates/peers/tests/bounds.rs
+++ b/crates/peers/tests/bounds.rs
@@ -6,13 +6,13 @@
 use fulmargate_names::PromptHash;
 use fulmargate_names::ServerName;
 use fulmargate_names::TeamName;
+use fulmargate_peers::MAX_PAYLOAD_BYTES;
+use fulmargate_peers::MAX_TEAMS;
 use fulmargate_peers::PeerItem;
 use fulmargate_peers::PeerNews;
 use fulmargate_peers::PeerPace;
 use fulmargate_peers::RecordKind;
-use fulmargate_peers::TOP_TEAMS;
 use fulmargate_peers::TeamRate;
-use fulmargate_peers::WORD_BYTES;
 use fulmargate_peers::WordTopic;
 use support::SimNet;
 
@@ -70,7 +70,7 @@
     net.run(5_000);
     let hottest = |item: &PeerItem| match item {
         PeerItem::ZoneUsage { teams, .. } => {
-            teams.len() == TOP_TEAMS && teams[0].tokens_per_s == 99
+            teams.len() == MAX_TEAMS && teams[0].tokens_per_s == 99
         }
         _ => false,
     };
@@ -122,8 +122,9 @@
         let mut max_elapsed_ms = 0;
         for second in 0..60 {
             for part in 0..5 {
-                all.iter()
-                    .for_each(|&index| net.put(index, host_word(&net, index, part, WORD_BYTES)));
+                all.iter().for_each(|&index| {
+                    net.put(index, host_word(&net, index, part, MAX_PAYLOAD_BYTES))
+                });
                 net.run(150);
             }
             let item = server_leaving(&format!("s-{second}"), 1);
@@ -139,7 +140,7 @@
         );
         assert!(max_elapsed_ms <= 3_000, "{max_elapsed_ms} ms, {hosts} hosts");
         let is_host_word = |news: &PeerNews| match news {
-            PeerNews::Item { record } => record.item.kind() == RecordKind::TeamUseWord,
+            PeerNews::Item { record } => record.item.kind() == RecordKind::TeamUsePayload,
             _ => false,
         };
         assert!(
@@ -151,7 +152,7 @@
 
 #[test]
 fn an_oversized_payload_is_not_published() {
-    for (length, is_published) in [(WORD_BYTES, true), (WORD_BYTES + 1, false)] {
+    for (length, is_published) in [(MAX_PAYLOAD_BYTES, true), (MAX_PAYLOAD_BYTES + 1, false)] {
         let mut net = converged_net(2, 1, 1);
         net.put(0, host_word(&net, 0, 1, length));
         net.run(5_000);
--- a/crates/peers/tests/links.rs
+++ b/crates/peers/tests/links.rs
@@ -12,10 +12,9 @@
 use fulmargate_names::LogOffset;
 use fulmargate_names::ServerName;
 use fulmargate_names::ZoneName;
-use fulmargate_peers::AskError;
+use fulmargate_peers::IncarnationEndReason;
 use fulmargate_peers::MemberRecord;
 use fulmargate_peers::MemberState;
-use fulmargate_peers::OverCause;
 use fulmargate_peers::PeerConf;
 use fulmargate_peers::PeerHandle;
 use fulmargate_peers::PeerItem;
@@ -23,6 +22,7 @@
 use fulmargate_peers::PeerNews;
 use fulmargate_peers::PeerPace;
 use fulmargate_peers::PeerQuestion;
+use fulmargate_peers::QueryError;
 use fulmargate_peers::wire;
 use h2::RecvStream;
 use h2::SendStream;
@@ -142,7 +142,7 @@
     hosts[1].wait_until_alive("a").await;
     let a = HostName::new("a");
     let no_answer = hosts[1].handle.ask(&a, PeerQuestion::WarmState).await;
-    assert!(matches!(no_answer, Err(AskError::NoAnswer)), "{no_answer:?}");
+    assert!(matches!(no_answer, Err(QueryError::NoAnswer)), "{no_answer:?}");
     hosts[0].handle.set_answerer(|question| match question {
         PeerQuestion::ConfigRecords { from_offset } => Some(Bytes::from(from_offset.0.to_string())),
         PeerQuestion::WarmState => Some(Bytes::from(vec![7; 5_000_000])),
@@ -152,7 +152,7 @@
     let state = hosts[1].handle.ask(&a, PeerQuestion::WarmState).await.expect("an answer");
     assert_eq!(state, Bytes::from(vec![7; 5_000_000]));
     let unknown_host = hosts[1].handle.ask(&HostName::new("z"), records).await;
-    assert!(matches!(unknown_host, Err(AskError::UnknownHost)), "{unknown_host:?}");
+    assert!(matches!(unknown_host, Err(QueryError::UnknownHost)), "{unknown_host:?}");
 }
 
 /// While a zone restarts, all its hosts may query the same host for several megabytes of state.
@@ -165,7 +165,7 @@
     let a = HostName::new("a");
     let queries = (0..24).map(|_| hosts[1].handle.ask(&a, PeerQuestion::WarmState));
     let answers = futures_util::future::join_all(queries).await;
-    let rejected = answers.iter().filter(|answer| matches!(answer, Err(AskError::Busy))).count();
+    let rejected = answers.iter().filter(|answer| matches!(answer, Err(QueryError::Busy))).count();
     let answered = answers.iter().filter(|answer| answer.is_ok()).count();
     assert_eq!(
         rejected + answered,
@@ -190,7 +190,7 @@
     let other = rebind(&other).await;
     other.handle.set_answerer(|_| Some(Bytes::from("answer from c")));
     let answer = hosts[1].handle.ask(&HostName::new("a"), PeerQuestion::WarmState).await;
-    assert!(matches!(answer, Err(AskError::WrongHost)), "{answer:?}");
+    assert!(matches!(answer, Err(QueryError::WrongHost)), "{answer:?}");
 }
 
 /// Starts a host on the address of a stopped one, as soon as its port is free.
@@ -215,8 +215,9 @@
     let address = hosts[2].handle.address();
     hosts[2].handle.leave().await;
     hosts[2].token.cancel();
-    let is_left =
-        |news: &PeerNews| matches!(news, PeerNews::IncarnationOver { cause: OverCause::Left, .. });
+    let is_left = |news: &PeerNews| {
+        matches!(news, PeerNews::IncarnationOver { reason: IncarnationEndReason::Left, .. })
+    };
     hosts[0].wait_for_news("left", is_left).await;
     hosts[1].wait_for_news("left", is_left).await;
     let mut restarted = conf("c", &[hosts[0].handle.address()]);
@@ -311,8 +312,8 @@
 #[actix_rt::test]
 async fn the_link_to_a_peer_that_does_not_read_is_closed() {
     let pace = PeerPace {
-        tick_ms: 5,
-        period_ms: 60_000,
+        gossip_interval_ms: 5,
+        probe_interval_ms: 60_000,
         bytes_per_s: 10_000_000,
         burst_bytes: 10_000_000,
         ..PeerPace::default()
@@ -343,7 +344,7 @@
 #[actix_rt::test]
 async fn idle_connections_are_closed() {
     let mut conf = conf("a", &[]);
-    conf.pace = PeerPace { idle_ms: 100, period_ms: 60_000, ..PeerPace::default() };
+    conf.pace = PeerPace { idle_timeout_ms: 100, probe_interval_ms: 60_000, ..PeerPace::default() };
     let host = start(&conf);
     let stream = tokio::net::TcpStream::connect(host.handle.address()).await.expect("it listens");
     let (_client, connection) =
--- a/crates/peers/tests/membership.rs
+++ b/crates/peers/tests/membership.rs
@@ -5,8 +5,8 @@
 use fulmargate_names::ConfigVersion;
 use fulmargate_names::Incarnation;
 use fulmargate_peers::CoreOutput;
+use fulmargate_peers::IncarnationEndReason;
 use fulmargate_peers::MemberState;
-use fulmargate_peers::OverCause;
 use fulmargate_peers::PeerNews;
 use fulmargate_peers::wire::PeerFrame;
 use fulmargate_peers::wire::PeerMessage;
@@ -200,13 +200,13 @@
         net.run(10_000);
         net.pause(4);
         net.run(30_000);
-        let twin = net.start_duplicate(4);
+        let duplicate = net.start_duplicate(4);
         net.run(10_000);
-        let (old, new) = (net.nodes[4].conf.incarnation, net.nodes[twin].conf.incarnation);
+        let (old, new) = (net.nodes[4].conf.incarnation, net.nodes[duplicate].conf.incarnation);
         let replaced = PeerNews::IncarnationOver {
             host: net.nodes[4].conf.host.clone(),
             incarnation: old,
-            cause: OverCause::Replaced,
+            reason: IncarnationEndReason::Replaced,
         };
         assert!(
             (0..4).all(|holder| net.count_events(holder, |news| *news == replaced) == 1),
--- a/crates/peers/tests/support/mod.rs
+++ b/crates/peers/tests/support/mod.rs
@@ -168,7 +168,7 @@
                 if node.run_state == RunState::Running {
                     node.core.tick(now_ms);
                 }
-                let next_ms = now_ms + node.conf.pace.tick_ms;
+                let next_ms = now_ms + node.conf.pace.gossip_interval_ms;
                 self.schedule(next_ms, index, Event::Tick);
             }
             Event::Frame { from, bytes } => match node.run_state {
