--- a/crates/peers/tests/bounds.rs
+++ b/crates/peers/tests/bounds.rs
@@ -123,7 +123,7 @@
         for second in 0..60 {
             for part in 0..5 {
                 all.iter().for_each(|&index| {
-                    net.put(index, host_word(&net, index, part, MAX_PAYLOAD_BYTES))
+                    net.put(index, host_word(&net, index, part, MAX_PAYLOAD_BYTES));
                 });
                 net.run(150);
             }
