--- a/crates/peers/examples/traffic.rs
+++ b/crates/peers/examples/traffic.rs
@@ -100,12 +100,15 @@
         if rng.random_bool(changes_per_s) {
             let server = ServerName::new(&format!("engine-{}", rng.random_range(0..12_000)));
             let incarnation = Incarnation(1_700_000_000_000 + second);
-            net.put(rng.random_range(0..hosts), PeerItem::ServerLeaving { server, incarnation });
+            net.publish(
+                rng.random_range(0..hosts),
+                PeerItem::ServerLeaving { server, incarnation },
+            );
         }
         if rng.random_bool(changes_per_s) {
             let server = ServerName::new(&format!("engine-{}", rng.random_range(0..12_000)));
             let incarnation = Incarnation(1_700_000_000_000 + second);
-            net.put(rng.random_range(0..hosts), PeerItem::ServerSeen { server, incarnation });
+            net.publish(rng.random_range(0..hosts), PeerItem::ServerSeen { server, incarnation });
         }
         publish_periodic_items(net, zones, second, &mut rng);
         net.run(1_000);
@@ -124,7 +127,7 @@
             tokens_per_s: rng.random_range(1_000..400_000),
         });
         let teams = teams.collect();
-        net.put(index, PeerItem::TeamUsage { host, teams });
+        net.publish(index, PeerItem::TeamUsage { host, teams });
         if !(second + index as u64).is_multiple_of(5) {
             continue;
         }
@@ -134,7 +137,7 @@
             let prefix =
                 PromptHash(((slot << 32) | (generation / 10)).wrapping_mul(0x9e37_79b9_7f4a_7c15));
             let server = ServerName::new(&format!("engine-{}-{slot}", index % zones));
-            net.put(
+            net.publish(
                 index,
                 PeerItem::HotPrefix { prefix, server, incarnation: Incarnation(1_700_000_000_000) },
             );
@@ -188,7 +191,7 @@
         let server = ServerName::new(&format!("leaving-{repetition}"));
         let item = PeerItem::ServerLeaving { server, incarnation: Incarnation(1) };
         let all_hosts = net.running();
-        net.put(repetition % hosts, item.clone());
+        net.publish(repetition % hosts, item.clone());
         leaving_times.push(net.run_until(60_000, |net| {
             net.all_have_item(&all_hosts, |held_item| *held_item == item)
         }));
--- a/crates/peers/src/net/net_loop.rs
+++ b/crates/peers/src/net/net_loop.rs
@@ -52,7 +52,8 @@
                 _ = ticks.tick() => self.tick(),
                 () = state.wake.notified() => {}
                 Some(event) = self.events.recv() => self.handle_event(event),
-                Some(item) = self.items.recv() => state.core.borrow_mut().put(item, state.now_ms()),
+                Some(item) = self.items.recv() =>
+                    state.core.borrow_mut().publish(item, state.now_ms()),
                 Some(request) = self.leave_requests.recv() => self.leave(request),
             }
             self.apply_outputs();
--- a/crates/peers/src/net/peer_handle.rs
+++ b/crates/peers/src/net/peer_handle.rs
@@ -121,7 +121,7 @@
 impl PeerHandle {
     /// Publishes an item to the other routers.
     pub fn put(&self, item: PeerItem) {
-        self.state.core.borrow_mut().put(item, self.state.now_ms());
+        self.state.core.borrow_mut().publish(item, self.state.now_ms());
         self.state.wake.notify_one();
     }
 
--- a/crates/peers/src/peer_core.rs
+++ b/crates/peers/src/peer_core.rs
@@ -253,7 +253,7 @@
     }
 
     /// Publishes an item with the default TTL of its kind.
-    pub fn put(&mut self, item: PeerItem, now_ms: u64) {
+    pub fn publish(&mut self, item: PeerItem, now_ms: u64) {
         let ttl_ms = item.kind().row().ttl_ms;
         self.publish_with_ttl(item, ttl_ms, now_ms);
     }
@@ -276,7 +276,7 @@
             self.advance_version(*version);
         }
         match item.kind().row().urgency {
-            SpreadUrgency::Urgent => self.publish(item.truncated(), ttl_ms, now_ms),
+            SpreadUrgency::Urgent => self.publish_record(item.truncated(), ttl_ms, now_ms),
             SpreadUrgency::Lazy => self.paced_queue.push(item.truncated()),
         }
         self.gossip_urgent(now_ms);
--- a/crates/peers/src/peer_core/gossip.rs
+++ b/crates/peers/src/peer_core/gossip.rs
@@ -101,7 +101,7 @@
             let ttl_ms = item.kind().row().ttl_ms;
             match item.kind() {
                 RecordKind::TeamUsage => self.publish_usage(item, ttl_ms, now_ms),
-                _ => self.publish(item, ttl_ms, now_ms),
+                _ => self.publish_record(item, ttl_ms, now_ms),
             }
         }
     }
--- a/crates/peers/src/peer_core/merging.rs
+++ b/crates/peers/src/peer_core/merging.rs
@@ -122,7 +122,7 @@
             ItemMergeResult::Stale => {}
             ItemMergeResult::Combined(item) => {
                 let ttl_ms = record.remaining_ms;
-                self.publish(item, ttl_ms, now_ms);
+                self.publish_record(item, ttl_ms, now_ms);
                 self.items
                     .current_record(key, now_ms)
                     .into_iter()
@@ -132,7 +132,7 @@
     }
 
     /// Merges an item of this host into the table and queues it for gossip.
-    pub(super) fn publish(&mut self, item: PeerItem, ttl_ms: u64, now_ms: u64) {
+    pub(super) fn publish_record(&mut self, item: PeerItem, ttl_ms: u64, now_ms: u64) {
         if self.items.is_recently_published(&item, ttl_ms, now_ms) {
             return;
         }
--- a/crates/peers/src/peer_core/zone_usage.rs
+++ b/crates/peers/src/peer_core/zone_usage.rs
@@ -26,7 +26,7 @@
     pub(super) fn publish_usage(&mut self, item: PeerItem, ttl_ms: u64, now_ms: u64) {
         let aggregator = self.aggregator();
         if aggregator.host == self.members.own().host {
-            self.publish(item, ttl_ms, now_ms);
+            self.publish_record(item, ttl_ms, now_ms);
             return;
         }
         self.sequence += 1;
@@ -71,7 +71,7 @@
                 hosts,
                 teams: self.aggregate_usage(),
             };
-            self.publish(item.truncated(), RecordKind::ZoneUsage.row().ttl_ms, now_ms);
+            self.publish_record(item.truncated(), RecordKind::ZoneUsage.row().ttl_ms, now_ms);
         }
     }
 
--- a/crates/peers/src/peer_item.rs
+++ b/crates/peers/src/peer_item.rs
@@ -211,8 +211,8 @@
         matches!(self, PeerItem::HostWord { bytes, .. } if bytes.len() > MAX_PAYLOAD_BYTES)
     }
 
-    /// The order value for a record of this item that replaces `stored`, given as the order and item
-    /// stored under the same key.
+    /// The order value for a record of this item that replaces `stored`, given as the order and
+    /// item stored under the same key.
     pub(crate) fn next_order(&self, stored: Option<(u64, &PeerItem)>) -> u64 {
         match self.kind().row().order {
             OrderRule::SingleWriter => 0,
--- a/crates/peers/tests/bounds.rs
+++ b/crates/peers/tests/bounds.rs
@@ -52,9 +52,9 @@
 fn tables_and_lists_stay_within_limits() {
     let mut net = converged_net(2, 1, 1);
     for count in 0..3_000 {
-        net.put(0, hot_prefix(count, "s"));
-        net.put(0, server_seen(&format!("s-{count}"), 1));
-        net.put(0, server_seen(&format!("t-{count}"), 1));
+        net.publish(0, hot_prefix(count, "s"));
+        net.publish(0, server_seen(&format!("s-{count}"), 1));
+        net.publish(0, server_seen(&format!("t-{count}"), 1));
         net.run(100);
     }
     let limit = |kind: RecordKind| kind.row().max_records;
@@ -66,7 +66,7 @@
     }
     let host = net.nodes[1].conf.host.clone();
     let teams = (0..100).map(|team| team_rate(&format!("team-{team}"), team)).collect();
-    net.put(1, PeerItem::TeamUsage { host, teams });
+    net.publish(1, PeerItem::TeamUsage { host, teams });
     net.run(5_000);
     let hottest = |item: &PeerItem| match item {
         PeerItem::ZoneUsage { teams, .. } => {
@@ -88,8 +88,9 @@
         |net: &SimNet| -> u64 { net.nodes[0].counters.rows().iter().map(|row| row.sent).sum() };
     let before = sent(&net);
     for second in 0..SECONDS {
-        (0..500)
-            .for_each(|server| net.put(0, server_seen(&format!("server-{server}"), second + 1)));
+        (0..500).for_each(|server| {
+            net.publish(0, server_seen(&format!("server-{server}"), second + 1));
+        });
         net.run(1_000);
     }
     let pace = PeerPace::default();
@@ -123,12 +124,12 @@
         for second in 0..60 {
             for part in 0..5 {
                 all.iter().for_each(|&index| {
-                    net.put(index, host_word(&net, index, part, MAX_PAYLOAD_BYTES));
+                    net.publish(index, host_word(&net, index, part, MAX_PAYLOAD_BYTES));
                 });
                 net.run(150);
             }
             let item = server_leaving(&format!("s-{second}"), 1);
-            net.put(second % hosts, item.clone());
+            net.publish(second % hosts, item.clone());
             let elapsed_ms =
                 net.run_until(10_000, |net| net.all_have_item(&all, |stored| *stored == item));
             max_elapsed_ms = max_elapsed_ms.max(elapsed_ms.expect("the item reaches all hosts"));
@@ -154,7 +155,7 @@
 fn an_oversized_payload_is_not_published() {
     for (length, is_published) in [(MAX_PAYLOAD_BYTES, true), (MAX_PAYLOAD_BYTES + 1, false)] {
         let mut net = converged_net(2, 1, 1);
-        net.put(0, host_word(&net, 0, 1, length));
+        net.publish(0, host_word(&net, 0, 1, length));
         net.run(5_000);
         let is_host_word = |stored: &PeerItem| matches!(stored, PeerItem::HostWord { .. });
         assert_eq!(
--- a/crates/peers/tests/items.rs
+++ b/crates/peers/tests/items.rs
@@ -65,7 +65,7 @@
     ];
     for item in items {
         let mut net = converged_net(24, 3, 1);
-        net.put(4, item.clone());
+        net.publish(4, item.clone());
         let all: Vec<usize> = (0..24).collect();
         let zone = net.zone_hosts("zone-1");
         let is_zonal = item.kind().row().scope == SpreadScope::Zone;
@@ -96,8 +96,8 @@
             net.block_both(&a, &b);
             let c = net.zone_hosts("zone-2");
             net.block_both(&c, &b);
-            net.put(writers[0], (self.first)());
-            net.put(writers[1], (self.second)());
+            net.publish(writers[0], (self.first)());
+            net.publish(writers[1], (self.second)());
             net.run(3_000);
             net.heal();
             let all: Vec<usize> = (0..6).collect();
@@ -165,9 +165,9 @@
 fn a_clearing_written_after_a_suspicion_replaces_it() {
     let mut net = converged_net(6, 3, 1);
     let all: Vec<usize> = (0..6).collect();
-    net.put(0, verdict(VerdictState::Suspect, &["s"]));
+    net.publish(0, verdict(VerdictState::Suspect, &["s"]));
     net.run(3_000);
-    net.put(5, verdict(VerdictState::Cleared, &["s"]));
+    net.publish(5, verdict(VerdictState::Cleared, &["s"]));
     net.run(3_000);
     assert!(net.all_have_item(&all, |stored| *stored == verdict(VerdictState::Cleared, &["s"])));
 }
@@ -202,7 +202,7 @@
 fn an_item_expires_on_all_hosts_after_its_ttl() {
     let ttl_ms = RecordKind::HotPrefix.row().ttl_ms;
     let mut net = converged_net(6, 1, 1);
-    net.put(0, hot_prefix(9, "s"));
+    net.publish(0, hot_prefix(9, "s"));
     let all: Vec<usize> = (0..6).collect();
     net.run(ttl_ms - 10_000);
     net.restart(5);
@@ -222,7 +222,7 @@
     for seed in 1..=5 {
         let mut net = converged_net(24, 3, seed);
         net.loss = 0.33;
-        net.put(4, server_leaving("s", 1));
+        net.publish(4, server_leaving("s", 1));
         let all: Vec<usize> = (0..24).collect();
         let elapsed_ms = net.run_until(10_000, |net| {
             net.all_have_item(&all, |stored| *stored == server_leaving("s", 1))
@@ -237,7 +237,7 @@
     for round in 0..10 {
         for index in 0..6 {
             let host = net.nodes[index].conf.host.clone();
-            net.put(
+            net.publish(
                 index,
                 PeerItem::TeamUsage {
                     host,
@@ -282,7 +282,10 @@
             }
             for index in net.running().into_iter().filter(|index| index % 2 == 0) {
                 let host = net.nodes[index].conf.host.clone();
-                net.put(index, PeerItem::TeamUsage { host, teams: vec![team_rate("shop", 50)] });
+                net.publish(
+                    index,
+                    PeerItem::TeamUsage { host, teams: vec![team_rate("shop", 50)] },
+                );
             }
             net.run(1_000);
             is_aggregated |= net.all_have_item(&[1, 2, 3, 4, 5], is_sum);
--- a/crates/peers/tests/support/mod.rs
+++ b/crates/peers/tests/support/mod.rs
@@ -192,7 +192,7 @@
             Event::ConfigApplied { version } => {
                 let host = node.conf.host.clone();
                 if node.run_state == RunState::Running && version > node.core.config_version() {
-                    node.core.put(PeerItem::ConfigInForce { host, version }, now_ms);
+                    node.core.publish(PeerItem::ConfigInForce { host, version }, now_ms);
                 }
             }
         }
@@ -335,16 +335,16 @@
         self.blocked_routes.clear();
     }
 
-    pub fn put(&mut self, index: usize, item: PeerItem) {
+    pub fn publish(&mut self, index: usize, item: PeerItem) {
         let now_ms = self.now_ms;
-        self.nodes[index].core.put(item, now_ms);
+        self.nodes[index].core.publish(item, now_ms);
         self.apply_outputs(index);
     }
 
     /// Applies a configuration on one host; the others apply it when they learn of it.
     pub fn apply_config(&mut self, index: usize, version: u64) {
         let host = self.nodes[index].conf.host.clone();
-        self.put(index, PeerItem::ConfigInForce { host, version: ConfigVersion(version) });
+        self.publish(index, PeerItem::ConfigInForce { host, version: ConfigVersion(version) });
     }
 
     /// Whether all running hosts have applied this configuration version or a newer one.
