--- a/crates/peers/src/net/net_loop.rs
+++ b/crates/peers/src/net/net_loop.rs
@@ -42,8 +42,8 @@
 }
 
 impl NetLoop {
-    pub(crate) async fn run(mut self, tick_ms: u64) {
-        let mut ticks = tokio::time::interval(Duration::from_millis(tick_ms));
+    pub(crate) async fn run(mut self, gossip_interval_ms: u64) {
+        let mut ticks = tokio::time::interval(Duration::from_millis(gossip_interval_ms));
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let state = self.state.clone();
         loop {
@@ -52,7 +52,8 @@
                 _ = ticks.tick() => self.tick(),
                 () = state.wake.notified() => {}
                 Some(event) = self.events.recv() => self.handle_event(event),
-                Some(item) = self.items.recv() => state.core.borrow_mut().put(item, state.now_ms()),
+                Some(item) = self.items.recv() =>
+                    state.core.borrow_mut().publish(item, state.now_ms()),
                 Some(request) = self.leave_requests.recv() => self.leave(request),
             }
             self.apply_outputs();
