--- a/crates/entry/src/control/cache_event_client.rs
+++ b/crates/entry/src/control/cache_event_client.rs
@@ -16,19 +16,18 @@
 
 /// Long-poll wait of a call for new events.
 const LIVE_POLL_WAIT: Duration = Duration::from_millis(400);
-/// Wait of a backfill call. Backlogged events are returned at once, but the engine accounts for
-/// calls with a shorter wait as probes.
+/// Long-poll wait of a backfill call. Retained events are returned at once, but engines count calls
+/// with a shorter wait as probes.
 const BACKFILL_POLL_WAIT: Duration = Duration::from_millis(200);
 /// Added to the wait for the response timeout. Also the minimum timeout for the page body.
 const RESPONSE_GRACE: Duration = Duration::from_millis(400);
-/// Concurrent backfill calls. Each reads pages at the bandwidth allotted to backfills, so that
-/// several would saturate the link.
+/// Concurrent backfill calls. Each call may use the whole bandwidth allotted to backfills.
 const MAX_CONCURRENT_BACKFILLS: usize = 1;
 
 /// What a call is expected to return.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ReadMode {
-    /// Events that the source has retained.
+    /// Events that the source recorded before this reader connected, or while it could not.
     Backfill,
     /// Events since the last call.
     Live,
@@ -37,9 +36,8 @@
 /// Issues the calls of all cache readers on this host.
 pub(crate) struct CacheEventClient {
     engines: EngineClient,
-    /// Limits concurrent backfill calls.
     backfill_permits: Semaphore,
-    bandwidth_share: RefCell<BulkReadLimiter>,
+    backfill_limiter: RefCell<BulkReadLimiter>,
 }
 
 impl CacheEventClient {
@@ -47,7 +45,7 @@
         CacheEventClient {
             engines: EngineClient::new(),
             backfill_permits: Semaphore::new(MAX_CONCURRENT_BACKFILLS),
-            bandwidth_share: RefCell::new(BulkReadLimiter::new(link_bytes_per_s)),
+            backfill_limiter: RefCell::new(BulkReadLimiter::new(link_bytes_per_s)),
         }
     }
 
@@ -76,28 +74,27 @@
             .await
     }
 
-    /// Reads one page of retained events, throttled to the bandwidth allotted to backfills. A host
-    /// that takes over many sources would otherwise saturate its link, and timed-out pages would be
-    /// requested again.
+    /// Reads one page of a backfill, throttled so that a host that takes over many sources doesn't
+    /// saturate its link.
     async fn read_backfill(
         &self,
         address: SocketAddr,
         since: u64,
     ) -> Result<CachePage, StoreError> {
         let _permit = self.backfill_permits.acquire().await;
-        let wait = self.bandwidth_share.borrow().wait(Instant::now());
+        let wait = self.backfill_limiter.borrow().wait(Instant::now());
         sleep(wait).await;
-        let page_transfer_time = self.bandwidth_share.borrow().transfer_time(MOST_PAGE_BYTES);
+        let page_transfer_time = self.backfill_limiter.borrow().transfer_time(MOST_PAGE_BYTES);
         let request = CacheQuestion {
             since,
             wait: BACKFILL_POLL_WAIT,
             answer_timeout: BACKFILL_POLL_WAIT + RESPONSE_GRACE,
-            // A shorter timeout would request a slow page again and again.
+            // Allows for a page that takes all of the allotted bandwidth.
             page_timeout: page_transfer_time.max(RESPONSE_GRACE),
         };
         let on_bytes = |bytes: usize| {
             count_read_bytes(ReadMode::Backfill, bytes);
-            self.bandwidth_share.borrow_mut().add(bytes, Instant::now());
+            self.backfill_limiter.borrow_mut().add(bytes, Instant::now());
         };
         self.engines.cache_events(address, request, &on_bytes).await
     }
--- a/crates/entry/src/control/cache_reader.rs
+++ b/crates/entry/src/control/cache_reader.rs
@@ -47,6 +47,8 @@
     /// Sequence number to continue from.
     next: u64,
     mode: ReadMode,
+    /// Epoch of the source's event stream, unrelated to the store epoch. Parts reported in an
+    /// earlier one no longer apply. `None` before the first page.
     epoch: Option<u64>,
     /// Consecutive failed calls.
     failures: u32,
@@ -82,12 +84,12 @@
             Ok(page) => page,
             Err(err) => {
                 tracing::debug!("could not read cache events from {}: {err}", self.source.address);
-                return self.next_retry_delay();
+                return self.record_failure();
             }
         };
         // Another incarnation answers at this address. The server list will replace the source.
         if self.is_other_incarnation(&page) {
-            return self.next_retry_delay();
+            return self.record_failure();
         }
         self.failures = 0;
         let is_new_epoch = self.epoch.is_some_and(|epoch| epoch != page.epoch);
@@ -99,10 +101,11 @@
         READ_INTERVAL
     }
 
-    /// A failed call from the beginning may have transferred most of the backlog, so it is retried
-    /// with exponential backoff. A call that continues from a known position transfers only new
-    /// events.
-    fn next_retry_delay(&mut self) -> Duration {
+    /// Counts a failed call and returns the delay before the next.
+    ///
+    /// A failed first call may have transferred most of the retained events, so it is retried with
+    /// exponential backoff. Later calls transfer only what is new.
+    fn record_failure(&mut self) -> Duration {
         self.mode = ReadMode::Backfill;
         self.failures = self.failures.saturating_add(1);
         match self.epoch {
--- a/crates/entry/src/control/cache_watcher.rs
+++ b/crates/entry/src/control/cache_watcher.rs
@@ -1,4 +1,5 @@
-//! Assigns cache event sources to routers and runs this host's readers.
+//! Assigns the sources of prompt cache events to routers and runs the cache event readers of this
+//! host.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -21,8 +22,8 @@
 /// Interval at which the assignment is recomputed.
 const SYNC_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Has each source read by one router, which forwards the events to the others: a source serves few
-/// concurrent calls.
+/// Assigns each source to one router, which forwards the events to the others, since a source
+/// serves few concurrent calls.
 pub(crate) struct CacheWatcher {
     state: Arc<SharedState>,
     /// Whether the other routers have had time to reach this one.
@@ -48,8 +49,8 @@
 
     fn assigned_sources(&mut self) -> IndexMap<ServerKey, CacheSource> {
         let own = &self.state.settings.host;
-        // A new process knows no live peers and would assign all sources to itself, saturating its
-        // link with backfills.
+        // A new process knows no other routers. It would read all sources itself and saturate its
+        // link.
         if !self.peer_discovery.is_complete(own, &self.state.fleet.load().members, Instant::now()) {
             return IndexMap::new();
         }
--- a/crates/entry/src/control/connection_table.rs
+++ b/crates/entry/src/control/connection_table.rs
@@ -35,13 +35,14 @@
 const PEER_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// Delay before a failed connection is retried.
 const RETRY_DELAY: Duration = Duration::from_millis(1_000);
-/// Time for which a host that could not be reached is not used as a relay.
+/// How long the failure of a host is remembered after it is no longer a target. Until then the host
+/// is not used as a relay.
 const FAILURE_RETENTION: Duration = Duration::from_secs(5);
-/// Concurrent connection attempts. A process on a small host that connects to a whole fleet at once
-/// runs out of CPU time and loses all attempts, and its reads of the store, to their timeouts.
+/// Maximum number of concurrent connection attempts. On a small host, connecting to a whole fleet
+/// at once takes so much CPU time that the attempts and reads of the store time out.
 const MAX_CONCURRENT_CONNECTS: usize = 8;
-/// Default send buffer of a connection.
-const MAX_BUFFERED_BYTES: usize = 16 * 1024;
+/// Send buffer of a connection that carries this router's own messages.
+const MAX_OWN_BUFFER_BYTES: usize = 16 * 1024;
 
 /// An HTTP/2 stream of messages to one router.
 pub(crate) struct PeerConnection {
@@ -82,7 +83,7 @@
     /// Send buffer of a connection. Messages that don't fit are dropped: the receiver is slow.
     max_buffered_bytes: usize,
     connections: IndexMap<HostName, PeerConnection>,
-    /// Hosts that could not be reached, and when that was last tried.
+    /// Hosts whose last connection or connection attempt failed, and when.
     failed_hosts: IndexMap<HostName, Instant>,
     connecting: IndexSet<HostName>,
 }
@@ -92,7 +93,7 @@
 
 impl Default for ConnectionTable {
     fn default() -> ConnectionTable {
-        ConnectionTable::new(StreamKind::Own, MAX_BUFFERED_BYTES)
+        ConnectionTable::new(StreamKind::Own, MAX_OWN_BUFFER_BYTES)
     }
 }
 
@@ -107,13 +108,13 @@
         }
     }
 
-    /// Keeps only connections to these hosts.
+    /// Closes connections to other hosts, and forgets their failures after [`FAILURE_RETENTION`].
     pub(crate) fn retain(&mut self, is_kept: impl Fn(&HostName) -> bool) {
         self.connections.retain(|host, _| is_kept(host));
         self.failed_hosts.retain(|host, at| is_kept(host) || at.elapsed() < FAILURE_RETENTION);
     }
 
-    /// Whether the last connection attempt to a host failed.
+    /// Whether the last connection or connection attempt to a host failed.
     pub(crate) fn has_failed(&self, host: &HostName) -> bool {
         self.failed_hosts.contains_key(host)
     }
@@ -151,7 +152,7 @@
 }
 
 impl PeerConnection {
-    /// Drops a message that doesn't fit the send buffer.
+    /// Sends a message, or drops it if it doesn't fit the send buffer.
     fn send(&mut self, message: &Bytes) -> Result<(), ConnectionError> {
         self.check_open()?;
         self.stream.reserve_capacity(self.max_buffered_bytes);
@@ -161,8 +162,8 @@
         Ok(self.stream.send_data(message.clone(), false)?)
     }
 
-    /// Fails if the connection or its stream was closed. Its send buffer has no capacity then,
-    /// which otherwise looks like a slow receiver, and the connection would never be reopened.
+    /// Fails if the connection or its stream was closed. Its capacity is zero then, as with a slow
+    /// receiver.
     fn check_open(&mut self) -> Result<(), ConnectionError> {
         if self.task.is_finished() {
             return Err(ConnectionError::Closed);
--- a/crates/entry/src/control/control_thread.rs
+++ b/crates/entry/src/control/control_thread.rs
@@ -37,10 +37,10 @@
 use crate::state::SharedState;
 use crate::telemetry::render_metrics;
 
-/// The load balancer polls readiness every second and removes a host after two failures. Until then
-/// it sends new connections.
+/// How long new connections are accepted after the readiness check begins to fail. The load
+/// balancer polls it every second and removes a host after two failures.
 const READINESS_DRAIN_DELAY: Duration = Duration::from_millis(2_600);
-/// Reserve before the shutdown deadline, so that the process exits by itself.
+/// Time left before the shutdown deadline, so that the process exits before it is killed.
 const SHUTDOWN_MARGIN: Duration = Duration::from_millis(500);
 /// Interval at which the shutdown checks for open connections.
 const CONNECTION_POLL_INTERVAL: Duration = Duration::from_millis(50);
--- a/crates/entry/src/control/fleet_watcher.rs
+++ b/crates/entry/src/control/fleet_watcher.rs
@@ -112,7 +112,7 @@
         self.publish_restore().await
     }
 
-    /// Adds the membership record of this router. Members share the retry budget.
+    /// Adds the membership record of this router, unless it has been added.
     fn register(&self) {
         let mut own_records = self.reader.own_records.borrow_mut();
         if own_records.has_joined() {
@@ -128,9 +128,10 @@
         });
     }
 
-    /// Records which configuration was in force before a restore from a backup, and later that
-    /// operators have had time to rewrite what was lost. Starting hosts would otherwise take the
-    /// restored configuration for the newest and accept revoked keys.
+    /// After a restore from a backup, appends a record with the version of the active
+    /// configuration, and later one which says that operators have had time to rewrite lost
+    /// records. Hosts that start after the restore learn from them whether the restored
+    /// configuration is the newest.
     async fn publish_restore(&self) -> Result<(), StoreError> {
         let Some(record) = self.pending_restore_record() else { return Ok(()) };
         let record = encode_keyed_record(&record)?;
@@ -145,7 +146,7 @@
         }
         let proof = *self.reader.state.proof();
         let is_settled = !proof.is_untrusted(boot_now());
-        // A host that has just started knows no more than the store does.
+        // A host that started after the restore only knows the restored configuration.
         if !is_settled && !self.reader.epoch.borrow().has_advanced() {
             return None;
         }
@@ -199,8 +200,8 @@
         Ok(page.records.len())
     }
 
-    /// Reads and applies the records that the store has now, as the long poll may hang. Lets a
-    /// router that lost the response to its own append see the record at once.
+    /// Reads and applies the records that the store has now, without waiting for the pending long
+    /// poll, whose connection may be dead.
     pub(crate) async fn catch_up(&self) -> Result<(), StoreError> {
         let from = self.fleet_state.borrow().end();
         let (topic, grace) = (LogTopic::Fleet, RESPONSE_GRACE);
@@ -239,8 +240,8 @@
         if let Some(report) = fleet_state.restore_report() {
             proof.observe_version(report.config);
         }
-        // Confirms the configuration only if the restore precedes this process. After one seen by
-        // this router, operators first have to write again, or have to have had time to.
+        // Not after a restore seen by this process: reads stay untrusted until operators have
+        // written a configuration or the grace period is over.
         if !fleet_state.is_restore_pending() && !self.epoch.borrow().has_advanced() {
             proof.mark_trusted(fleet_state.end().epoch);
         }
--- a/crates/entry/src/control/gossip_sender.rs
+++ b/crates/entry/src/control/gossip_sender.rs
@@ -26,11 +26,11 @@
 use crate::state::SharedState;
 use crate::state::boot_now;
 
-/// Interval between messages without updates. A message is valid for 1.2 s.
-const IDLE_INTERVAL: Duration = Duration::from_millis(400);
-/// The same where relays forward the messages. Shorter, because receivers take 0.5 s to detect a
-/// lost relay and miss the messages of that time.
-const RELAYED_IDLE_INTERVAL: Duration = Duration::from_millis(200);
+/// Interval of keepalives: messages without updates. Receivers drop a report after 1.2 s.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_millis(400);
+/// Interval of keepalives where relays forward them. Shorter, because receivers miss the messages
+/// of the 0.5 s that it takes to detect a failed relay.
+const RELAYED_KEEPALIVE_INTERVAL: Duration = Duration::from_millis(200);
 /// Minimum interval of urgent messages where relays forward them.
 const RELAYED_URGENT_INTERVAL: Duration = Duration::from_millis(50);
 
@@ -54,7 +54,7 @@
     targets: Vec<PeerTarget>,
     interval: Duration,
     urgent_interval: Duration,
-    idle_interval: Duration,
+    keepalive_interval: Duration,
     /// Hosts that receive the message, directly or through relays.
     recipients: usize,
 }
@@ -70,7 +70,7 @@
 
     /// Sends messages at an interval, and earlier when an engine is about to load weights.
     pub(crate) async fn run(self) {
-        let mut was_busy = false;
+        let mut had_to_send = false;
         let mut last_sent = Instant::now();
         let mut last_round = Instant::now();
         let mut message_bytes = 0;
@@ -89,22 +89,22 @@
                 plan.recipients,
                 since_last_round,
             ));
-            let is_busy =
+            let must_send =
                 has_updates(&gossip) || self.relays.choice.borrow().is_waiting_for_relay();
             message_bytes = 0;
-            // The message after the last update is sent at once, to report that nothing is in
-            // progress. Later ones are keepalives.
-            if is_busy || was_busy || plan.idle_interval <= last_sent.elapsed() {
+            // After the last update, one message without updates follows at the regular interval,
+            // to report that nothing is in progress. Later ones are keepalives.
+            if must_send || had_to_send || plan.keepalive_interval <= last_sent.elapsed() {
                 message_bytes = self.send(&plan.targets, gossip);
                 last_sent = Instant::now();
             }
-            was_busy = is_busy;
+            had_to_send = must_send;
         }
     }
 
     fn next_plan(&self, message_bytes: usize) -> GossipPlan {
         let own = self.own_host();
-        let hosts = self.fleet_hosts(&own);
+        let hosts = self.topology_hosts(&own);
         let topology = GossipTopology::new(&hosts, self.state.settings.direct_hosts);
         let mut choice = self.relays.choice.borrow_mut();
         let link_bytes_per_s = self.state.settings.link_bytes_per_s();
@@ -113,16 +113,16 @@
                 targets: targets.into_iter().filter_map(|target| self.resolve(target)).collect(),
                 interval: topology.interval,
                 urgent_interval: RELAYED_URGENT_INTERVAL,
-                idle_interval: RELAYED_IDLE_INTERVAL,
+                keepalive_interval: RELAYED_KEEPALIVE_INTERVAL,
                 recipients: hosts.len(),
             },
             None => {
                 let targets = self.all_peers();
                 let urgent_interval =
                     urgent_interval(targets.len(), message_bytes, link_bytes_per_s);
-                let (interval, idle_interval, recipients) =
-                    (topology.interval, IDLE_INTERVAL, targets.len());
-                GossipPlan { targets, interval, urgent_interval, idle_interval, recipients }
+                let (interval, keepalive_interval, recipients) =
+                    (topology.interval, KEEPALIVE_INTERVAL, targets.len());
+                GossipPlan { targets, interval, urgent_interval, keepalive_interval, recipients }
             }
         }
     }
@@ -133,13 +133,13 @@
         FleetHost { host, zone, link_kbps: settings.link_kbps() }
     }
 
-    /// The live hosts, recently started ones and this one. Excludes hosts that can't be reached
-    /// from here and silent relays, so that they aren't chosen as relays.
-    fn fleet_hosts(&self, own: &FleetHost) -> Vec<FleetHost> {
+    /// Hosts for the topology: the live ones, recently started ones and this one, without hosts
+    /// that could not be reached and relays that failed recently.
+    fn topology_hosts(&self, own: &FleetHost) -> Vec<FleetHost> {
         let now = Instant::now();
         let mut hosts = self.state.servers().fleet_hosts(now);
         let live_hosts: IndexSet<HostName> = hosts.iter().map(|host| host.host.clone()).collect();
-        // Without any live peer, members are known only from their records, of any age.
+        // Without live peers, members with older records are included.
         let has_no_live_peers = live_hosts.is_empty();
         let fleet_state = self.fleet_state.borrow();
         let members = fleet_state.fleet_hosts(boot_now());
@@ -192,7 +192,7 @@
         gossip
     }
 
-    /// Ages of recently named versions. Beyond the bound, the exact age is irrelevant.
+    /// Ages of target versions published recently. Beyond the bound, the exact age is irrelevant.
     fn weights_ages(&self) -> Vec<WeightsAge> {
         let now = boot_now();
         let weights = self.state.weights.load();
--- a/crates/entry/src/control/log_source.rs
+++ b/crates/entry/src/control/log_source.rs
@@ -1,4 +1,5 @@
-//! Reads records from the store, or from a router that reads it.
+//! Reads log records from the store, or from a zone reader: a router that reads the store for its
+//! availability zone.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -44,18 +45,19 @@
 use crate::state::SharedState;
 use crate::state::boot_now;
 
-/// Added to the wait of a request to a router, so that the router's next proof arrives within it.
-const PROOF_GRACE: Duration = Duration::from_millis(250);
+/// Added to the wait of a request to a zone reader, so that the reader's own long poll returns
+/// within it.
+const READER_POLL_GRACE: Duration = Duration::from_millis(250);
 /// Added to the wait for the response timeout of a router in the same zone.
 const REQUEST_GRACE: Duration = Duration::from_millis(300);
 /// Timeout for a page of the newest records, which doesn't wait.
 const PAGE_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Maximum retry delay of hosts that read the store themselves; they are few.
+/// Maximum retry delay of hosts that read the store themselves.
 const READER_MAX_RETRY_DELAY: Duration = Duration::from_millis(250);
-/// Maximum retry delay of hosts that read from others. Keeps a large fleet from overloading the
-/// store in an outage.
-const SUBSCRIBER_MAX_RETRY_DELAY: Duration = Duration::from_millis(1_000);
-/// A reader that failed to answer is skipped for this time in favour of the other one.
+/// Maximum retry delay of hosts that read through a zone reader. Longer, so that they don't
+/// overload the store when no reader answers.
+const READER_CLIENT_MAX_RETRY_DELAY: Duration = Duration::from_millis(1_000);
+/// How long a zone reader that failed to answer is not asked again.
 const FAILED_READER_COOLDOWN: Duration = Duration::from_millis(2_000);
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
 const PEER_TIMEOUT: Duration = Duration::from_millis(1_000);
@@ -63,7 +65,8 @@
 /// Records, and the time up to which they are known to be complete.
 pub(crate) struct SourcePage {
     pub(crate) records: Vec<Vec<u8>>,
-    /// Send time of the read that proves completeness; `None` if there is more to read.
+    /// Send time of the read from the store that reached the end of the topic; `None` if there is
+    /// more to read.
     pub(crate) complete_as_of: Option<BootTime>,
 }
 
@@ -97,9 +100,8 @@
 }
 
 impl RequestError {
-    /// Whether the router is healthy but over its budget. It isn't marked as failed: the other
-    /// reader refuses the same records, and all subscribers of the zone would fall back to the
-    /// store.
+    /// Whether a healthy zone reader refused the request because of its budget. It is not marked as
+    /// failed, as hosts would then stop asking both readers and read the store.
     fn is_refusal(&self) -> bool {
         matches!(self, RequestError::OverBudget)
     }
@@ -119,7 +121,7 @@
     fleet_state: SharedFleetState,
     record_cache: Rc<RecordCache>,
     connection: Rc<RefCell<Option<ReaderConnection>>>,
-    /// Readers that failed to answer, and when.
+    /// Zone readers that failed to answer, and when.
     failed_readers: Rc<RefCell<IndexMap<HostName, Instant>>>,
     /// State of the store at this host's last direct read, which may be long ago.
     store_state: Rc<Cell<StoreAccess>>,
@@ -152,7 +154,7 @@
     pub(crate) fn max_retry_delay(&self) -> Duration {
         match self.record_source() {
             RecordSource::Store => READER_MAX_RETRY_DELAY,
-            RecordSource::Routers(_) => SUBSCRIBER_MAX_RETRY_DELAY,
+            RecordSource::Routers(_) => READER_CLIENT_MAX_RETRY_DELAY,
         }
     }
 
@@ -277,8 +279,8 @@
         peers
     }
 
-    /// The reader to request from; `None` if this host reads the store or no reader has answered
-    /// recently.
+    /// The zone reader to request from; `None` if this host reads the store or all zone readers
+    /// have failed recently.
     fn select_reader(&self) -> Option<(HostName, SocketAddr)> {
         let RecordSource::Routers(readers) = self.record_source() else { return None };
         let mut failed_readers = self.failed_readers.borrow_mut();
@@ -352,9 +354,9 @@
     }
 }
 
-/// The reader renews its proof shortly after the wait of its own read.
+/// Builds the request to a zone reader for a read with this wait.
 fn log_request(topic: LogTopic, from: LogPosition, wait: Duration) -> LogRequest {
-    let wait = if wait.is_zero() { wait } else { wait + PROOF_GRACE };
+    let wait = if wait.is_zero() { wait } else { wait + READER_POLL_GRACE };
     LogRequest { topic, from: from.offset, wait_ms: wait.as_millis() as u64, epoch: from.epoch }
 }
 
--- a/crates/entry/src/control/operator_watcher.rs
+++ b/crates/entry/src/control/operator_watcher.rs
@@ -26,9 +26,9 @@
 use crate::state::SharedState;
 use crate::state::boot_now;
 
-/// Long-poll wait of a read. Until the read returns, the configuration is unproven, so the wait
-/// stays well below the bound on revoked keys (5 s). A proof from a reader may be two waits old,
-/// and a configuration must be in force within 2 to 3 s.
+/// Long-poll wait of a read. A page from a zone reader may be complete only as of two waits ago,
+/// and a new configuration must become active within 2 to 3 s. Keys are refused when the last
+/// complete read is 5 s old.
 const POLL_WAIT: Duration = Duration::from_millis(800);
 /// Added to the wait for the response timeout.
 const RESPONSE_GRACE: Duration = Duration::from_millis(700);
@@ -43,7 +43,8 @@
     epoch: EpochTracker,
     /// Lower bound for the write time of the next records; `None` at process start.
     written_after: Option<BootTime>,
-    was_proven: bool,
+    /// Whether requests with API keys were admitted after the last read.
+    admitted_keys: bool,
     /// A record written since the active configuration could not be read. It may have revoked keys.
     has_unreadable_record: bool,
 }
@@ -59,7 +60,7 @@
             next: None,
             epoch,
             written_after: None,
-            was_proven: false,
+            admitted_keys: false,
             has_unreadable_record: false,
         }
     }
@@ -84,7 +85,7 @@
                 }
                 Err(err) => self.retry.back_off(&err, self.source.max_retry_delay()).await,
             }
-            self.log_proof_change();
+            self.log_admission_change();
         }
     }
 
@@ -115,8 +116,8 @@
         Ok(())
     }
 
-    /// Records that nothing newer had been written at this time. That proves the active
-    /// configuration only if all records could be read.
+    /// Records that the topic was read to its end by a read sent at this time. Has no effect if a
+    /// record could not be decoded, since that may be a newer configuration.
     fn renew_proof(&self, sent: BootTime) {
         if self.state.table.load().is_some() && !self.has_unreadable_record {
             self.state.proof().renew(sent);
@@ -191,10 +192,10 @@
 
     fn set_weights_target(&self, model: &ModelName, version: WeightsVersion) {
         let mut weights = (**self.state.weights.load()).clone();
-        // Lower bound for when the version was named: after an outage or at process start it may be
-        // long ago. Other routers report its age.
-        let named_after = self.written_after.unwrap_or_default();
-        if !weights.add_target(model, version, named_after) {
+        // Estimate of the publication time, too early after an outage or at process start. Other
+        // routers may report the age.
+        let published_after = self.written_after.unwrap_or_default();
+        if !weights.add_target(model, version, published_after) {
             return;
         }
         self.state.weights.store(Arc::new(weights));
@@ -202,14 +203,14 @@
         tracing::info!(event = kind.number(), name = kind.name(), %model, %version);
     }
 
-    fn log_proof_change(&mut self) {
-        let is_proven = self.state.admits_keys();
-        if is_proven == self.was_proven {
+    fn log_admission_change(&mut self) {
+        let admits_keys = self.state.admits_keys();
+        if admits_keys == self.admitted_keys {
             return;
         }
-        self.was_proven = is_proven;
+        self.admitted_keys = admits_keys;
         let age_ms = self.state.proof().age(boot_now()).map(|age| age.as_millis() as u64);
-        let kind = if is_proven { EventKind::ConfigProven } else { EventKind::ConfigUnproven };
+        let kind = if admits_keys { EventKind::ConfigProven } else { EventKind::ConfigUnproven };
         tracing::warn!(event = kind.number(), name = kind.name(), age_ms);
     }
 
--- a/crates/entry/src/control/order_scheduler.rs
+++ b/crates/entry/src/control/order_scheduler.rs
@@ -32,9 +32,9 @@
 use crate::state::SharedState;
 use crate::state::boot_now;
 
-/// Interval at which the scheduler looks for pending rollouts.
-const IDLE_INTERVAL: Duration = Duration::from_millis(100);
-/// Interval while engines load weights.
+/// Interval at which the scheduler looks for pending rollouts, and upper bound of its other delays.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// Interval of scheduling steps while this router holds the lease or is about to take it.
 const BUSY_INTERVAL: Duration = Duration::from_millis(25);
 const APPEND_TIMEOUT: Duration = Duration::from_millis(800);
 
@@ -93,7 +93,7 @@
         loop {
             let delay = match self.next_rollout() {
                 Some(rollout) => self.advance(rollout).await,
-                None => IDLE_INTERVAL,
+                None => POLL_INTERVAL,
             };
             sleep(delay).await;
         }
@@ -135,7 +135,7 @@
     /// step.
     async fn advance(&self, rollout: PendingRollout) -> Duration {
         if !self.fleet_state.borrow().is_read() {
-            return IDLE_INTERVAL;
+            return POLL_INTERVAL;
         }
         let now = boot_now();
         let link_kbps = self.state.settings.link_kbps();
@@ -153,7 +153,7 @@
                 self.append_lease(at).await;
                 BUSY_INTERVAL
             }
-            LeaseStep::Wait(wait) => wait.clamp(BUSY_INTERVAL, IDLE_INTERVAL),
+            LeaseStep::Wait(wait) => wait.clamp(BUSY_INTERVAL, POLL_INTERVAL),
         }
     }
 
--- a/crates/entry/src/control/order_task.rs
+++ b/crates/entry/src/control/order_task.rs
@@ -26,8 +26,7 @@
 use crate::state::record_connect_outcome;
 use crate::traffic::CONNECT_TIMEOUT;
 
-/// Timeout of a report. An engine answers within milliseconds; the rest allows for the CPU time of
-/// a small host that handles many reports.
+/// Timeout of a report. Engines answer within milliseconds; the rest allows for a busy host.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(700);
 /// Timeout of an order. Engines answer at once; the rest allows for a busy host.
 const ORDER_TIMEOUT: Duration = Duration::from_millis(700);
@@ -35,11 +34,11 @@
 const REPORT_INTERVAL: Duration = Duration::from_millis(150);
 /// Delay after an accepted order: the time that an engine takes to load weights.
 const LOAD_WAIT: Duration = Duration::from_millis(350);
-/// Limit of the wait for open requests, which end within about a second when no new ones are sent.
+/// Upper bound of the wait for open requests.
 const DRAIN_TIMEOUT: Duration = Duration::from_millis(900);
-/// Interval at which open requests are checked; other routers report theirs by gossip.
+/// Interval at which the number of open requests is checked.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(25);
-/// Time after which the engine is returned to the scheduler.
+/// Time after which the task gives up, so that the scheduler can select the engine again.
 const TASK_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// Polls an engine's report and sends orders until the weights are loaded.
@@ -81,11 +80,11 @@
             }
             OrderOutcome::Silent => {
                 self.state.servers().record_unreachable(key, Instant::now());
-                self.abandon();
+                self.record_failure();
                 EventKind::OrderRefused
             }
             OrderOutcome::NotHolder | OrderOutcome::Gone => {
-                self.abandon();
+                self.record_failure();
                 EventKind::OrderRefused
             }
             OrderOutcome::Slow => {
@@ -98,13 +97,13 @@
         self.shared.in_progress.borrow_mut().swap_remove(&key);
     }
 
-    fn abandon(&self) {
+    fn record_failure(&self) {
         self.state.servers().record_load_failure(self.entry.key());
         self.state.loading.abandon(self.entry.key());
     }
 
-    /// Waits for the requests that routers have open at the engine; they send no new ones. The
-    /// engine would reject queued requests on an earlier order.
+    /// Waits until the open requests of all routers at the engine have ended; they send no new
+    /// ones. An engine that accepts an order rejects its queued requests.
     async fn wait_until_idle(&self) {
         let deadline = Instant::now() + DRAIN_TIMEOUT;
         while Instant::now() < deadline && 0 < self.state.servers().open_at(self.entry.key()) {
@@ -116,7 +115,7 @@
         self.wait_until_idle().await;
         loop {
             let Some(report) = self.request_report().await else { return OrderOutcome::Silent };
-            // The engine has restarted. The server list will name the new incarnation.
+            // The engine has restarted.
             if report.incarnation.is_some() && report.incarnation != self.entry.incarnation {
                 return OrderOutcome::Gone;
             }
@@ -140,8 +139,8 @@
                     return OrderOutcome::NotHolder;
                 }
                 Some(OrderAnswer::Misdirected) => return OrderOutcome::Gone,
-                // An unanswered order may have been accepted. The next report shows it, and the
-                // order count in the next order invalidates a delayed one.
+                // An unanswered order may have been accepted, which the next report shows. If it is
+                // delayed, the engine rejects it by its order count once it has accepted another.
                 Some(OrderAnswer::Busy | OrderAnswer::Refused(_)) | None => {
                     sleep(REPORT_INTERVAL).await;
                 }
@@ -152,9 +151,9 @@
     async fn request_report(&self) -> Option<EngineReport> {
         let started_at = Instant::now();
         let answer = self.engines.report(self.entry.address, REPORT_TIMEOUT).await;
-        // Reports count as connection attempts, so that a host whose own network is impaired doesn't
-        // take healthy engines for unreachable.
-        if let Some(outcome) = report_connect_end(&answer, started_at.elapsed()) {
+        // Counted like the connection attempts of requests, to tell a fault of this host's network
+        // from unreachable engines.
+        if let Some(outcome) = report_connect_outcome(&answer, started_at.elapsed()) {
             record_connect_outcome(&self.state, self.entry.key(), outcome);
         }
         match answer {
@@ -199,10 +198,10 @@
     }
 }
 
-/// The connection outcome that a report implies. `None` if it took longer than requests wait for a
-/// connection: counted as successful, late reports would mask a saturated link, and servers would
-/// be blamed for it.
-fn report_connect_end(
+/// Connection outcome to record for a report call. `None` for an answer that took longer than
+/// requests wait for a connection: it would hide that this host's link is saturated, and the failed
+/// connections of requests would be attributed to the servers.
+fn report_connect_outcome(
     answer: &Result<EngineReport, StoreError>,
     elapsed: Duration,
 ) -> Option<ConnectOutcome> {
--- a/crates/entry/src/control/order_task/tests.rs
+++ b/crates/entry/src/control/order_task/tests.rs
@@ -8,7 +8,7 @@
 use indexmap::IndexMap;
 
 use super::REPORT_TIMEOUT;
-use super::report_connect_end;
+use super::report_connect_outcome;
 
 struct ReportCase {
     name: &'static str,
@@ -60,7 +60,7 @@
 #[test]
 fn late_reports_do_not_mask_a_saturated_link() {
     for case in CASES {
-        let actual = report_connect_end(&answer(case.is_answered), case.elapsed);
+        let actual = report_connect_outcome(&answer(case.is_answered), case.elapsed);
         assert_eq!(actual, case.expected, "{}", case.name);
     }
 }
--- a/crates/entry/src/control/pages.rs
+++ b/crates/entry/src/control/pages.rs
@@ -45,9 +45,9 @@
 /// configuration may be outdated.
 async fn ready(page: web::Data<PageState>) -> HttpResponse {
     let is_stopping = page.stop.requested.is_cancelled();
-    let is_known = page.state.table.load().is_some() && page.state.admits_keys();
+    let has_current_config = page.state.table.load().is_some() && page.state.admits_keys();
     let has_servers = page.state.servers().states().next().is_some();
-    if is_known && has_servers && !is_stopping {
+    if has_current_config && has_servers && !is_stopping {
         return HttpResponse::Ok().finish();
     }
     HttpResponse::ServiceUnavailable().finish()
--- a/crates/entry/src/control/peer_listener.rs
+++ b/crates/entry/src/control/peer_listener.rs
@@ -44,7 +44,8 @@
 use crate::telemetry::count_records_served;
 use crate::telemetry::topic_label;
 
-/// A connection whose peer stops answering is closed after a few of these.
+/// A connection is closed when sent data stays unacknowledged for this time. An idle one is probed
+/// at this interval.
 const PEER_TIMEOUT: Duration = Duration::from_secs(5);
 /// Maximum message size. Fits a fleet of 12,000 servers at 16 bytes each.
 const MAX_MESSAGE_BYTES: usize = 256 * 1024;
@@ -143,7 +144,7 @@
     }
 }
 
-/// Answers with cached records, or with a status that sends the requester elsewhere.
+/// Answers with cached records, or with a status on which the requester reads the store.
 async fn serve_log_request(
     state: Arc<SharedState>,
     record_cache: Rc<RecordCache>,
@@ -272,6 +273,7 @@
                     }
                 }
             }
+            // The reported loads may allow queued prompts to be sent.
             self.state.prompt_queue.wake();
             if MAX_MESSAGE_BYTES < buffer.len() {
                 return;
@@ -283,7 +285,7 @@
     fn handle_message(&self, gossip: &GossipMessage, message: &[u8]) {
         let settings = &self.state.settings;
         let (Some(host), Some(origin_zone)) = (&gossip.host, &gossip.zone) else { return };
-        // A relay also forwards a host's own messages back to it.
+        // Relays also forward a host's messages back to it.
         if *host == settings.host {
             return;
         }
--- a/crates/entry/src/control/record_cache.rs
+++ b/crates/entry/src/control/record_cache.rs
@@ -1,4 +1,4 @@
-//! Cached log records for other routers.
+//! Cache of log records that this router has read from the store and serves to other routers.
 
 use std::cell::RefCell;
 use std::time::Duration;
@@ -18,8 +18,9 @@
 
 use crate::state::boot_now;
 
-/// Lower limit of [`max_proof_age`]. Covers requests without a wait: those reads are 0.7 s apart.
-const MIN_PROOF_AGE_LIMIT: Duration = Duration::from_millis(1_200);
+/// Lower bound of [`max_record_age`], for requests without a wait: the reads of their topic are 0.7
+/// s apart.
+const MIN_RECORD_AGE_LIMIT: Duration = Duration::from_millis(1_200);
 
 /// Cached records of the topics that this router reads.
 pub(crate) struct RecordCache {
@@ -31,8 +32,7 @@
 /// Response to a log request of another router.
 pub(crate) enum CacheReply {
     Records(LogResponse),
-    /// The records exceed the forwarding budget. The requester reads the store, and comes back for
-    /// its next read.
+    /// The records exceed the forwarding budget. The requester reads the store this time.
     OverBudget {
         /// Size of the records.
         bytes: usize,
@@ -53,8 +53,8 @@
         }
     }
 
-    /// Adds records read from the store, with the send time of the read if that proves them
-    /// complete.
+    /// Adds records read from the store, with the send time of the read if it reached the end of
+    /// the topic.
     pub(crate) fn put(
         &self,
         topic: LogTopic,
@@ -72,25 +72,24 @@
         self.changed.notify_waiters();
     }
 
-    /// Answers as soon as there is a record or a newer proof, or the wait is over. Answers at once
-    /// if this host doesn't read the topic or the budget is exhausted.
+    /// Answers as soon as there is a record or a newer read has reached the end of the topic, or
+    /// the wait is over. Answers at once if the cached records are missing or too old.
     pub(crate) async fn answer(&self, request: LogRequest, store: StoreAccess) -> CacheReply {
         let received_at = boot_now();
-        let max_age = max_proof_age(request);
+        let max_age = max_record_age(request);
         let deadline = Instant::now() + Duration::from_millis(request.wait_ms);
-        let known_proof = self.complete_as_of(request.topic);
+        let known_complete_as_of = self.complete_as_of(request.topic);
         loop {
             let changed = self.changed.notified();
             let Some(answer) = self.lookup(request, received_at, max_age) else {
                 return CacheReply::Unavailable;
             };
-            let is_update =
-                !answer.records.is_empty() || self.complete_as_of(request.topic) != known_proof;
+            let is_update = !answer.records.is_empty()
+                || self.complete_as_of(request.topic) != known_complete_as_of;
             if is_update || deadline <= Instant::now() {
                 return self.charge_budget(answer, store);
             }
-            // Stops waiting when the proof expires: this host has lost the store, and the requester
-            // has to read it while there is time.
+            // Stops waiting when the records become too old, so that the requester reads the store.
             let remaining = max_age.saturating_sub(Duration::from_millis(answer.age_ms));
             let expires_at = Instant::now() + remaining + Duration::from_millis(1);
             let _outcome = timeout_at(deadline.min(expires_at), changed).await;
@@ -121,9 +120,9 @@
     }
 }
 
-/// The maximum age of a proof: twice the wait, as a read proves the time before its own wait.
-/// Bounded because a partitioned reader keeps returning its last proof, and a configuration must be
-/// in force within 2 to 3 s.
-fn max_proof_age(request: LogRequest) -> Duration {
-    (Duration::from_millis(request.wait_ms) * 2).max(MIN_PROOF_AGE_LIMIT)
+/// Maximum time since the newest read that reached the end of the topic was sent. Such a read may
+/// itself have waited as long as the request does, hence twice the wait. Without a limit, a zone
+/// reader that has lost the store would keep returning outdated records.
+fn max_record_age(request: LogRequest) -> Duration {
+    (Duration::from_millis(request.wait_ms) * 2).max(MIN_RECORD_AGE_LIMIT)
 }
--- a/crates/entry/src/control/relay_forwarder.rs
+++ b/crates/entry/src/control/relay_forwarder.rs
@@ -1,4 +1,4 @@
-//! Forwards relayed messages to their subscribers.
+//! Forwards gossip messages to the hosts that subscribe to this relay.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,11 +20,11 @@
 /// Messages are forwarded in batches at this interval: forwarding each by itself would cost a
 /// small host most of its CPU time.
 const FORWARD_INTERVAL: Duration = Duration::from_millis(40);
-/// Interval of batches to other zones when there are no messages, so that their relays don't take
-/// this one for lost.
-const IDLE_INTERVAL: Duration = Duration::from_millis(120);
-/// Send buffer of a connection: a batch of some hundred messages.
-const MAX_BUFFERED_BYTES: usize = 64 * 1024;
+/// Without messages of this zone, relays of other zones get an empty batch as a keepalive at this
+/// interval.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_millis(120);
+/// Send buffer of a relay's connection. Fits a batch of some hundred messages.
+const MAX_SEND_BUFFER_BYTES: usize = 64 * 1024;
 
 /// Sends batches of relayed messages to the subscribers.
 pub(crate) struct RelayForwarder {
@@ -42,7 +42,7 @@
     ) -> RelayForwarder {
         let stream_kind = StreamKind::Relayed(state.settings.host.clone());
         let connections =
-            SharedConnections::new(ConnectionTable::new(stream_kind, MAX_BUFFERED_BYTES).into());
+            SharedConnections::new(ConnectionTable::new(stream_kind, MAX_SEND_BUFFER_BYTES).into());
         RelayForwarder { state, fleet_state, relays, connections }
     }
 
@@ -60,7 +60,7 @@
             let subscribers = batch.zone_hosts.iter().chain(&batch.other_relays);
             let subscribers: IndexSet<&HostName> = subscribers.collect();
             self.connections.borrow_mut().retain(|host| subscribers.contains(host));
-            if batch.zone_messages.is_empty() && last_sent.elapsed() < IDLE_INTERVAL {
+            if batch.zone_messages.is_empty() && last_sent.elapsed() < KEEPALIVE_INTERVAL {
                 self.send_all(&batch.zone_hosts, &batch.all_messages);
                 continue;
             }
--- a/crates/entry/src/control/relay_queue.rs
+++ b/crates/entry/src/control/relay_queue.rs
@@ -15,12 +15,12 @@
 use indexmap::IndexMap;
 use tokio::time::Instant;
 
-/// Time after which a subscription expires. Each message renews it; idle ones are up to 0.6 s
-/// apart.
+/// Time after which a subscription expires. Each message that asks for it renews it; messages are
+/// up to 0.6 s apart.
 const SUBSCRIPTION_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Maximum size of each buffer. Fits the longest messages of 200 hosts; a longer backlog would only
-/// be stale.
-const MAX_BUFFERED_BYTES: usize = 256 * 1024;
+/// Maximum size of the messages queued between two batches, for each of the two buffers. A
+/// message that doesn't fit is dropped.
+const MAX_QUEUED_BYTES: usize = 256 * 1024;
 
 /// The queue and this router's own relays, shared by the tasks of the control thread.
 #[derive(Clone, Default)]
@@ -32,7 +32,7 @@
 /// Subscribers, and the messages received since the last batch.
 #[derive(Default)]
 pub(crate) struct RelayQueue {
-    /// By host, with its zone and the time of its last request.
+    /// By host, with its zone and when it last renewed its subscription.
     subscribers: IndexMap<HostName, (ZoneName, Instant)>,
     /// Messages from this zone.
     own_zone: BytesMut,
@@ -94,7 +94,7 @@
 }
 
 fn push(buffer: &mut BytesMut, message: &[u8]) {
-    if buffer.len() + message.len() <= MAX_BUFFERED_BYTES {
+    if buffer.len() + message.len() <= MAX_QUEUED_BYTES {
         buffer.extend_from_slice(message);
     }
 }
--- a/crates/entry/src/control/relay_queue/tests.rs
+++ b/crates/entry/src/control/relay_queue/tests.rs
@@ -6,7 +6,7 @@
 use fulmargate_names::ZoneName;
 use tokio::time::Instant;
 
-use super::MAX_BUFFERED_BYTES;
+use super::MAX_QUEUED_BYTES;
 use super::RelayQueue;
 use super::SUBSCRIPTION_TIMEOUT;
 
@@ -57,5 +57,5 @@
     let message = vec![0; 1_000];
     (0..1_000).for_each(|_| queue.push_own_zone(&message));
     let batch = queue.take_batch(&ZoneName::new(NORTH), now).expect("has subscribers");
-    assert!(batch.all_messages.len() <= MAX_BUFFERED_BYTES);
+    assert!(batch.all_messages.len() <= MAX_QUEUED_BYTES);
 }
--- a/crates/entry/src/control/server_watcher.rs
+++ b/crates/entry/src/control/server_watcher.rs
@@ -26,9 +26,9 @@
 use crate::state::SharedState;
 use crate::state::boot_now;
 
-/// Delay between reads. Long polls would return some 20 times a second, as each server writes about
-/// once a second. A draining server must receive no new requests within 2 s, which bounds delay,
-/// timeout and retry.
+/// Delay between reads. Servers write often, so that a long poll would return almost at once.
+/// Delay, timeout and retry together must stay below 2 s, within which a draining server must stop
+/// receiving requests.
 const READ_INTERVAL: Duration = Duration::from_millis(700);
 const READ_TIMEOUT: Duration = Duration::from_millis(600);
 
@@ -92,7 +92,7 @@
     async fn read_next(&mut self, from: LogPosition) -> Result<bool, StoreError> {
         let topic = LogTopic::Servers;
         let page = self.source.read(topic, from, Duration::ZERO, READ_TIMEOUT).await?;
-        self.record_contact(page.complete_as_of.unwrap_or_else(boot_now));
+        self.record_response(page.complete_as_of.unwrap_or_else(boot_now));
         for record in &page.records {
             match split_keyed(record) {
                 Ok(record) => self.apply(&record),
@@ -105,7 +105,7 @@
 
     async fn read_listing(&mut self) -> Result<bool, StoreError> {
         let newest = self.source.read_newest(LogTopic::Servers).await?;
-        self.record_contact(newest.sent);
+        self.record_response(newest.sent);
         if self.epoch.record_listing(newest.end.epoch)? {
             self.table.restored(boot_now());
         }
@@ -119,7 +119,8 @@
         Ok(true)
     }
 
-    fn record_contact(&mut self, sent: BootTime) {
+    /// Records a response of the store or a zone reader, and logs the end of an outage.
+    fn record_response(&mut self, sent: BootTime) {
         if self.table.record_response(sent, boot_now()) {
             let kind = EventKind::ServersLapsed;
             let servers = self.known.len();
@@ -160,7 +161,7 @@
         }
     }
 
-    /// Rate-limited, since other writers can append invalid entries at any rate.
+    /// Rate-limited, since any number of invalid entries may be appended.
     fn log_unusable_entry(&self, reason: &str) {
         let kind = EventKind::ServerEntryUnusable;
         if self.state.log_limiter.allows(kind, Instant::now()) {
--- a/crates/entry/src/control/store_retry.rs
+++ b/crates/entry/src/control/store_retry.rs
@@ -7,11 +7,12 @@
 use tokio::time::Instant;
 use tokio::time::sleep;
 
-/// Delay before the first retry, on a new connection: the previous one may have hung.
+/// Delay before the first retry. Short, since the call may have failed only because its connection
+/// did.
 const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(50);
-/// Failures until the delay reaches its maximum, in equal steps.
+/// Number of consecutive failures after which the delay reaches its maximum. It grows linearly.
 const BACKOFF_STEPS: u32 = 5;
-/// Relisting a topic again within this time is delayed.
+/// If a topic has to be listed again within this time, that counts as a failure and is delayed.
 const MIN_RELIST_INTERVAL: Duration = Duration::from_millis(1_000);
 
 /// Counts consecutive failures, logs the first one and the recovery, and delays retries.
@@ -42,7 +43,8 @@
         0 < self.failures
     }
 
-    /// The topic has to be listed again: at once the first time, after a delay if that repeats.
+    /// Records that the topic has to be listed again. Delays the listing only if the last one was
+    /// less than [`MIN_RELIST_INTERVAL`] ago.
     pub(crate) async fn back_off_relisting(&mut self, err: &StoreError, max_delay: Duration) {
         let last = self.last_relisted.replace(Instant::now());
         if last.is_some_and(|last| last.elapsed() < MIN_RELIST_INTERVAL) {
--- a/crates/entry/tests/daemon/record_forwarding.rs
+++ b/crates/entry/tests/daemon/record_forwarding.rs
@@ -148,9 +148,8 @@
     config
 }
 
-/// Sending a large configuration to all subscribers at once would saturate the reader's link and block
-/// other connections. The reader forwards within a share of its bandwidth and refuses the other reads;
-/// small records still go out over the same connections.
+/// Guards against a zone reader saturating its link when all hosts of its zone request a large configuration
+/// at once.
 #[tokio::test]
 async fn forwarding_a_large_configuration_stays_within_the_bandwidth_limit() {
     let deployment = TestDeployment::start(ServerMode::Answer).await;
