--- a/crates/dispatch/src/fleet_state.rs
+++ b/crates/dispatch/src/fleet_state.rs
@@ -172,7 +172,7 @@
     }
 
     /// Number of members.
-    pub fn hosts(&self) -> usize {
+    pub fn host_count(&self) -> usize {
         self.members.len()
     }
 
--- a/crates/dispatch/src/lease_keeper.rs
+++ b/crates/dispatch/src/lease_keeper.rs
@@ -116,9 +116,9 @@
         let fraction = (hash >> 11) as f64 / (1_u64 << 53) as f64;
         let jitter = |hosts: usize| (JITTER_PER_HOST * hosts as u32).mul_f64(fraction);
         match rank {
-            LinkRank::Equal => jitter(fleet_state.hosts()),
-            LinkRank::Widest { hosts } => jitter(hosts.min(fleet_state.hosts())),
-            LinkRank::Narrower => NARROW_LINK_DELAY + jitter(fleet_state.hosts()),
+            LinkRank::Equal => jitter(fleet_state.host_count()),
+            LinkRank::Widest { hosts } => jitter(hosts.min(fleet_state.host_count())),
+            LinkRank::Narrower => NARROW_LINK_DELAY + jitter(fleet_state.host_count()),
         }
     }
 
--- a/crates/dispatch/src/rollout_plan.rs
+++ b/crates/dispatch/src/rollout_plan.rs
@@ -14,8 +14,8 @@
 /// Parameters of a rolling update.
 #[derive(Clone, Copy, Debug)]
 pub struct RolloutConf {
-    /// Time for which an engine is unavailable: it finishes running requests, loads, and is polled until the
-    /// load is confirmed.
+    /// Time for which an engine is unavailable: it finishes running requests, loads the weights, and is polled
+    /// until it confirms them.
     pub engine_downtime: Duration,
     /// Share of the bound within which the update should finish. The rest allows for retries, and for requests
     /// that must start on new weights before the bound.
@@ -47,10 +47,10 @@
     pub version: WeightsVersion,
     /// Last known number of running and queued requests.
     pub load: u32,
-    /// Whether a load order is in progress.
+    /// Whether an order to load weights is in progress.
     pub is_ordered: bool,
-    /// Whether it can be reached.
-    pub is_open: bool,
+    /// Whether it can be reached. Unreachable engines are updated last.
+    pub is_reachable: bool,
 }
 
 /// Age and time limit of the target version.
@@ -110,7 +110,7 @@
             };
             let next = (0..candidates.len()).min_by_key(|index| {
                 let server = candidates[*index];
-                (!server.is_open, updating_in(&server.zone), server.load, server.name.clone())
+                (!server.is_reachable, updating_in(&server.zone), server.load, server.name.clone())
             });
             let Some(index) = next else { break };
             chosen.push(candidates.swap_remove(index));
--- a/crates/dispatch/src/weights_table.rs
+++ b/crates/dispatch/src/weights_table.rs
@@ -17,13 +17,14 @@
 /// all engines run newer ones.
 const MAX_TARGETS: usize = 64;
 
-/// A target version with the time when this router learned of it.
+/// A target version and its publication time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WeightsTarget {
     /// The version.
     pub version: WeightsVersion,
-    /// When this router learned of it.
-    pub learned: BootTime,
+    /// Estimated publication time, from this router's own reads or as reported by another router. Zero while
+    /// unknown.
+    pub published_at: BootTime,
 }
 
 /// Target versions of each model, in increasing order.
@@ -47,12 +48,12 @@
         if MAX_TARGETS <= targets.len() {
             targets.remove(0);
         }
-        targets.push(WeightsTarget { version, learned: now });
+        targets.push(WeightsTarget { version, published_at: now });
         true
     }
 
-    /// Sets the age of a version as reported by another router. Only applies to versions from before this
-    /// router's start, which count as old until their age is reported. Returns whether the age was set.
+    /// Sets the age of a version as reported by another router, if its publication time is unknown. Such versions
+    /// count as old until then. Returns whether the age was set.
     pub fn set_reported_age(
         &mut self,
         model: &ModelName,
@@ -64,10 +65,10 @@
         let Some(target) = targets.iter_mut().find(|target| target.version == version) else {
             return false;
         };
-        if target.learned != BootTime::default() {
+        if target.published_at != BootTime::default() {
             return false;
         }
-        target.learned = BootTime(now.0.saturating_sub(age.as_millis() as u64));
+        target.published_at = BootTime(now.0.saturating_sub(age.as_millis() as u64));
         true
     }
 
@@ -81,7 +82,7 @@
         self.targets.iter().filter_map(|(model, targets)| Some((model, *targets.last()?)))
     }
 
-    /// Time since this router learned of the first target newer than this version; zero if there is none.
+    /// Time since the first target newer than this version was published; zero if there is none.
     pub fn outdated_for(
         &self,
         model: &ModelName,
@@ -90,7 +91,7 @@
     ) -> Duration {
         let targets = self.targets.get(model).map_or(&[][..], Vec::as_slice);
         let newer = targets.iter().find(|target| version < target.version);
-        newer.map_or(Duration::ZERO, |target| now.since(target.learned))
+        newer.map_or(Duration::ZERO, |target| now.since(target.published_at))
     }
 
     /// How long a request sent now to an engine with this version may wait there before it starts. `None`
--- a/crates/dispatch/tests/rollouts.rs
+++ b/crates/dispatch/tests/rollouts.rs
@@ -16,7 +16,7 @@
 
 struct WaveCase {
     name: &'static str,
-    /// Name, zone, version, load, `is_ordered`, `is_open`.
+    /// Name, zone, version, load, `is_ordered`, `is_reachable`.
     servers: &'static [(&'static str, &'static str, u64, u32, bool, bool)],
     next: &'static [&'static str],
 }
@@ -67,14 +67,14 @@
         let servers: Vec<RolloutEngine> = case
             .servers
             .iter()
-            .map(|(name, zone, version, load, is_ordered, is_open)| RolloutEngine {
+            .map(|(name, zone, version, load, is_ordered, is_reachable)| RolloutEngine {
                 key: key(name),
                 name: ServerName::new(name),
                 zone: ZoneName::new(zone),
                 version: WeightsVersion(*version),
                 load: *load,
                 is_ordered: *is_ordered,
-                is_open: *is_open,
+                is_reachable: *is_reachable,
             })
             .collect();
         let next = plan.next(&servers, WeightsVersion(2), time);
@@ -146,7 +146,7 @@
             version: WeightsVersion(if number < case.outdated { 1 } else { 2 }),
             load: 0,
             is_ordered: false,
-            is_open: true,
+            is_reachable: true,
         };
         let servers: Vec<RolloutEngine> = (0..case.engines).map(server).collect();
         let time = RolloutTime {
--- a/crates/emulator/src/play/weights.rs
+++ b/crates/emulator/src/play/weights.rs
@@ -53,7 +53,7 @@
                     version: state.confirmed_weights(model)?,
                     load: router.registry.open_at(entry.key()),
                     is_ordered: self.ordered.contains(&number),
-                    is_open: state.is_open(self.shared.time(self.now)),
+                    is_reachable: state.is_open(self.shared.time(self.now)),
                 })
             })
             .collect();
@@ -61,7 +61,7 @@
             return;
         }
         let Some(target) = router.weights.target(model) else { return };
-        let age = BootTime(100_000 + self.now as u64).since(target.learned);
+        let age = BootTime(100_000 + self.now as u64).since(target.published_at);
         let time = RolloutTime { age, bound: WEIGHTS_BOUND };
         for key in RolloutPlan::default().next(&servers, wanted, time) {
             let engine = self.shared.entries.iter().position(|entry| entry.key() == key);
--- a/crates/entry/src/control/gossip_sender.rs
+++ b/crates/entry/src/control/gossip_sender.rs
@@ -199,7 +199,7 @@
         let ages = weights.targets().map(|(model, target)| WeightsAge {
             model: model.clone(),
             version: target.version,
-            age_ms: now.since(target.learned).as_millis() as u64,
+            age_ms: now.since(target.published_at).as_millis() as u64,
         });
         let max_age_ms = self.state.settings.bounds.weights_ms;
         ages.filter(|age| age.age_ms < max_age_ms).collect()
--- a/crates/entry/src/control/order_scheduler.rs
+++ b/crates/entry/src/control/order_scheduler.rs
@@ -124,7 +124,7 @@
                     version: state.confirmed_weights(model)?,
                     load: state.occupancy(now),
                     is_ordered: in_progress.contains(&state.key()),
-                    is_open: state.is_open(now),
+                    is_reachable: state.is_open(now),
                 })
             })
             .collect();
@@ -142,7 +142,12 @@
         let link_rank = self.state.servers().link_rank(link_kbps, Instant::now());
         let step = {
             let fleet_state = self.fleet_state.borrow();
-            self.shared.lease.borrow().step(&fleet_state, rollout.target.learned, link_rank, now)
+            self.shared.lease.borrow().step(
+                &fleet_state,
+                rollout.target.published_at,
+                link_rank,
+                now,
+            )
         };
         match step {
             LeaseStep::Act => {
@@ -214,7 +219,7 @@
 
     fn start_orders(&self, rollout: &PendingRollout) {
         let time = RolloutTime {
-            age: boot_now().since(rollout.target.learned),
+            age: boot_now().since(rollout.target.published_at),
             bound: self.state.settings.bounds.weights(),
         };
         for key in self.rollout_plan.next(&rollout.servers, rollout.target.version, time) {
--- a/crates/entry/src/state/status.rs
+++ b/crates/entry/src/state/status.rs
@@ -27,7 +27,7 @@
     let targets = weights.targets().map(|(model, target)| WantedWeights {
         model: model.clone(),
         version: target.version,
-        age_ms: now.since(target.learned).as_millis() as u64,
+        age_ms: now.since(target.published_at).as_millis() as u64,
     });
     EntryStatus {
         host: state.settings.host.clone(),
