--- a/crates/dispatch/src/server_registry.rs
+++ b/crates/dispatch/src/server_registry.rs
@@ -278,21 +278,26 @@
     }
 
     /// Records that this router, as the lease holder, ordered the engine to load weights.
-    pub fn record_load_order(&mut self, server: ServerKey, now: Instant) {
+    pub fn record_weights_order(&mut self, server: ServerKey, now: Instant) {
         if let Some(state) = self.state_mut(server) {
             state.mark_loading(now);
         }
     }
 
     /// Records that the load order failed and the engine keeps its weights.
-    pub fn record_load_failure(&mut self, server: ServerKey) {
+    pub fn record_weights_failure(&mut self, server: ServerKey) {
         if let Some(state) = self.state_mut(server) {
             state.clear_loading();
         }
     }
 
     /// Records that the engine confirmed the load.
-    pub fn record_load(&mut self, server: ServerKey, model: &ModelName, seen: WeightsVersion) {
+    pub fn record_weights_loaded(
+        &mut self,
+        server: ServerKey,
+        model: &ModelName,
+        seen: WeightsVersion,
+    ) {
         if let Some(state) = self.state_mut(server) {
             state.mark_loaded(model, seen);
         }
--- a/crates/entry/src/control/order_scheduler.rs
+++ b/crates/entry/src/control/order_scheduler.rs
@@ -226,7 +226,7 @@
             let entry = self.state.servers().state(key).map(|state| state.entry().clone());
             let Some(entry) = entry else { continue };
             self.shared.in_progress.borrow_mut().insert(key);
-            self.state.servers().record_load_order(key, Instant::now());
+            self.state.servers().record_weights_order(key, Instant::now());
             self.state.loading.start(key, &rollout.model, rollout.target.version);
             let task = OrderTask {
                 state: self.state.clone(),
--- a/crates/entry/src/control/order_task.rs
+++ b/crates/entry/src/control/order_task.rs
@@ -74,7 +74,7 @@
         let key = self.entry.key();
         let kind = match outcome {
             OrderOutcome::InPlace(version) => {
-                self.state.servers().record_load(key, &self.model, version);
+                self.state.servers().record_weights_loaded(key, &self.model, version);
                 self.state.loading.finish(key, version);
                 EventKind::WeightsInPlace
             }
@@ -98,7 +98,7 @@
     }
 
     fn record_failure(&self) {
-        self.state.servers().record_load_failure(self.entry.key());
+        self.state.servers().record_weights_failure(self.entry.key());
         self.state.loading.abandon(self.entry.key());
     }
 
