--- a/crates/entry/src/control/order_scheduler.rs
+++ b/crates/entry/src/control/order_scheduler.rs
@@ -32,9 +32,9 @@
 use crate::state::SharedState;
 use crate::state::boot_now;
 
-/// Interval at which the scheduler looks for pending rollouts.
-const IDLE_INTERVAL: Duration = Duration::from_millis(100);
-/// Interval while engines load weights.
+/// Interval at which the scheduler looks for pending rollouts, and upper bound of its other delays.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// Interval of scheduling steps while this router holds the lease or is about to take it.
 const BUSY_INTERVAL: Duration = Duration::from_millis(25);
 const APPEND_TIMEOUT: Duration = Duration::from_millis(800);
 
@@ -93,7 +93,7 @@
         loop {
             let delay = match self.next_rollout() {
                 Some(rollout) => self.advance(rollout).await,
-                None => IDLE_INTERVAL,
+                None => POLL_INTERVAL,
             };
             sleep(delay).await;
         }
@@ -124,7 +124,7 @@
                     version: state.confirmed_weights(model)?,
                     load: state.occupancy(now),
                     is_ordered: in_progress.contains(&state.key()),
-                    is_open: state.is_open(now),
+                    is_reachable: state.is_open(now),
                 })
             })
             .collect();
@@ -135,14 +135,19 @@
     /// step.
     async fn advance(&self, rollout: PendingRollout) -> Duration {
         if !self.fleet_state.borrow().is_read() {
-            return IDLE_INTERVAL;
+            return POLL_INTERVAL;
         }
         let now = boot_now();
         let link_kbps = self.state.settings.link_kbps();
         let link_rank = self.state.servers().link_rank(link_kbps, Instant::now());
         let step = {
             let fleet_state = self.fleet_state.borrow();
-            self.shared.lease.borrow().step(&fleet_state, rollout.target.learned, link_rank, now)
+            self.shared.lease.borrow().step(
+                &fleet_state,
+                rollout.target.published_at,
+                link_rank,
+                now,
+            )
         };
         match step {
             LeaseStep::Act => {
@@ -153,7 +158,7 @@
                 self.append_lease(at).await;
                 BUSY_INTERVAL
             }
-            LeaseStep::Wait(wait) => wait.clamp(BUSY_INTERVAL, IDLE_INTERVAL),
+            LeaseStep::Wait(wait) => wait.clamp(BUSY_INTERVAL, POLL_INTERVAL),
         }
     }
 
@@ -214,14 +219,14 @@
 
     fn start_orders(&self, rollout: &PendingRollout) {
         let time = RolloutTime {
-            age: boot_now().since(rollout.target.learned),
+            age: boot_now().since(rollout.target.published_at),
             bound: self.state.settings.bounds.weights(),
         };
         for key in self.rollout_plan.next(&rollout.servers, rollout.target.version, time) {
             let entry = self.state.servers().state(key).map(|state| state.entry().clone());
             let Some(entry) = entry else { continue };
             self.shared.in_progress.borrow_mut().insert(key);
-            self.state.servers().record_load_order(key, Instant::now());
+            self.state.servers().record_weights_order(key, Instant::now());
             self.state.loading.start(key, &rollout.model, rollout.target.version);
             let task = OrderTask {
                 state: self.state.clone(),
