--- a/crates/entry/src/control/cache_event_client.rs
+++ b/crates/entry/src/control/cache_event_client.rs
@@ -4,10 +4,10 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
+use fulmargate_consortium::CacheEventsRequest;
 use fulmargate_consortium::CachePage;
-use fulmargate_consortium::CacheQuestion;
 use fulmargate_consortium::EngineClient;
-use fulmargate_consortium::MOST_PAGE_BYTES;
+use fulmargate_consortium::MAX_PAGE_BYTES;
 use fulmargate_consortium::StoreError;
 use fulmargate_dispatch::BulkReadLimiter;
 use tokio::sync::Semaphore;
@@ -65,11 +65,11 @@
     }
 
     async fn read_live(&self, address: SocketAddr, since: u64) -> Result<CachePage, StoreError> {
-        let request = CacheQuestion {
+        let request = CacheEventsRequest {
             since,
             wait: LIVE_POLL_WAIT,
-            answer_timeout: LIVE_POLL_WAIT + RESPONSE_GRACE,
-            page_timeout: RESPONSE_GRACE,
+            head_timeout: LIVE_POLL_WAIT + RESPONSE_GRACE,
+            body_timeout: RESPONSE_GRACE,
         };
         self.engines
             .cache_events(address, request, &|bytes| count_read_bytes(ReadMode::Live, bytes))
@@ -87,13 +87,13 @@
         let _permit = self.backfill_permits.acquire().await;
         let wait = self.bandwidth_share.borrow().wait(Instant::now());
         sleep(wait).await;
-        let page_transfer_time = self.bandwidth_share.borrow().transfer_time(MOST_PAGE_BYTES);
-        let request = CacheQuestion {
+        let page_transfer_time = self.bandwidth_share.borrow().transfer_time(MAX_PAGE_BYTES);
+        let request = CacheEventsRequest {
             since,
             wait: BACKFILL_POLL_WAIT,
-            answer_timeout: BACKFILL_POLL_WAIT + RESPONSE_GRACE,
+            head_timeout: BACKFILL_POLL_WAIT + RESPONSE_GRACE,
             // A shorter timeout would request a slow page again and again.
-            page_timeout: page_transfer_time.max(RESPONSE_GRACE),
+            body_timeout: page_transfer_time.max(RESPONSE_GRACE),
         };
         let on_bytes = |bytes: usize| {
             count_read_bytes(ReadMode::Backfill, bytes);
--- a/crates/entry/src/control/cache_reader.rs
+++ b/crates/entry/src/control/cache_reader.rs
@@ -117,7 +117,7 @@
     }
 
     fn publish(&self, page: CachePage, is_new_epoch: bool) {
-        let is_reset = is_new_epoch || page.is_gap;
+        let is_reset = is_new_epoch || page.has_gap;
         if is_reset {
             let kind = EventKind::EventGap;
             let address = self.source.address;
--- a/crates/entry/src/control/cache_reader/tests.rs
+++ b/crates/entry/src/control/cache_reader/tests.rs
@@ -100,7 +100,7 @@
         incarnation: Some(incarnation),
         epoch: 1,
         next: 2,
-        is_gap: false,
+        has_gap: false,
         parts: Vec::new(),
     };
     match outcome {
--- a/crates/entry/src/control/fleet_codec.rs
+++ b/crates/entry/src/control/fleet_codec.rs
@@ -8,7 +8,7 @@
 use bincode::error::EncodeError;
 use fulmargate_admission::QuotaReport;
 use fulmargate_consortium::StoreError;
-use fulmargate_consortium::join_keyed;
+use fulmargate_consortium::encode_keyed;
 use fulmargate_dispatch::FleetRecord;
 use fulmargate_dispatch::GossipMessage;
 use serde::Deserialize;
@@ -23,7 +23,7 @@
 pub(crate) fn encode_keyed_record(record: &FleetRecord) -> Result<Vec<u8>, StoreError> {
     let value = encode_record(record);
     let value = value.map_err(|err| StoreError::Unreadable { reason: err.to_string() })?;
-    join_keyed(&record.key(), &value)
+    encode_keyed(&record.key(), &value)
 }
 
 /// Decodes a record. Fails on kinds that a later router version has added.
--- a/crates/entry/src/control/fleet_watcher.rs
+++ b/crates/entry/src/control/fleet_watcher.rs
@@ -10,8 +10,8 @@
 use fulmargate_consortium::ListedRecord;
 use fulmargate_consortium::StoreClient;
 use fulmargate_consortium::StoreError;
-use fulmargate_consortium::join_keyed;
-use fulmargate_consortium::split_keyed;
+use fulmargate_consortium::decode_keyed;
+use fulmargate_consortium::encode_keyed;
 use fulmargate_dispatch::FleetRecord;
 use fulmargate_dispatch::FleetState;
 use fulmargate_dispatch::LogPosition;
@@ -181,7 +181,7 @@
         let mut by_key = IndexMap::new();
         for ListedRecord { offset, record } in records {
             self.apply(offset, &record);
-            let bytes = join_keyed(&record.key, record.value.as_deref().unwrap_or_default())?;
+            let bytes = encode_keyed(&record.key, record.value.as_deref().unwrap_or_default())?;
             by_key.insert(record.key, bytes);
         }
         self.fleet_state.borrow_mut().skip_to(end.offset);
@@ -219,7 +219,7 @@
         }
         for (record, offset) in records.iter().zip(from.offset.0..) {
             let offset = LogOffset(offset);
-            match split_keyed(record) {
+            match decode_keyed(record) {
                 Ok(record) => self.apply(offset, &record),
                 Err(err) => self.skip_unreadable(offset, &err.to_string()),
             }
--- a/crates/entry/src/control/operator_watcher.rs
+++ b/crates/entry/src/control/operator_watcher.rs
@@ -6,8 +6,8 @@
 use fulmargate_consortium::KeyedRecord;
 use fulmargate_consortium::OperatorRecord;
 use fulmargate_consortium::StoreError;
+use fulmargate_consortium::decode_keyed;
 use fulmargate_consortium::decode_operator;
-use fulmargate_consortium::split_keyed;
 use fulmargate_dispatch::BootTime;
 use fulmargate_dispatch::LogPosition;
 use fulmargate_dispatch::LogTopic;
@@ -125,7 +125,7 @@
 
     fn apply_page(&mut self, epoch: StoreEpoch, page: &SourcePage) {
         for record in &page.records {
-            match split_keyed(record) {
+            match decode_keyed(record) {
                 Ok(record) if self.apply(&record) => self.state.proof().mark_trusted(epoch),
                 Ok(_) => {}
                 Err(err) => self.record_unreadable(&err),
--- a/crates/entry/src/control/order_scheduler.rs
+++ b/crates/entry/src/control/order_scheduler.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use fulmargate_consortium::AppendAnswer;
+use fulmargate_consortium::AppendResult;
 use fulmargate_consortium::EngineClient;
 use fulmargate_consortium::StoreClient;
 use fulmargate_dispatch::BootTime;
@@ -175,8 +175,8 @@
         let sent = boot_now();
         let topic = LogTopic::Fleet;
         match self.store.append(topic, Some(at), &[encoded], APPEND_TIMEOUT).await {
-            Ok(AppendAnswer::Written(position)) => self.record_lease(position, &record, sent),
-            Ok(AppendAnswer::Moved) => self.catch_up_beyond(at, "topic end has moved").await,
+            Ok(AppendResult::Written(position)) => self.record_lease(position, &record, sent),
+            Ok(AppendResult::Conflict) => self.catch_up_beyond(at, "topic end has moved").await,
             // The record may have been written.
             Err(err) => self.catch_up_beyond(at, &err.to_string()).await,
         }
--- a/crates/entry/src/control/order_task.rs
+++ b/crates/entry/src/control/order_task.rs
@@ -10,7 +10,7 @@
 use fulmargate_consortium::EngineClient;
 use fulmargate_consortium::EngineOrder;
 use fulmargate_consortium::EngineReport;
-use fulmargate_consortium::OrderAnswer;
+use fulmargate_consortium::OrderResponse;
 use fulmargate_consortium::StoreError;
 use fulmargate_dispatch::ConnectOutcome;
 use fulmargate_dispatch::ServerEntry;
@@ -133,16 +133,16 @@
                 continue;
             }
             match self.send_order(&report, target.version).await {
-                Some(OrderAnswer::Holds) => return OrderOutcome::InPlace(target.version),
-                Some(OrderAnswer::Accepted) => sleep(LOAD_WAIT).await,
-                Some(OrderAnswer::Superseded) => {
+                Some(OrderResponse::Holds) => return OrderOutcome::InPlace(target.version),
+                Some(OrderResponse::Accepted) => sleep(LOAD_WAIT).await,
+                Some(OrderResponse::Superseded) => {
                     self.shared.lease.borrow_mut().drop_lease();
                     return OrderOutcome::NotHolder;
                 }
-                Some(OrderAnswer::Misdirected) => return OrderOutcome::Gone,
+                Some(OrderResponse::Misdirected) => return OrderOutcome::Gone,
                 // An unanswered order may have been accepted. The next report shows it, and the
                 // order count in the next order invalidates a delayed one.
-                Some(OrderAnswer::Busy | OrderAnswer::Refused(_)) | None => {
+                Some(OrderResponse::Busy | OrderResponse::Refused(_)) | None => {
                     sleep(REPORT_INTERVAL).await;
                 }
             }
@@ -172,7 +172,7 @@
         &self,
         report: &EngineReport,
         version: WeightsVersion,
-    ) -> Option<OrderAnswer> {
+    ) -> Option<OrderResponse> {
         let fence = self.shared.lease.borrow().usable_fence(boot_now())?;
         let order = EngineOrder {
             model: self.model.clone(),
--- a/crates/entry/src/control/own_records/tests.rs
+++ b/crates/entry/src/control/own_records/tests.rs
@@ -1,6 +1,6 @@
 //! Records rewritten after a restore of the store from a backup.
 
-use fulmargate_consortium::split_keyed;
+use fulmargate_consortium::decode_keyed;
 use fulmargate_dispatch::FleetRecord;
 use fulmargate_dispatch::ServerKey;
 use fulmargate_names::HostName;
@@ -30,7 +30,7 @@
 }
 
 fn key_of(record: &[u8]) -> String {
-    split_keyed(record).expect("valid keyed record").key
+    decode_keyed(record).expect("valid keyed record").key
 }
 
 struct RewriteCase {
--- a/crates/entry/src/control/server_watcher.rs
+++ b/crates/entry/src/control/server_watcher.rs
@@ -5,8 +5,8 @@
 
 use fulmargate_consortium::KeyedRecord;
 use fulmargate_consortium::StoreError;
+use fulmargate_consortium::decode_keyed;
 use fulmargate_consortium::decode_server;
-use fulmargate_consortium::split_keyed;
 use fulmargate_dispatch::BootTime;
 use fulmargate_dispatch::LogPosition;
 use fulmargate_dispatch::LogTopic;
@@ -94,7 +94,7 @@
         let page = self.source.read(topic, from, Duration::ZERO, READ_TIMEOUT).await?;
         self.record_contact(page.complete_as_of.unwrap_or_else(boot_now));
         for record in &page.records {
-            match split_keyed(record) {
+            match decode_keyed(record) {
                 Ok(record) => self.apply(&record),
                 Err(err) => self.log_unusable_entry(&err.to_string()),
             }
--- a/crates/entry/src/traffic/request_decoder.rs
+++ b/crates/entry/src/traffic/request_decoder.rs
@@ -60,7 +60,7 @@
 ) -> Result<DecodedRequest, RequestFailure> {
     let admitted = admit(state, &parts)?;
     let route = admitted.route.clone();
-    let request_timeout = admitted.head.patience.unwrap_or(route.timeout).min(route.timeout);
+    let request_timeout = admitted.head.time_left.unwrap_or(route.timeout).min(route.timeout);
     let deadline = arrived + request_timeout;
     let body = read_body(body, admitted.table.limits().body_bytes, deadline).await?;
     let team = admitted.team.as_ref();
@@ -88,7 +88,7 @@
     let head = CallerHead::decode(parts).map_err(|err| {
         fail(ErrorKind::BadRequest).with_detail(err.to_string()).with_connection_close()
     })?;
-    let fail = |kind: ErrorKind| RequestFailure::new(kind, head.patience.unwrap_or(time_left));
+    let fail = |kind: ErrorKind| RequestFailure::new(kind, head.time_left.unwrap_or(time_left));
     let Some(table) = state.table.load_full() else {
         return Err(fail(ErrorKind::NotReady).with_connection_close());
     };
--- a/crates/entry/src/traffic/request_handler.rs
+++ b/crates/entry/src/traffic/request_handler.rs
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use fulmargate_consortium::AnswerHead;
+use fulmargate_consortium::ResponseHead;
 use fulmargate_dispatch::CallFacts;
 use fulmargate_dispatch::CallProgress;
 use fulmargate_dispatch::NextStep;
@@ -260,7 +260,7 @@
         if response.head.is_misdirected {
             return Err(misdirected_error(&response));
         }
-        if response.head.is_not_run {
+        if response.head.is_not_executed {
             return reject(SendOutcome::Refused, status.as_str());
         }
         if let (Some(model), Some(seen)) = (&self.facts().model, response.head.weights) {
@@ -404,6 +404,6 @@
 fn buffered_response(parts: &Parts, body: bytes::Bytes) -> Response<ResponseBody> {
     let mut response = Response::new(ResponseBody::buffered(body));
     *response.status_mut() = parts.status;
-    *response.headers_mut() = AnswerHead::passed_on(parts);
+    *response.headers_mut() = ResponseHead::forwarded_headers(parts);
     response
 }
--- a/crates/entry/src/traffic/request_handler/plan.rs
+++ b/crates/entry/src/traffic/request_handler/plan.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use fulmargate_consortium::SendHead;
+use fulmargate_consortium::ServerRequestHead;
 use fulmargate_dispatch::AssignedEngine;
 use fulmargate_dispatch::ChoiceReason;
 use fulmargate_dispatch::Placement;
@@ -62,7 +62,7 @@
         let server = servers.choose_plain(service, zone, &self.excluded_servers, now)?;
         let ticket = servers.record_send(self.facts(), server.key(), now);
         drop(servers);
-        let head = self.send_head(&server);
+        let head = self.server_request_head(&server);
         let in_flight = InFlightRequest::new(self.state.clone(), ticket);
         let head_deadline = self.attempt_deadline();
         count_send("plain");
@@ -101,7 +101,7 @@
         count_send(reason);
         self.log_prompt_sent(&choice, reason);
         let start_deadline = self.start_deadline(&model, choice.weights);
-        let mut head = self.send_head(&choice.server);
+        let mut head = self.server_request_head(&choice.server);
         head.weights = Some(choice.weights);
         head.salt = Some(choice.salt);
         head.fetch_from = choice.fetch.map(|fetch| fetch.from);
@@ -144,9 +144,9 @@
         }
     }
 
-    fn send_head(&self, server: &ServerEntry) -> SendHead {
+    fn server_request_head(&self, server: &ServerEntry) -> ServerRequestHead {
         let facts = self.facts();
-        SendHead {
+        ServerRequestHead {
             server: server.name.clone(),
             time_left: facts.deadline.saturating_duration_since(Instant::now()),
             team: facts.team.clone(),
--- a/crates/entry/src/traffic/send_attempt.rs
+++ b/crates/entry/src/traffic/send_attempt.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use fulmargate_consortium::AnswerHead;
-use fulmargate_consortium::SendHead;
+use fulmargate_consortium::ResponseHead;
+use fulmargate_consortium::ServerRequestHead;
 use fulmargate_dispatch::ConnectOutcome;
 use fulmargate_dispatch::ProbeStep;
 use fulmargate_dispatch::SendOutcome;
@@ -40,7 +40,7 @@
 /// The chosen server and the parameters of a send.
 pub(crate) struct SendPlan {
     pub(crate) server: Arc<ServerEntry>,
-    pub(crate) head: SendHead,
+    pub(crate) head: ServerRequestHead,
     /// The weights version that the request must run on.
     pub(crate) weights: Option<WeightsVersion>,
     /// Deadline for the response head.
@@ -53,7 +53,7 @@
 /// A response whose head has arrived.
 pub(crate) struct ServerResponse {
     pub(crate) parts: Parts,
-    pub(crate) head: AnswerHead,
+    pub(crate) head: ResponseHead,
     pub(crate) body: Incoming,
     /// Dropping the connection cancels the request at the server.
     pub(crate) _connection: ServerConnection,
@@ -109,7 +109,7 @@
         let request = encode_request(decoded, &plan)?;
         let response = wait_for_response_head(&mut connection, request, &plan).await?;
         let (parts, body) = response.into_parts();
-        let head = AnswerHead::decode(&parts);
+        let head = ResponseHead::decode(&parts);
         plan.in_flight.record_response_head(head.load);
         let matches_request = head.request.as_deref() == Some(decoded.facts.id.as_str());
         if !matches_request && !head.is_misdirected {
--- a/crates/entry/src/traffic/stream_relay.rs
+++ b/crates/entry/src/traffic/stream_relay.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use fulmargate_consortium::AnswerHead;
+use fulmargate_consortium::ResponseHead;
 use fulmargate_dispatch::EventSplitter;
 use fulmargate_dispatch::RouteKind;
 use fulmargate_names::ErrorKind;
@@ -40,7 +40,7 @@
     upstream: ServerResponse,
 ) -> Response<ResponseBody> {
     let (sender, chunks) = channel(MAX_BUFFERED_CHUNKS);
-    let mut headers = AnswerHead::passed_on(&upstream.parts);
+    let mut headers = ResponseHead::forwarded_headers(&upstream.parts);
     // The length is unknown in advance, because another server may resume the stream.
     headers.remove(CONTENT_LENGTH);
     let status = upstream.parts.status;
