--- a/crates/entry/tests/daemon/configuration.rs
+++ b/crates/entry/tests/daemon/configuration.rs
@@ -97,7 +97,7 @@
 async fn keys_are_refused_after_an_unreadable_configuration() {
     let deployment = TestDeployment::start(ServerMode::Answer).await;
     let request = CallerRequest::new("/read/x", "u");
-    deployment.store.put_strange_config();
+    deployment.store.put_malformed_config();
     wait_for_status(&deployment, &request, 503).await;
     let mut config = initial_config();
     config.version = 3;
@@ -113,7 +113,7 @@
     config.version = 5;
     config.routes.push(ConfigText::route("/after/", "idempotent", "desk"));
     deployment.store.put_config(&config);
-    deployment.store.forget_history();
+    deployment.store.delete_history();
     wait_for_status(&deployment, &CallerRequest::new("/after/x", "h"), 200).await;
 }
 
@@ -143,7 +143,7 @@
 #[tokio::test]
 async fn the_status_page_reports_the_current_state() {
     let deployment = TestDeployment::start(ServerMode::Answer).await;
-    deployment.store.name_weights(2);
+    deployment.store.publish_weights(2);
     wait_until("both engines have the weights", || {
         deployment.daemon.events("weights_in_place").len() == 2
     })
--- a/crates/entry/tests/daemon/host_connectivity.rs
+++ b/crates/entry/tests/daemon/host_connectivity.rs
@@ -1,9 +1,9 @@
 //! Faults of the host's own network link, which must not be attributed to servers.
 
-use fulmargate_consortium_stand::CallerAnswer;
 use fulmargate_consortium_stand::CallerRequest;
+use fulmargate_consortium_stand::CallerResponse;
+use fulmargate_consortium_stand::FakeServer;
 use fulmargate_consortium_stand::ServerMode;
-use fulmargate_consortium_stand::ServerStand;
 use serde_json::json;
 use tokio::spawn;
 use tokio::task::JoinHandle;
@@ -38,16 +38,16 @@
 /// Sends a request and returns once a server has begun to run it.
 async fn begin_request(
     deployment: &TestDeployment,
-    servers: &[ServerStand],
+    servers: &[FakeServer],
     mut request: CallerRequest,
-) -> JoinHandle<CallerAnswer> {
+) -> JoinHandle<CallerResponse> {
     request.patience_ms = REQUEST_TIMEOUT_MS;
     let id = request.id.clone();
     let callers = deployment.callers;
     let request_task =
         spawn(async move { request.send(callers).await.expect("a response from the daemon") });
     wait_until("a server runs the request", || {
-        servers.iter().flat_map(ServerStand::seen).any(|seen| seen.id() == id)
+        servers.iter().flat_map(FakeServer::seen).any(|seen| seen.id() == id)
     })
     .await;
     request_task
@@ -56,7 +56,7 @@
 /// Makes new connections to every server hang, as on a saturated link of the host.
 async fn saturate_link(deployment: &TestDeployment) {
     for server in deployment.plain_servers.iter().chain(&deployment.engines) {
-        server.hold_connections().await.expect("block new connections");
+        server.block_connections().await.expect("block new connections");
     }
 }
 
@@ -91,13 +91,13 @@
     let deployment = start_with_timeouts(ServerMode::Wait).await;
     let charge = CallerRequest::new("/charge/x", "charge-2");
     let request_task = begin_request(&deployment, &deployment.plain_servers, charge).await;
-    let runs_request = |plain_server: &&ServerStand| !plain_server.seen().is_empty();
+    let runs_request = |plain_server: &&FakeServer| !plain_server.seen().is_empty();
     let lost_server = deployment
         .plain_servers
         .iter()
         .find(runs_request)
         .expect("a plain server that runs the charge");
-    lost_server.hold_connections().await.expect("block new connections");
+    lost_server.block_connections().await.expect("block new connections");
     for plain_server in
         deployment.plain_servers.iter().filter(|plain_server| plain_server.name != lost_server.name)
     {
@@ -180,12 +180,12 @@
 ];
 
 impl BrokenConnectionCase {
-    async fn block_connections(&self, deployment: &TestDeployment, plain_server: &ServerStand) {
+    async fn block_connections(&self, deployment: &TestDeployment, plain_server: &FakeServer) {
         for server in deployment.plain_servers.iter().chain(&deployment.engines) {
             match (self.connections, server.name == plain_server.name) {
                 (NewConnections::PlainServerRefuses, true) => server.stop_accepting(),
                 (NewConnections::PlainServerRefuses | NewConnections::PlainServerHangs, false) => {}
-                _ => server.hold_connections().await.expect("block new connections"),
+                _ => server.block_connections().await.expect("block new connections"),
             }
         }
     }
@@ -197,7 +197,7 @@
         let charge = begin_request(&deployment, &deployment.plain_servers, charge).await;
         let stream = CallerRequest::prompt("/non-resumable/x", "stream-3");
         let stream = begin_request(&deployment, &deployment.engines, stream).await;
-        let runs_request = |plain_server: &&ServerStand| !plain_server.seen().is_empty();
+        let runs_request = |plain_server: &&FakeServer| !plain_server.seen().is_empty();
         let plain_server = deployment
             .plain_servers
             .iter()
@@ -247,7 +247,7 @@
     deployment.engines.iter().for_each(|engine| engine.set_mode(ServerMode::Stream(2)));
     let answer = request_task.await.expect("the request task completes");
     assert_eq!((answer.status, answer.is_whole), (200, true));
-    let received = deployment.engines.iter().flat_map(ServerStand::seen);
+    let received = deployment.engines.iter().flat_map(FakeServer::seen);
     assert_eq!(received.filter(|seen| seen.id() == "chat-4").count(), 1);
 }
 
@@ -257,9 +257,9 @@
 async fn a_lease_holder_without_any_engine_report_suspects_its_own_link() {
     let deployment = start_with_timeouts(ServerMode::Stream(1)).await;
     for engine in &deployment.engines {
-        engine.hold_connections().await.expect("block new connections");
+        engine.block_connections().await.expect("block new connections");
     }
-    deployment.store.name_weights(2);
+    deployment.store.publish_weights(2);
     let log_events = |name| deployment.daemon.events(name);
     wait_until("four orders failed on silent engines", || {
         log_events("order_refused").iter().filter(|line| line["end"] == "Silent").count() >= 4
--- a/crates/entry/tests/daemon/process_lifecycle.rs
+++ b/crates/entry/tests/daemon/process_lifecycle.rs
@@ -73,7 +73,7 @@
 /// Without a configuration neither 401 nor 404 is known to be right.
 #[tokio::test]
 async fn requests_before_the_first_configuration_get_503() {
-    let store = fulmargate_consortium_stand::StoreStand::start().await.expect("start the store");
+    let store = fulmargate_consortium_stand::FakeStore::start().await.expect("start the store");
     let daemon = DaemonProcess::start(store.address);
     wait_until("the daemon listens", || !daemon.events("process_started").is_empty()).await;
     let started = daemon.events("process_started").remove(0);
--- a/crates/entry/tests/daemon/queued_prompts.rs
+++ b/crates/entry/tests/daemon/queued_prompts.rs
@@ -1,8 +1,8 @@
 //! Prompts queued at the daemon until an engine is free.
 
 use fulmargate_consortium_stand::CallerRequest;
+use fulmargate_consortium_stand::FakeServer;
 use fulmargate_consortium_stand::ServerMode;
-use fulmargate_consortium_stand::ServerStand;
 use serde_json::json;
 use tokio::spawn;
 use tokio::task::JoinHandle;
@@ -62,7 +62,7 @@
     first.abort();
     assert_eq!(queued.await.expect("the request task completes"), 200);
     second.abort();
-    let seen = deployment.engines.iter().flat_map(ServerStand::seen);
+    let seen = deployment.engines.iter().flat_map(FakeServer::seen);
     let sent: Vec<_> = seen.filter(|request| request.id() == "w-1").collect();
     assert_eq!(sent.len(), 1, "the queued prompt runs once");
     assert!(sent[0].salt().contains("green"), "{}", sent[0].salt());
--- a/crates/entry/tests/daemon/requests.rs
+++ b/crates/entry/tests/daemon/requests.rs
@@ -1,9 +1,9 @@
 //! Single requests: complete responses, and at-most-once execution of non-idempotent requests.
 
 use fulmargate_consortium_stand::CallerRequest;
+use fulmargate_consortium_stand::FakeServer;
 use fulmargate_consortium_stand::RawHead;
 use fulmargate_consortium_stand::ServerMode;
-use fulmargate_consortium_stand::ServerStand;
 use fulmargate_consortium_stand::open_stream;
 use fulmargate_consortium_stand::send_raw;
 
@@ -24,12 +24,12 @@
     let answer = deployment.send(&request.forging("blue")).await;
     assert_eq!((answer.status, answer.body.as_str()), (200, "done"));
     assert!(answer.is_signed());
-    let seen: Vec<_> = deployment.plain_servers.iter().flat_map(ServerStand::seen).collect();
+    let seen: Vec<_> = deployment.plain_servers.iter().flat_map(FakeServer::seen).collect();
     assert_eq!(seen.len(), 1);
     assert_eq!(seen[0].line, "POST /charge/a%2Fb//c?x=%20&y");
     assert_eq!(&seen[0].body[..], b"17 EUR");
     assert_eq!(seen[0].team(), "red", "the team of the key, not the one in the caller's header");
-    assert!(!seen[0].shows_key());
+    assert!(!seen[0].has_api_key());
     assert!(!seen[0].has_hold(), "only the router may set it");
     assert_eq!((seen[0].header("x-hop"), seen[0].header("x-kept")), ("", "2"));
     let left = seen[0].time_left_ms();
@@ -290,7 +290,7 @@
     let outer = RawHead::of("POST /charge/x", framing).text() + "0\r\n\r\n" + &inner;
     send_raw(&outer, deployment.callers).await.expect("a response from the daemon");
     let lines: Vec<String> =
-        deployment.plain_servers.iter().flat_map(ServerStand::seen).map(|seen| seen.line).collect();
+        deployment.plain_servers.iter().flat_map(FakeServer::seen).map(|seen| seen.line).collect();
     assert!(!lines.iter().any(|line| line.contains("hidden")), "{lines:?}");
 }
 
--- a/crates/entry/tests/daemon/store_restore.rs
+++ b/crates/entry/tests/daemon/store_restore.rs
@@ -4,9 +4,9 @@
 
 use fulmargate_consortium_stand::CallerRequest;
 use fulmargate_consortium_stand::ConfigText;
+use fulmargate_consortium_stand::FakeServer;
 use fulmargate_consortium_stand::ServerMode;
-use fulmargate_consortium_stand::ServerStand;
-use fulmargate_consortium_stand::StoreCopy;
+use fulmargate_consortium_stand::StoreSnapshot;
 use serde_json::Value;
 use tokio::time::sleep;
 
@@ -43,7 +43,7 @@
 /// Restores the store from a copy, and writes records before it answers again.
 async fn restore(
     deployment: &TestDeployment,
-    copy: &StoreCopy,
+    copy: &StoreSnapshot,
     write_before_return: impl FnOnce(),
 ) {
     deployment.store.go_back_to(copy);
@@ -57,7 +57,7 @@
         .await;
 }
 
-async fn wait_for_orders(engines: &[ServerStand], count: usize) {
+async fn wait_for_orders(engines: &[FakeServer], count: usize) {
     let all = || engines.iter().all(|engine| engine.orders().len() == count);
     wait_until("all engines have received their orders", all).await;
 }
@@ -77,7 +77,7 @@
     let deployment = TestDeployment::start(ServerMode::Answer).await;
     let copy = deployment.store.copy();
     deployment.store.put_config(&config_without_red());
-    deployment.store.name_weights(2);
+    deployment.store.publish_weights(2);
     wait_for_configs(&deployment.daemon, 2).await;
     wait_until("the daemon has read the weights request", || {
         !deployment.daemon.events("weights_named").is_empty()
@@ -88,7 +88,7 @@
     third_config.routes.push(ConfigText::route("/new/", "idempotent", "desk"));
     restore(&deployment, &copy, || {
         deployment.store.put_config(&third_config);
-        deployment.store.name_weights(2);
+        deployment.store.publish_weights(2);
     })
     .await;
     wait_for_configs(&deployment.daemon, 3).await;
@@ -153,13 +153,13 @@
     for case in RESTORES {
         let deployment = TestDeployment::start(ServerMode::Stream(1)).await;
         let copy = deployment.store.copy();
-        deployment.store.name_weights(2);
+        deployment.store.publish_weights(2);
         wait_for_orders(&deployment.engines, 1).await;
         for _ in 0..case.restores {
-            restore(&deployment, &copy, || deployment.store.name_weights(2)).await;
+            restore(&deployment, &copy, || deployment.store.publish_weights(2)).await;
         }
         sleep(LEASE_EXPIRY_WAIT).await;
-        deployment.store.name_weights(3);
+        deployment.store.publish_weights(3);
         wait_for_orders(&deployment.engines, 2).await;
         for engine in &deployment.engines {
             let orders = engine.orders();
@@ -173,9 +173,9 @@
 async fn store_reads_back_off_after_a_restore() {
     let deployment = TestDeployment::start(ServerMode::Stream(1)).await;
     let copy = deployment.store.copy();
-    deployment.store.name_weights(2);
+    deployment.store.publish_weights(2);
     wait_for_orders(&deployment.engines, 1).await;
-    restore(&deployment, &copy, || deployment.store.name_weights(2)).await;
+    restore(&deployment, &copy, || deployment.store.publish_weights(2)).await;
     let before = deployment.store.calls();
     sleep(OBSERVATION_TIME).await;
     let calls = deployment.store.calls() - before;
@@ -233,8 +233,7 @@
 async fn a_server_registered_after_the_copy_is_kept() {
     let deployment = TestDeployment::start(ServerMode::Answer).await;
     let copy = deployment.store.copy();
-    let new_server =
-        ServerStand::start("desk-3", ServerMode::Answer).await.expect("start a server");
+    let new_server = FakeServer::start("desk-3", ServerMode::Answer).await.expect("start a server");
     deployment.store.put_server("desk-3", "desk", new_server.address, "ready");
     wait_until("the new server is listed", || deployment.daemon.events("server_listed").len() == 5)
         .await;
--- a/crates/entry/tests/daemon/streams.rs
+++ b/crates/entry/tests/daemon/streams.rs
@@ -1,9 +1,9 @@
 //! Streams arrive complete and in order, or are visibly incomplete.
 
-use fulmargate_consortium_stand::CallerAnswer;
 use fulmargate_consortium_stand::CallerRequest;
+use fulmargate_consortium_stand::CallerResponse;
+use fulmargate_consortium_stand::FakeServer;
 use fulmargate_consortium_stand::ServerMode;
-use fulmargate_consortium_stand::ServerStand;
 use tokio::task::JoinHandle;
 use tokio::time::sleep;
 
@@ -43,7 +43,7 @@
     let resumed: Vec<String> = deployment
         .engines
         .iter()
-        .flat_map(ServerStand::seen)
+        .flat_map(FakeServer::seen)
         .map(|seen| seen.last_event().to_owned())
         .filter(|event| !event.is_empty())
         .collect();
@@ -67,7 +67,7 @@
 async fn prompts_carry_salt_and_weights() {
     let deployment = TestDeployment::start(ServerMode::Stream(1)).await;
     deployment.send(&CallerRequest::prompt("/chat/x", "s-3")).await;
-    let seen: Vec<_> = deployment.engines.iter().flat_map(ServerStand::seen).collect();
+    let seen: Vec<_> = deployment.engines.iter().flat_map(FakeServer::seen).collect();
     assert!(seen[0].salt().starts_with("m/1/"), "{}", seen[0].salt());
     assert_eq!(seen[0].expected_weights(), "1");
 }
@@ -87,7 +87,7 @@
         deployment.engines.iter().any(|engine| !engine.seen().is_empty())
     })
     .await;
-    deployment.engines.iter().for_each(ServerStand::stop_accepting);
+    deployment.engines.iter().for_each(FakeServer::stop_accepting);
     let answer = request_task
         .await
         .expect("the request task completes")
@@ -103,7 +103,7 @@
     deployment.earn_retry_budget().await;
     deployment.engines.iter().for_each(|engine| engine.set_mode(ServerMode::SlowStream(2)));
     let request_task = begin_chat(&deployment, "kept-1").await;
-    deployment.engines.iter().for_each(ServerStand::stop_accepting);
+    deployment.engines.iter().for_each(FakeServer::stop_accepting);
     let answer = request_task.await.expect("the request task completes");
     let failed = deployment.daemon.events("request_failed");
     assert_eq!((answer.body, answer.is_whole), (event_stream(2), true), "{failed:?}");
@@ -118,10 +118,10 @@
     deployment.engines.iter().for_each(|engine| engine.set_mode(ServerMode::SlowStream(2)));
     let request_task = begin_chat(&deployment, "kept-2").await;
     let runs_request =
-        |engine: &&ServerStand| engine.seen().iter().any(|seen| seen.id() == "kept-2");
+        |engine: &&FakeServer| engine.seen().iter().any(|seen| seen.id() == "kept-2");
     let current_engine =
         deployment.engines.iter().find(runs_request).expect("an engine runs the request");
-    deployment.store.name_weights(2);
+    deployment.store.publish_weights(2);
     wait_until("the other engine has the new weights", || {
         let mut others =
             deployment.engines.iter().filter(|engine| engine.name != current_engine.name);
@@ -140,7 +140,7 @@
     deployment.earn_retry_budget().await;
     deployment.engines.iter().for_each(|engine| engine.set_mode(ServerMode::SlowStream(7)));
     let request_task = begin_chat(&deployment, "left").await;
-    let runs_request = |engine: &&ServerStand| engine.seen().iter().any(|seen| seen.id() == "left");
+    let runs_request = |engine: &&FakeServer| engine.seen().iter().any(|seen| seen.id() == "left");
     let silent_engine =
         deployment.engines.iter().find(runs_request).expect("an engine runs the request");
     silent_engine.stop_accepting();
@@ -162,14 +162,14 @@
     deployment.earn_retry_budget().await;
     deployment.engines.iter().for_each(|engine| engine.set_mode(ServerMode::Wait));
     let request_task = begin_chat(&deployment, "lost").await;
-    deployment.engines.iter().for_each(ServerStand::stop_accepting);
+    deployment.engines.iter().for_each(FakeServer::stop_accepting);
     deployment.engines.iter().for_each(|engine| engine.set_mode(ServerMode::CutStream(3)));
     wait_until("five connections have failed", || {
         let retried = deployment.daemon.events("attempt_retried");
         4 < retried.iter().filter(|line| line["end"] == "NotSent").count()
     })
     .await;
-    let reachable_engine = ServerStand::start("engine-3", ServerMode::Stream(7)).await;
+    let reachable_engine = FakeServer::start("engine-3", ServerMode::Stream(7)).await;
     let reachable_engine = reachable_engine.expect("start an engine");
     deployment.store.put_server(
         &reachable_engine.name,
@@ -190,7 +190,7 @@
     deployment.engines.iter().for_each(|engine| engine.set_mode(ServerMode::Wait));
     let request_task = begin_chat(&deployment, "turned").await;
     let runs_request =
-        |engine: &&ServerStand| engine.seen().iter().any(|seen| seen.id() == "turned");
+        |engine: &&FakeServer| engine.seen().iter().any(|seen| seen.id() == "turned");
     let cut_engine =
         deployment.engines.iter().find(runs_request).expect("an engine runs the request");
     let mut others = deployment.engines.iter().filter(|engine| engine.name != cut_engine.name);
@@ -216,7 +216,7 @@
     deployment.earn_retry_budget().await;
     deployment.engines.iter().for_each(|engine| engine.set_mode(ServerMode::SlowStream(7)));
     let request_task = begin_chat(&deployment, "last").await;
-    let runs_request = |engine: &&ServerStand| engine.seen().iter().any(|seen| seen.id() == "last");
+    let runs_request = |engine: &&FakeServer| engine.seen().iter().any(|seen| seen.id() == "last");
     let silent_engine =
         deployment.engines.iter().find(runs_request).expect("an engine runs the request");
     let mut others = deployment.engines.iter().filter(|engine| engine.name != silent_engine.name);
@@ -224,7 +224,7 @@
     next.set_mode(ServerMode::Wait);
     silent_engine.stop_accepting();
     wait_until("the other engine runs the request", || runs_request(&next)).await;
-    next.hold_connections().await.expect("block new connections");
+    next.block_connections().await.expect("block new connections");
     for number in 0..READ_COUNT {
         deployment.send(&CallerRequest::new("/read/x", &format!("read-{number}"))).await;
         sleep(POLL_INTERVAL).await;
@@ -235,7 +235,7 @@
 }
 
 /// Sends a prompt and returns once an engine has begun to run it.
-async fn begin_chat(deployment: &TestDeployment, id: &str) -> JoinHandle<CallerAnswer> {
+async fn begin_chat(deployment: &TestDeployment, id: &str) -> JoinHandle<CallerResponse> {
     let callers = deployment.callers;
     let mut request = CallerRequest::prompt("/chat/x", id);
     request.patience_ms = REQUEST_TIMEOUT_MS;
@@ -244,7 +244,7 @@
             async move { request.send(callers).await.expect("a response from the daemon") },
         );
     wait_until("an engine runs the request", || {
-        let seen: Vec<_> = deployment.engines.iter().flat_map(ServerStand::seen).collect();
+        let seen: Vec<_> = deployment.engines.iter().flat_map(FakeServer::seen).collect();
         seen.iter().any(|seen| seen.id() == id)
     })
     .await;
--- a/crates/entry/tests/daemon/support.rs
+++ b/crates/entry/tests/daemon/support.rs
@@ -16,12 +16,12 @@
 use std::thread;
 use std::time::Duration;
 
-use fulmargate_consortium_stand::CallerAnswer;
 use fulmargate_consortium_stand::CallerRequest;
+use fulmargate_consortium_stand::CallerResponse;
 use fulmargate_consortium_stand::ConfigText;
+use fulmargate_consortium_stand::FakeServer;
+use fulmargate_consortium_stand::FakeStore;
 use fulmargate_consortium_stand::ServerMode;
-use fulmargate_consortium_stand::ServerStand;
-use fulmargate_consortium_stand::StoreStand;
 use serde_json::Value;
 use serde_json::json;
 use tokio::time::sleep;
@@ -156,9 +156,9 @@
 
 /// A store, two servers of the plain service `desk`, two engines, and the daemon.
 pub(crate) struct TestDeployment {
-    pub(crate) store: StoreStand,
-    pub(crate) plain_servers: Vec<ServerStand>,
-    pub(crate) engines: Vec<ServerStand>,
+    pub(crate) store: FakeStore,
+    pub(crate) plain_servers: Vec<FakeServer>,
+    pub(crate) engines: Vec<FakeServer>,
     pub(crate) daemon: DaemonProcess,
     pub(crate) callers: SocketAddr,
     pub(crate) readiness: SocketAddr,
@@ -188,13 +188,13 @@
 impl TestDeployment {
     /// Starts everything and waits until the daemon is ready and lists all servers.
     pub(crate) async fn start(mode: ServerMode) -> TestDeployment {
-        let store = StoreStand::start().await.expect("start the store");
+        let store = FakeStore::start().await.expect("start the store");
         let mut plain_servers = Vec::new();
         let mut engines = Vec::new();
         for number in 1..=2 {
-            let server = ServerStand::start(&format!("desk-{number}"), mode).await;
+            let server = FakeServer::start(&format!("desk-{number}"), mode).await;
             plain_servers.push(server.expect("start a plain server"));
-            let engine = ServerStand::start(&format!("engine-{number}"), mode).await;
+            let engine = FakeServer::start(&format!("engine-{number}"), mode).await;
             engines.push(engine.expect("start an engine"));
         }
         store.put_config(&initial_config());
@@ -253,7 +253,7 @@
         answer.ok().map(|answer| answer.status)
     }
 
-    pub(crate) async fn send(&self, request: &CallerRequest) -> CallerAnswer {
+    pub(crate) async fn send(&self, request: &CallerRequest) -> CallerResponse {
         request.send(self.callers).await.expect("a response from the daemon")
     }
 
--- a/crates/entry/tests/daemon/weight_updates.rs
+++ b/crates/entry/tests/daemon/weight_updates.rs
@@ -1,8 +1,8 @@
 //! Orders that bring engines to new weights.
 
 use fulmargate_consortium_stand::CallerRequest;
+use fulmargate_consortium_stand::FakeServer;
 use fulmargate_consortium_stand::ServerMode;
-use fulmargate_consortium_stand::ServerStand;
 use fulmargate_consortium_stand::StoreFault;
 
 use crate::support::DaemonProcess;
@@ -13,12 +13,12 @@
 #[tokio::test]
 async fn engines_receive_one_order_for_each_weights_version() {
     let deployment = TestDeployment::start(ServerMode::Stream(2)).await;
-    deployment.store.name_weights(2);
+    deployment.store.publish_weights(2);
     wait_until("all engines have their first order", || {
         deployment.engines.iter().all(|engine| engine.orders().len() == 1)
     })
     .await;
-    deployment.store.name_weights(5);
+    deployment.store.publish_weights(5);
     wait_until("all engines have their second order", || {
         deployment.engines.iter().all(|engine| engine.orders().len() == 2)
     })
@@ -34,7 +34,7 @@
     })
     .await;
     deployment.send(&CallerRequest::prompt("/chat/x", "w")).await;
-    let seen: Vec<_> = deployment.engines.iter().flat_map(ServerStand::seen).collect();
+    let seen: Vec<_> = deployment.engines.iter().flat_map(FakeServer::seen).collect();
     assert!(seen[0].salt().starts_with("m/5/"), "{}", seen[0].salt());
 }
 
@@ -48,13 +48,13 @@
         second_daemon.events("server_listed").len() == 4
     })
     .await;
-    deployment.store.name_weights(2);
+    deployment.store.publish_weights(2);
     wait_until("all engines have their first order", || {
         deployment.engines.iter().all(|engine| engine.orders().len() == 1)
     })
     .await;
     let holders = |version: u64| {
-        let orders = deployment.engines.iter().flat_map(ServerStand::orders);
+        let orders = deployment.engines.iter().flat_map(FakeServer::orders);
         let of_version = orders.filter(|order| order.version == version);
         let mut holders: Vec<String> = of_version.map(|order| order.holder).collect();
         holders.dedup();
@@ -68,7 +68,7 @@
     };
     stopped.signal("KILL");
     stopped.exit_code().await;
-    deployment.store.name_weights(3);
+    deployment.store.publish_weights(3);
     wait_until("the remaining daemon has taken over", || {
         !remaining.events("weights_in_place").is_empty()
     })
@@ -83,7 +83,7 @@
 async fn a_lost_append_response_does_not_stop_orders() {
     let deployment = TestDeployment::start(ServerMode::Stream(1)).await;
     deployment.store.set_fault(StoreFault::LosesAnswers);
-    deployment.store.name_weights(2);
+    deployment.store.publish_weights(2);
     wait_until("an append has failed", || !deployment.daemon.events("lease_lost").is_empty()).await;
     deployment.store.set_fault(StoreFault::None);
     wait_until("all engines have their first order", || {
--- a/crates/soak/src/fault_player.rs
+++ b/crates/soak/src/fault_player.rs
@@ -75,7 +75,7 @@
             sleep(step.lasts).await;
             world.store.set_fault(StoreFault::None);
         }
-        SoakFault::ForgetHistory => world.store.forget_history(),
+        SoakFault::ForgetHistory => world.store.delete_history(),
         SoakFault::RestoreStore => {
             let copy = world.store.copy();
             sleep(step.lasts).await;
@@ -97,7 +97,7 @@
         SoakFault::NameWeights => {
             let mut word = world.word();
             word.weights += 1;
-            world.store.name_weights(word.weights);
+            world.store.publish_weights(word.weights);
         }
     }
     Ok(())
--- a/crates/soak/src/judge.rs
+++ b/crates/soak/src/judge.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use fulmargate_consortium_stand::ECHO_EVENTS;
-use fulmargate_consortium_stand::SeenRequest;
+use fulmargate_consortium_stand::ReceivedRequest;
 use fulmargate_consortium_stand::echo_event;
 use fulmargate_consortium_stand::echo_text;
 use indexmap::IndexMap;
@@ -61,7 +61,7 @@
 /// A run at a server.
 struct SeenRun {
     server: usize,
-    request: SeenRequest,
+    request: ReceivedRequest,
 }
 
 /// The judge's notes.
--- a/crates/soak/src/request_record.rs
+++ b/crates/soak/src/request_record.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use fulmargate_consortium_stand::CallerAnswer;
+use fulmargate_consortium_stand::CallerResponse;
 use tokio::time::Instant;
 
 /// Kinds of requests that callers send.
@@ -39,7 +39,7 @@
 /// How it ended for the caller.
 #[derive(Clone, Debug)]
 pub(crate) enum RequestEnd {
-    Answered(CallerAnswer),
+    Answered(CallerResponse),
     /// No answer, or not a whole head of one; for the report.
     Broken(#[allow(dead_code)] String),
     /// The caller left before the end.
--- a/crates/soak/src/soak_world.rs
+++ b/crates/soak/src/soak_world.rs
@@ -14,9 +14,9 @@
 use std::time::Duration;
 
 use fulmargate_consortium_stand::ConfigText;
+use fulmargate_consortium_stand::FakeServer;
+use fulmargate_consortium_stand::FakeStore;
 use fulmargate_consortium_stand::ServerMode;
-use fulmargate_consortium_stand::ServerStand;
-use fulmargate_consortium_stand::StoreStand;
 use nix::sys::signal::Signal;
 use serde_json::json;
 use tokio::sync::Mutex as TaskMutex;
@@ -50,7 +50,7 @@
 /// A server with a proxy for each router before it, all at the same port.
 #[derive(Clone)]
 pub(crate) struct SoakServer {
-    pub(crate) stand: ServerStand,
+    pub(crate) stand: FakeServer,
     pub(crate) proxies: Vec<LoopbackProxy>,
     pub(crate) service: &'static str,
     /// Its place in the list; its successor has the same.
@@ -95,7 +95,7 @@
 
 /// All of it.
 pub(crate) struct SoakWorld {
-    pub(crate) store: StoreStand,
+    pub(crate) store: FakeStore,
     pub(crate) routers: Vec<SoakRouter>,
     pub(crate) log: FaultLog,
     servers: Mutex<Vec<SoakServer>>,
@@ -112,7 +112,7 @@
         program: &Path,
         folder: PathBuf,
     ) -> io::Result<SoakWorld> {
-        let store = StoreStand::start().await?;
+        let store = FakeStore::start().await?;
         let config = first_config();
         store.put_config(&config);
         let word = OperatorWord { config, routes: Vec::new(), key_taken: None, weights: 1 };
@@ -163,7 +163,7 @@
 
     async fn start_server(&self, service: &'static str, place: usize) -> io::Result<SoakServer> {
         let number = self.started.fetch_add(1, Ordering::Relaxed);
-        let stand = ServerStand::start(&format!("{service}-{number}"), ServerMode::Echo).await?;
+        let stand = FakeServer::start(&format!("{service}-{number}"), ServerMode::Echo).await?;
         let mut proxies: Vec<LoopbackProxy> = Vec::new();
         for (number, router) in self.routers.iter().enumerate() {
             let port = proxies.first().map_or(0, |first| first.address.port());
@@ -201,7 +201,7 @@
     pub(crate) fn write_again(&self) {
         let word = self.word().clone();
         self.store.put_config(&word.config);
-        self.store.name_weights(word.weights);
+        self.store.publish_weights(word.weights);
         for server in self.all_servers() {
             let stage = if server.left.is_some() { "draining" } else { "ready" };
             let address = server.proxies[0].address;
