--- a/crates/placement/benches/choice.rs
+++ b/crates/placement/benches/choice.rs
@@ -18,15 +18,15 @@
 use fulmargate_placement::ClassWeights;
 use fulmargate_placement::FleetServer;
 use fulmargate_placement::FleetView;
-use fulmargate_placement::MeterBook;
-use fulmargate_placement::PlaceRequest;
+use fulmargate_placement::MeterRegistry;
 use fulmargate_placement::PlacementConf;
+use fulmargate_placement::PlacementRequest;
 use fulmargate_placement::Placer;
-use fulmargate_placement::PlanMaker;
+use fulmargate_placement::Planner;
 use fulmargate_placement::PolicyKind;
 use fulmargate_placement::PromptChain;
 use fulmargate_placement::PromptScope;
-use fulmargate_placement::ReplyFacts;
+use fulmargate_placement::ReplyStats;
 
 const SIZES: [usize; 3] = [12, 1_200, 12_000];
 const WEIGHTS: ClassWeights = ClassWeights { priority: 0, ttft: 1.0, recompute: 0.1 };
@@ -38,7 +38,7 @@
 const REPORTED_GROUPS: usize = 256;
 
 fn view(conf: &PlacementConf, servers: usize) -> FleetView {
-    let mut meters = MeterBook::new(conf);
+    let mut meters = MeterRegistry::new(conf);
     let server = |number: usize| FleetServer {
         zone: ZoneName::new("north"),
         zone_ms: 1.0,
@@ -59,8 +59,8 @@
     (0..GROUPS_PER_SERVER * PROMPTS_PER_GROUP * servers).map(chain).collect()
 }
 
-fn reply(choice: &Choice) -> ReplyFacts {
-    ReplyFacts {
+fn reply(choice: &Choice) -> ReplyStats {
+    ReplyStats {
         incarnation: choice.server.meter.incarnation(),
         prompt_tokens: 3_000,
         cached_tokens: 2_900,
@@ -79,7 +79,7 @@
         let now_ms = (iteration * 1_000 / chains.len()) as u64;
         serve(&placer, &view, &chains[iteration % chains.len()], now_ms);
     }
-    let mut maker = PlanMaker::new(&conf);
+    let mut maker = Planner::new(&conf);
     maker.hear(&HostName::new("host"), placer.demand(REPORTED_GROUPS, 5_000), 5_000);
     let plan = maker.next(&view, 1, 5_000).expect("first plan");
     (placer, view.with_plan(&plan))
@@ -87,7 +87,7 @@
 
 fn serve(placer: &Placer, view: &FleetView, chain: &PromptChain, now_ms: u64) {
     let policy = PolicyKind::Cost;
-    let request = PlaceRequest { policy, weights: WEIGHTS, excluded: &[], now_ms };
+    let request = PlacementRequest { policy, weights: WEIGHTS, excluded: &[], now_ms };
     let choice = placer.choose(view, chain, &request).expect("usable server");
     let mut open = placer.begin(&choice, chain, WEIGHTS, now_ms);
     placer.first_token(&mut open, &reply(&choice), now_ms);
@@ -122,7 +122,7 @@
     policy: PolicyKind,
     chains: &[PromptChain],
 ) {
-    let request = PlaceRequest { policy, weights: WEIGHTS, excluded: &[], now_ms: 5_000 };
+    let request = PlacementRequest { policy, weights: WEIGHTS, excluded: &[], now_ms: 5_000 };
     let mut iteration = 0;
     bencher.iter(|| {
         iteration = (iteration + 1) % chains.len();
@@ -173,7 +173,7 @@
         let report = Arc::new(placer.demand(REPORTED_GROUPS, 5_000));
         group.bench_function(BenchmarkId::new("plan step", servers), |bencher| {
             bencher.iter(|| {
-                let mut maker = PlanMaker::new(&conf);
+                let mut maker = Planner::new(&conf);
                 maker.hear(&HostName::new("host"), (*report).clone(), 5_000);
                 black_box(maker.next(&warm_view, 1, 5_000))
             });
--- a/crates/placement/examples/replay/main.rs
+++ b/crates/placement/examples/replay/main.rs
@@ -27,7 +27,7 @@
 use fulmargate_placement::OpenRequest;
 use fulmargate_placement::PolicyKind;
 use fulmargate_placement::PromptChain;
-use fulmargate_placement::ReplyFacts;
+use fulmargate_placement::ReplyStats;
 use fulmargate_placement::SpreadPlan;
 
 use cache::LruCache;
@@ -84,7 +84,7 @@
     router: usize,
     server: usize,
     open: Option<OpenRequest>,
-    reply: Option<ReplyFacts>,
+    reply: Option<ReplyStats>,
 }
 
 #[derive(Default)]
@@ -246,7 +246,7 @@
         engine.decoding += 1;
         let waiting: usize = engine.waiting.iter().map(VecDeque::len).sum();
         if let Some(request) = self.requests.get_mut(&number) {
-            request.reply = Some(ReplyFacts {
+            request.reply = Some(ReplyStats {
                 incarnation: Incarnation(incarnation),
                 prompt_tokens: request.chain.tokens(),
                 cached_tokens,
--- a/crates/placement/examples/replay/router.rs
+++ b/crates/placement/examples/replay/router.rs
@@ -5,11 +5,11 @@
 use fulmargate_placement::Choice;
 use fulmargate_placement::FleetServer;
 use fulmargate_placement::FleetView;
-use fulmargate_placement::MeterBook;
-use fulmargate_placement::PlaceRequest;
+use fulmargate_placement::MeterRegistry;
 use fulmargate_placement::PlacementConf;
+use fulmargate_placement::PlacementRequest;
 use fulmargate_placement::Placer;
-use fulmargate_placement::PlanMaker;
+use fulmargate_placement::Planner;
 use fulmargate_placement::PolicyKind;
 use fulmargate_placement::PromptChain;
 use fulmargate_placement::SpreadPlan;
@@ -20,9 +20,9 @@
 
 pub(crate) struct Router {
     pub(crate) placer: Placer,
-    pub(crate) meters: MeterBook,
+    pub(crate) meters: MeterRegistry,
     pub(crate) view: FleetView,
-    pub(crate) maker: PlanMaker,
+    pub(crate) maker: Planner,
 }
 
 impl Router {
@@ -32,8 +32,8 @@
         conf.detour_share = arg("detour", conf.detour_share);
         conf.min_width = arg("width", conf.min_width);
         conf.recompute_price = arg("price", conf.recompute_price);
-        let (view, maker) = (FleetView::new(&conf, Vec::new()), PlanMaker::new(&conf));
-        let meters = MeterBook::new(&conf);
+        let (view, maker) = (FleetView::new(&conf, Vec::new()), Planner::new(&conf));
+        let meters = MeterRegistry::new(&conf);
         let mut router = Router { placer: Placer::new(conf), meters, view, maker };
         router.set_incarnations(&[0; SERVERS], None);
         router
@@ -60,7 +60,7 @@
         now: f64,
     ) -> Choice {
         let (weights, now_ms) = (WEIGHTS[band], now as u64);
-        let request = PlaceRequest { policy, weights, excluded: &[], now_ms };
+        let request = PlacementRequest { policy, weights, excluded: &[], now_ms };
         self.placer.choose(&self.view, chain, &request).expect("usable server")
     }
 }
--- a/crates/placement/src/choice.rs
+++ b/crates/placement/src/choice.rs
@@ -15,7 +15,7 @@
 
 /// Placement parameters of a request other than its prompt.
 #[derive(Clone, Copy, Debug)]
-pub struct PlaceRequest<'a> {
+pub struct PlacementRequest<'a> {
     /// The placement policy.
     pub policy: PolicyKind,
     /// Cost weights of the request's class.
--- a/crates/placement/src/chooser.rs
+++ b/crates/placement/src/chooser.rs
@@ -4,7 +4,7 @@
 use crate::ChoiceReason;
 use crate::ClassWeights;
 use crate::FleetView;
-use crate::PlaceRequest;
+use crate::PlacementRequest;
 use crate::Placer;
 use crate::PrefixLevel;
 use crate::PromptChain;
@@ -34,7 +34,7 @@
     pub(crate) placer: &'a Placer,
     pub(crate) view: &'a FleetView,
     pub(crate) chain: &'a PromptChain,
-    pub(crate) request: &'a PlaceRequest<'a>,
+    pub(crate) request: &'a PlacementRequest<'a>,
 }
 
 impl Chooser<'_> {
--- a/crates/placement/src/meter_book.rs
+++ b/crates/placement/src/meter_registry.rs
@@ -13,17 +13,17 @@
 /// Owns the meter of each server's current incarnation, on the control thread. Measurements persist
 /// across fleet snapshots and are reset when a server restarts.
 #[derive(Debug)]
-pub struct MeterBook {
+pub struct MeterRegistry {
     meters: IndexMap<ServerName, Arc<ServerMeter>>,
     next_id: u32,
     tokens_per_ms: f64,
 }
 
-impl MeterBook {
+impl MeterRegistry {
     /// Creates an empty registry.
-    pub fn new(conf: &PlacementConf) -> MeterBook {
+    pub fn new(conf: &PlacementConf) -> MeterRegistry {
         let tokens_per_ms = conf.prefill_tokens_per_ms;
-        MeterBook { meters: IndexMap::new(), next_id: 1, tokens_per_ms }
+        MeterRegistry { meters: IndexMap::new(), next_id: 1, tokens_per_ms }
     }
 
     /// Returns the meter of a server. A newer incarnation gets a new meter; for an older one, such
--- a/crates/placement/src/open_request.rs
+++ b/crates/placement/src/open_request.rs
@@ -4,7 +4,7 @@
 
 use crate::Choice;
 use crate::PromptChain;
-use crate::ReplyFacts;
+use crate::ReplyStats;
 use crate::ServerMeter;
 use crate::choice::CachePrediction;
 use crate::server_meter::CacheOutcome;
@@ -75,7 +75,7 @@
 
     /// Marks the first token as received without a reply. Used for non-streamed responses, which
     /// send nothing before they are complete; the server would otherwise appear stalled.
-    pub fn assume_first_token(&mut self, now_ms: u64) {
+    pub fn mark_first_token(&mut self, now_ms: u64) {
         self.end_wait();
         self.meter.record_progress(now_ms);
     }
@@ -84,7 +84,7 @@
         &self.chain
     }
 
-    pub(crate) fn first_token(&mut self, reply: &ReplyFacts, now_ms: u64) -> ReplySource {
+    pub(crate) fn first_token(&mut self, reply: &ReplyStats, now_ms: u64) -> ReplySource {
         if self.state == RequestState::Streaming {
             return ReplySource::SelectedIncarnation;
         }
@@ -97,7 +97,7 @@
         ReplySource::SelectedIncarnation
     }
 
-    fn record_cache_feedback(&self, reply: &ReplyFacts) {
+    fn record_cache_feedback(&self, reply: &ReplyStats) {
         let CacheFeedback::Prediction(prediction) = self.feedback else { return };
         match prediction {
             CachePrediction::None => {}
--- a/crates/placement/src/placer.rs
+++ b/crates/placement/src/placer.rs
@@ -11,13 +11,13 @@
 use crate::FleetView;
 use crate::NewEvents;
 use crate::OpenRequest;
-use crate::PlaceRequest;
 use crate::PlacementConf;
+use crate::PlacementRequest;
 use crate::PolicyKind;
 use crate::PrefixDemand;
 use crate::PromptChain;
 use crate::ReasonCounts;
-use crate::ReplyFacts;
+use crate::ReplyStats;
 use crate::ServerMeter;
 use crate::StreamContinuity;
 use crate::chooser::Chooser;
@@ -75,7 +75,7 @@
         &self,
         view: &FleetView,
         chain: &PromptChain,
-        request: &PlaceRequest<'_>,
+        request: &PlacementRequest<'_>,
     ) -> Option<Choice> {
         let chooser = Chooser { placer: self, view, chain, request };
         let choice = match request.policy {
@@ -111,7 +111,7 @@
     pub fn first_token(
         &self,
         open: &mut OpenRequest,
-        reply: &ReplyFacts,
+        reply: &ReplyStats,
         now_ms: u64,
     ) -> ReplySource {
         let source = open.first_token(reply, now_ms);
--- a/crates/placement/src/plan_maker.rs
+++ b/crates/placement/src/planner.rs
@@ -18,17 +18,17 @@
 /// lowest name. The other routers follow its plan, so that any of them can take over. In a network
 /// partition, only the side with the majority of hosts updates the plan.
 #[derive(Debug)]
-pub struct PlanMaker {
+pub struct Planner {
     request_tokens: f64,
     reports: IndexMap<HostName, (DemandReport, u64)>,
     plan: SpreadPlan,
 }
 
-impl PlanMaker {
+impl Planner {
     /// Creates a maker without a plan.
-    pub fn new(conf: &PlacementConf) -> PlanMaker {
+    pub fn new(conf: &PlacementConf) -> Planner {
         let request_tokens = conf.request_tokens;
-        PlanMaker { request_tokens, reports: IndexMap::new(), plan: SpreadPlan::default() }
+        Planner { request_tokens, reports: IndexMap::new(), plan: SpreadPlan::default() }
     }
 
     /// Records a router's demand report, including the router's own.
--- a/crates/placement/src/server_meter.rs
+++ b/crates/placement/src/server_meter.rs
@@ -52,7 +52,7 @@
 
 /// Server statistics from a reply.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ReplyFacts {
+pub struct ReplyStats {
     /// The server incarnation that replied.
     pub incarnation: Incarnation,
     /// Length of the prompt.
@@ -227,7 +227,7 @@
     }
 
     /// Updates load and prefill rate from a reply.
-    pub(crate) fn record_reply(&self, band: usize, reply: &ReplyFacts, now_ms: u64) {
+    pub(crate) fn record_reply(&self, band: usize, reply: &ReplyStats, now_ms: u64) {
         let report = u64::from(reply.running) | (u64::from(self.own_requests()) << 32);
         self.report.store(report, Ordering::Relaxed);
         self.report_ms.store(now_ms, Ordering::Relaxed);
--- a/crates/placement/tests/plans.rs
+++ b/crates/placement/tests/plans.rs
@@ -6,7 +6,7 @@
 use fulmargate_names::PromptHash;
 use fulmargate_placement::DemandReport;
 use fulmargate_placement::FleetView;
-use fulmargate_placement::PlanMaker;
+use fulmargate_placement::Planner;
 use fulmargate_placement::PrefixDemand;
 use fulmargate_placement::SpreadPlan;
 use quickcheck::Arbitrary;
@@ -34,8 +34,8 @@
     (1..=groups).map(|rank| 100.0 / rank as f64).collect()
 }
 
-fn maker(router: &TestRouter, rates: &[f64], hosts: impl Iterator<Item = usize>) -> PlanMaker {
-    let mut maker = PlanMaker::new(&router.conf);
+fn maker(router: &TestRouter, rates: &[f64], hosts: impl Iterator<Item = usize>) -> Planner {
+    let mut maker = Planner::new(&router.conf);
     for number in hosts {
         maker.hear(&host(number), report(rates), 0);
     }
--- a/crates/placement/tests/support/mod.rs
+++ b/crates/placement/tests/support/mod.rs
@@ -10,15 +10,15 @@
 use fulmargate_placement::ClassWeights;
 use fulmargate_placement::FleetServer;
 use fulmargate_placement::FleetView;
-use fulmargate_placement::MeterBook;
+use fulmargate_placement::MeterRegistry;
 use fulmargate_placement::OpenRequest;
-use fulmargate_placement::PlaceRequest;
 use fulmargate_placement::PlacementConf;
+use fulmargate_placement::PlacementRequest;
 use fulmargate_placement::Placer;
 use fulmargate_placement::PolicyKind;
 use fulmargate_placement::PromptChain;
 use fulmargate_placement::PromptScope;
-use fulmargate_placement::ReplyFacts;
+use fulmargate_placement::ReplyStats;
 use fulmargate_placement::ServerId;
 
 pub(crate) const URGENT: ClassWeights = ClassWeights { priority: 0, ttft: 1.0, recompute: 0.1 };
@@ -27,7 +27,7 @@
 /// A router with servers named `server0`, `server1` and so on.
 pub(crate) struct TestRouter {
     pub(crate) placer: Placer,
-    pub(crate) meters: MeterBook,
+    pub(crate) meters: MeterRegistry,
     pub(crate) view: FleetView,
     pub(crate) conf: PlacementConf,
     pub(crate) policy: PolicyKind,
@@ -41,7 +41,7 @@
     }
 
     pub(crate) fn with_conf(servers: usize, conf: PlacementConf) -> TestRouter {
-        let mut meters = MeterBook::new(&conf);
+        let mut meters = MeterRegistry::new(&conf);
         let view = view(&conf, &mut meters, &vec![1; servers]);
         let placer = Placer::new(conf.clone());
         let (policy, weights, excluded) = (PolicyKind::Cost, URGENT, Vec::new());
@@ -55,7 +55,7 @@
 
     pub(crate) fn choose(&self, chain: &PromptChain, now_ms: u64) -> Choice {
         let (policy, weights, excluded) = (self.policy, self.weights, &self.excluded[..]);
-        let request = PlaceRequest { policy, weights, excluded, now_ms };
+        let request = PlacementRequest { policy, weights, excluded, now_ms };
         self.placer.choose(&self.view, chain, &request).expect("a usable server")
     }
 
@@ -73,8 +73,8 @@
 }
 
 /// A reply with the whole prompt cached except its last block.
-pub(crate) fn reply(choice: &Choice, chain: &PromptChain) -> ReplyFacts {
-    ReplyFacts {
+pub(crate) fn reply(choice: &Choice, chain: &PromptChain) -> ReplyStats {
+    ReplyStats {
         incarnation: choice.server.meter.incarnation(),
         prompt_tokens: chain.tokens(),
         cached_tokens: chain.tokens().saturating_sub(16),
@@ -84,7 +84,7 @@
     }
 }
 
-fn view(conf: &PlacementConf, meters: &mut MeterBook, incarnations: &[u64]) -> FleetView {
+fn view(conf: &PlacementConf, meters: &mut MeterRegistry, incarnations: &[u64]) -> FleetView {
     let incarnations = incarnations.iter().enumerate().filter(|(_, incarnation)| 0 < **incarnation);
     let server = |(number, incarnation): (usize, &u64)| {
         let meter = meters.meter(&server_name(number), Incarnation(*incarnation));
--- a/crates/router/src/attempt/attempt_hold.rs
+++ b/crates/router/src/attempt/attempt_hold.rs
@@ -5,7 +5,7 @@
 use fulmargate_admission::SuspectRun;
 use fulmargate_placement::OpenRequest;
 use fulmargate_placement::Placer;
-use fulmargate_placement::ReplyFacts;
+use fulmargate_placement::ReplyStats;
 use tokio::time::Instant;
 
 /// What an attempt holds of its server: its place at the gate, its load and its entry in the book
@@ -18,7 +18,7 @@
 
 impl AttemptHold {
     /// The first token has come.
-    pub(crate) fn first_token(&mut self, placer: &Placer, facts: &ReplyFacts, now_ms: u64) {
+    pub(crate) fn first_token(&mut self, placer: &Placer, facts: &ReplyStats, now_ms: u64) {
         placer.first_token(&mut self.load, facts, now_ms);
         let report = EngineReport {
             prompt_tokens: facts.prompt_tokens,
@@ -30,8 +30,8 @@
 
     /// The head of an answer in one piece has come, which says nothing of the time to its first
     /// token: only what was cached is learned.
-    pub(crate) fn whole_head(&mut self, placer: &Placer, facts: &ReplyFacts, now_ms: u64) {
-        self.load.assume_first_token(now_ms);
+    pub(crate) fn whole_head(&mut self, placer: &Placer, facts: &ReplyStats, now_ms: u64) {
+        self.load.mark_first_token(now_ms);
         placer.first_token(&mut self.load, facts, now_ms);
     }
 
--- a/crates/router/src/attempt/engine_attempt.rs
+++ b/crates/router/src/attempt/engine_attempt.rs
@@ -24,7 +24,7 @@
 use fulmargate_names::SERVER;
 use fulmargate_names::WEIGHTS_VERSION;
 use fulmargate_placement::KvSource;
-use fulmargate_placement::ReplyFacts;
+use fulmargate_placement::ReplyStats;
 use fulmargate_relay::ExpectedReply;
 use fulmargate_relay::ExpectedWeights;
 use fulmargate_relay::ReplyIdentity;
@@ -52,7 +52,7 @@
 
 /// The head of an answer that is the one asked for.
 pub(crate) struct EngineHead {
-    pub(crate) facts: ReplyFacts,
+    pub(crate) facts: ReplyStats,
     pub(crate) weights: fulmargate_names::WeightsVersion,
     pub(crate) news: ReplyNews,
     pub(crate) is_leaving: bool,
@@ -124,9 +124,9 @@
     headers: &HeaderMap,
     incarnation: fulmargate_names::Incarnation,
     ttft_ms: f64,
-) -> ReplyFacts {
+) -> ReplyStats {
     let number = |name: &str| header_number(headers, name).unwrap_or(0);
-    ReplyFacts {
+    ReplyStats {
         incarnation,
         prompt_tokens: number(PROMPT_TOKENS),
         cached_tokens: number(CACHED_TOKENS),
--- a/crates/router/src/attempt/engine_placing.rs
+++ b/crates/router/src/attempt/engine_placing.rs
@@ -16,7 +16,7 @@
 use fulmargate_names::WeightsVersion;
 use fulmargate_placement::Choice;
 use fulmargate_placement::OpenRequest;
-use fulmargate_placement::PlaceRequest;
+use fulmargate_placement::PlacementRequest;
 use fulmargate_placement::ServerId;
 use fulmargate_relay::EqualServers;
 use tokio::time::Instant;
@@ -146,7 +146,7 @@
             },
         };
         let now_ms = self.state.now_ms();
-        let request = PlaceRequest {
+        let request = PlacementRequest {
             policy: table.policy,
             weights: self.call.weights,
             excluded: &excluded,
--- a/crates/router/src/attempt/engine_runner.rs
+++ b/crates/router/src/attempt/engine_runner.rs
@@ -274,7 +274,7 @@
                 return Err(AttemptFailure::Late);
             }
             if patience <= sent.elapsed() + WHOLE_LOOK {
-                hold.load.assume_first_token(self.state.now_ms());
+                hold.load.mark_first_token(self.state.now_ms());
             }
         }
     }
--- a/crates/router/src/attempt/open_attempt.rs
+++ b/crates/router/src/attempt/open_attempt.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use fulmargate_names::Incarnation;
 use fulmargate_names::WeightsVersion;
-use fulmargate_placement::ReplyFacts;
+use fulmargate_placement::ReplyStats;
 use futures_util::Stream;
 use futures_util::StreamExt;
 
@@ -25,7 +25,7 @@
     pub(crate) server: Arc<ServerRoute>,
     pub(crate) incarnation: Incarnation,
     pub(crate) weights: WeightsVersion,
-    pub(crate) facts: ReplyFacts,
+    pub(crate) facts: ReplyStats,
     pub(crate) body: ServerBody,
     hold: Option<AttemptHold>,
 }
--- a/crates/router/src/control/peer_desk.rs
+++ b/crates/router/src/control/peer_desk.rs
@@ -21,7 +21,7 @@
 use fulmargate_peers::PeerNews;
 use fulmargate_peers::PeerQuestion;
 use fulmargate_peers::WordTopic;
-use fulmargate_placement::PlanMaker;
+use fulmargate_placement::Planner;
 use indexmap::IndexMap;
 use tokio::time::Instant;
 use xxhash_rust::xxh3::xxh3_64;
@@ -51,7 +51,7 @@
 /// What the control actor keeps for the exchange.
 pub(crate) struct PeerDesk {
     pub(crate) handle: PeerHandle,
-    makers: IndexMap<ModelName, PlanMaker>,
+    makers: IndexMap<ModelName, Planner>,
     plans_told: Instant,
 }
 
@@ -135,10 +135,10 @@
         }
     }
 
-    fn maker(&mut self, model: &ModelName) -> &mut PlanMaker {
+    fn maker(&mut self, model: &ModelName) -> &mut Planner {
         let conf = self.routes.placement_conf();
         let makers = &mut self.peers.makers;
-        makers.entry(model.clone()).or_insert_with(|| PlanMaker::new(conf))
+        makers.entry(model.clone()).or_insert_with(|| Planner::new(conf))
     }
 
     /// Hosts that have not left, in reach or not: a router that is cut off from the others must not
--- a/crates/router/src/control/route_keeper.rs
+++ b/crates/router/src/control/route_keeper.rs
@@ -15,7 +15,7 @@
 use fulmargate_placement::FleetServer;
 use fulmargate_placement::FleetView;
 use fulmargate_placement::ImportConf;
-use fulmargate_placement::MeterBook;
+use fulmargate_placement::MeterRegistry;
 use fulmargate_placement::PlacementConf;
 use fulmargate_placement::Placer;
 use fulmargate_placement::PolicyKind;
@@ -38,7 +38,7 @@
     conf: PlacementConf,
     published: PublishedConfig,
     servers: IndexMap<ServerName, KeptServer>,
-    meters: MeterBook,
+    meters: MeterRegistry,
     models: IndexMap<ModelName, KeptModel>,
 }
 
@@ -59,7 +59,7 @@
         let conf = PlacementConf::default();
         RouteKeeper {
             zone: zone.clone(),
-            meters: MeterBook::new(&conf),
+            meters: MeterRegistry::new(&conf),
             conf,
             published: PublishedConfig::default(),
             servers: IndexMap::new(),
