--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -1,8 +1,8 @@
 //! Admission control: request classes, team limits and quotas, server queues, server health, retry
 //! budget and detection of requests that crash servers.
 //!
-//! Nothing here does I/O. All types are shared by the traffic threads of one router and hold their
-//! locks only briefly.
+//! The crate does no I/O. Its types are shared by the traffic threads of one router; callers must
+//! lock a `QuotaTracker`, the others lock internally.
 
 mod adaptive_limit;
 mod class_conf;
--- a/crates/admission/src/peer_tracker.rs
+++ b/crates/admission/src/peer_tracker.rs
@@ -86,7 +86,7 @@
         Some(now.saturating_duration_since(last_report))
     }
 
-    /// Number of routers that may admit requests, including this one.
+    /// Number of all routers ever added, including this one.
     pub(crate) fn router_count(&self) -> usize {
         self.peers.len() + 1
     }
--- a/crates/admission/src/quota_bucket.rs
+++ b/crates/admission/src/quota_bucket.rs
@@ -28,12 +28,11 @@
 const CAPACITY_MARGIN_FRACTION: f64 = 0.3;
 /// Minimum capacity of a bucket, as a fraction of the tokens that the rate grants in a window.
 const MIN_CAPACITY_FRACTION: f64 = 1.0 / 16.0;
-/// Fraction of the burst that is added to the refill rate, spread over the window, instead of to
-/// the capacity. The total for a window stays the same, and less can be spent before routers learn
-/// of each other's usage.
+/// Fraction of the burst that raises the refill rate over the window instead of the capacity. This
+/// limits what can be spent at once, before routers receive each other's usage reports.
 const STEADY_BURST_FRACTION: f64 = 0.75;
 
-/// A token bucket that every router refills at the same rate. Both local requests and the usage
+/// A token bucket that every reachable router refills at the quota's full rate. Both local requests and the usage
 /// reported by other routers are deducted from it.
 #[derive(Debug)]
 pub(crate) struct QuotaBucket {
@@ -53,7 +52,8 @@
     peers: IndexMap<usize, RouterUsage>,
     /// Unreachable routers and the fractions of the quota reserved for them.
     unreachable: IndexMap<usize, f64>,
-    /// Fractions of the quota by usage: the previous and the current ones.
+    /// Previous and latest fractions of the quota by usage. Only the previous ones are used: the
+    /// latest may date from after a router became unreachable, but before this was detected.
     usage_shares: [IndexMap<usize, f64>; 2],
     usage_shares_updated: Instant,
     /// Tokens that refused callers are expected to request again.
@@ -180,12 +180,13 @@
         (self.own.total, unreported)
     }
 
-    /// Applies the usage that another router reported.
+    /// Applies the usage that another router reported: its total, and `new_tokens` since its last
+    /// report.
     pub(crate) fn apply_report(
         &mut self,
         index: usize,
         total: u64,
-        unreported: u64,
+        new_tokens: u64,
         peer_tracker: &mut PeerTracker,
         conf: &QuotaConf,
         now: Instant,
@@ -195,14 +196,14 @@
         let peer = self.peers.entry(index).or_insert_with(|| RouterUsage::new(now));
         let used = match is_known {
             true => total.saturating_sub(peer.total),
-            false => unreported.min(total),
+            false => new_tokens.min(total),
         };
         peer.total = peer.total.max(total);
         if used == 0 {
             return;
         }
         let was_report_overdue = std::mem::take(&mut peer.is_report_overdue);
-        // Usage accumulated while unreachable is not a current rate.
+        // Usage accumulated while unreachable is not a current rate; adding 0 only applies decay.
         match was_report_overdue {
             true => peer.long_rate.add(0.0, now),
             false => {
@@ -314,9 +315,10 @@
                     peer.is_report_overdue = true;
                     let last_report = peer_tracker.last_report(*index).unwrap_or(now);
                     let timeout_s = conf.reach_timeout.as_secs_f64();
-                    let unreported = peer.short_rate.at(last_report) * timeout_s * surge_factor;
-                    self.level -= unreported;
-                    self.reserved += unreported;
+                    let estimated_usage =
+                        peer.short_rate.at(last_report) * timeout_s * surge_factor;
+                    self.level -= estimated_usage;
+                    self.reserved += estimated_usage;
                 }
                 let share = match self.usage_shares[0].is_empty() {
                     true => 1.0 / router_count,
--- a/crates/admission/src/quota_tracker.rs
+++ b/crates/admission/src/quota_tracker.rs
@@ -23,11 +23,9 @@
 
 /// Enforces team quotas that are shared by all routers.
 ///
-/// Every router keeps a token bucket per team that refills at the team's full rate, and deducts the
-/// usage of all routers from it. Reports carry totals since the sender's start and therefore
-/// tolerate loss, delay and duplication. A fraction of each quota is reserved for unreachable
-/// routers, based on their earlier usage, so that the sides of a network partition together stay
-/// within the quota. Buckets are empty after a restart, because earlier usage is unknown.
+/// Each router deducts the usage of all routers from its own token bucket, which refills at the
+/// team's full rate. Reports carry totals since the sender's start, so they tolerate loss and
+/// duplication. During a network partition, part of each quota is reserved for the other side.
 #[derive(Debug)]
 pub struct QuotaTracker {
     conf: QuotaConf,
@@ -37,13 +35,14 @@
     is_configured: bool,
     peer_tracker: PeerTracker,
     buckets: IndexMap<TeamKey, QuotaBucket>,
-    unreported: IndexSet<TeamKey>,
+    /// Teams with usage since their last report.
+    teams_to_report: IndexSet<TeamKey>,
 }
 
 /// Refusal of a request whose team has exhausted its quota.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QuotaRefusal {
-    /// When to retry, assuming that previously refused requests retry first.
+    /// Time after which to retry, assuming that previously refused requests retry first.
     pub retry_after: Duration,
     /// Available tokens; negative when more tokens were used than were available.
     pub left: f64,
@@ -62,7 +61,7 @@
             is_configured: false,
             peer_tracker: PeerTracker::default(),
             buckets: IndexMap::new(),
-            unreported: IndexSet::new(),
+            teams_to_report: IndexSet::new(),
         }
     }
 
@@ -90,7 +89,7 @@
             self.update_bucket(key, &quota, now);
         }
         self.buckets.retain(|key, _| configured.contains(key));
-        self.unreported.retain(|key| configured.contains(key));
+        self.teams_to_report.retain(|key| configured.contains(key));
         self.is_configured = true;
     }
 
@@ -107,7 +106,7 @@
         let Some(bucket) = self.buckets.get_mut(&key) else { return Ok(()) };
         match bucket.admit(cost, &mut self.peer_tracker, &self.conf, now) {
             BucketDecision::Admitted => {
-                self.unreported.insert(key);
+                self.teams_to_report.insert(key);
                 Ok(())
             }
             BucketDecision::Refused { retry_after } => Err(QuotaRefusal {
@@ -130,7 +129,7 @@
         let key = TeamKey::of(team);
         if let Some(bucket) = self.buckets.get_mut(&key) {
             bucket.charge(cost, now);
-            self.unreported.insert(key);
+            self.teams_to_report.insert(key);
         }
     }
 
@@ -141,10 +140,10 @@
 
     /// Returns the usage admitted by this router since the last report.
     pub fn take_report(&mut self) -> QuotaReport {
-        let teams: Vec<TeamKey> = self.unreported.iter().take(MAX_COUNTS).copied().collect();
+        let teams: Vec<TeamKey> = self.teams_to_report.iter().take(MAX_COUNTS).copied().collect();
         let mut counts = Vec::with_capacity(teams.len());
         for team in teams {
-            self.unreported.shift_remove(&team);
+            self.teams_to_report.shift_remove(&team);
             let Some(bucket) = self.buckets.get_mut(&team) else { continue };
             let (total, fresh) = bucket.take_report();
             if 0 < fresh {
--- a/crates/admission/src/server_health.rs
+++ b/crates/admission/src/server_health.rs
@@ -21,12 +21,13 @@
     pub(crate) incarnation: Option<Incarnation>,
     /// Drain state set by operators.
     pub(crate) drain: DrainState,
-    /// Newest incarnation announced as leaving. Never reset, since discovery may lag.
+    /// Newest incarnation announced as leaving. Never reset, because discovery may be delayed.
     pub(crate) leaving: Option<Incarnation>,
     phase: HealthPhase,
+    /// Sum of the weights of the failures since the last success; see `ServerResult::weight`.
     consecutive_failures: u32,
     failure_rate: f64,
-    /// Ejections since the last reset, which sets the duration of the next one.
+    /// Number of recent ejections, which determines the duration of the next one.
     recent_ejections: u32,
     last_restored: Instant,
 }
@@ -80,7 +81,7 @@
             HealthPhase::Ejected { until } if now < until => ServerUse::Ejected,
             HealthPhase::Ejected { .. } | HealthPhase::Trial { .. } => ServerUse::Trial,
             HealthPhase::Warming { since } => {
-                warming_share(conf, now.saturating_duration_since(since))
+                warming_state(conf, now.saturating_duration_since(since))
             }
         }
     }
@@ -90,7 +91,7 @@
         self.leaving.is_some_and(|leaving| self.incarnation.is_none_or(|own| own <= leaving))
     }
 
-    /// Whether it is neither leaving nor drained.
+    /// Whether it is neither leaving nor drained; it may be ejected.
     pub(crate) fn is_available(&self) -> bool {
         !self.is_leaving() && self.drain == DrainState::InUse
     }
@@ -207,8 +208,8 @@
     }
 }
 
-/// State of a server this long after its start or return.
-fn warming_share(conf: &HealthConf, elapsed: Duration) -> ServerUse {
+/// State of a warming server `elapsed` after its restart or the end of its ejection.
+fn warming_state(conf: &HealthConf, elapsed: Duration) -> ServerUse {
     if elapsed >= conf.slow_start {
         return ServerUse::Open;
     }
--- a/crates/admission/src/suspect_conf.rs
+++ b/crates/admission/src/suspect_conf.rs
@@ -10,7 +10,8 @@
     pub settle: Duration,
     /// Delay per rank before a router may run a suspect on a server; see `TrialOrder`.
     pub turn: Duration,
-    /// Maximum time after a second crash to wait for the other suspects of that crash to run.
+    /// Maximum time to wait for the other suspects of a second crash to run, and for a crash to be
+    /// confirmed. Crashes within this time of each other count as concurrent.
     pub trial_limit: Duration,
     /// Time for which a run that ended without a complete response counts as in flight.
     pub grace: Duration,
--- a/crates/admission/src/suspect_record.rs
+++ b/crates/admission/src/suspect_record.rs
@@ -14,7 +14,7 @@
 /// Maximum number of cleared crashes kept per request, so that late reports of them are ignored.
 const MAX_CLEARED: usize = 8;
 
-/// A request that was in flight when a server crashed.
+/// A request that was in flight when a server crashed, or that was cleared of a crash.
 #[derive(Debug)]
 pub(crate) struct SuspectRecord {
     /// Crashes that count against it, and when each was seen.
@@ -29,6 +29,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SuspectStatus {
+    /// Not convicted. No crash may be left if the request was cleared.
     Suspected,
     Convicted,
 }
--- a/crates/placement/src/baseline.rs
+++ b/crates/placement/src/baseline.rs
@@ -27,7 +27,7 @@
             .iter()
             .copied()
             .filter(|index| self.is_usable(*index))
-            .min_by(|a, b| self.occupancy(*a).total_cmp(&self.occupancy(*b)));
+            .min_by(|a, b| self.jittered_occupancy(*a).total_cmp(&self.jittered_occupancy(*b)));
         self.baseline(index, ChoiceReason::LeastLoad)
     }
 
@@ -36,7 +36,7 @@
     pub(crate) fn prefix_hash(&self) -> Option<Choice> {
         let anchor = self.chain.anchor().map(|anchor| anchor.hash.0);
         let key = anchor.unwrap_or(self.chain.request_hash());
-        let list = self.view.ring().preference_list(key, MAX_CANDIDATES);
+        let list = self.view.ring().ring_order(key, MAX_CANDIDATES);
         let near = self.view.near().iter();
         let index =
             list.as_slice().iter().chain(near).copied().find(|index| self.is_usable(*index));
@@ -44,7 +44,7 @@
     }
 
     fn baseline(&self, index: Option<u32>, reason: ChoiceReason) -> Option<Choice> {
-        let Some(index) = index else { return self.far_zone() };
+        let Some(index) = index else { return self.choose_far() };
         Some(Estimate::cold(self, index).choice(self, index, reason))
     }
 }
--- a/crates/placement/src/chooser.rs
+++ b/crates/placement/src/chooser.rs
@@ -19,14 +19,14 @@
 const MIN_WARM_TOKENS: f64 = 256.0;
 /// Minimum wait at home before a detour is considered.
 const MIN_DETOUR_WAIT_MS: f64 = 20.0;
-/// Scale of the offset added to detour costs. The offset depends on request and server, so that
-/// routers with the same view do not all select the same server.
+/// Detour costs are increased by one to two times this value, depending on request and server, so
+/// that routers with the same view do not all select the same server.
 const DETOUR_JITTER_MS: f64 = 5.0;
-/// Servers from the group's ring list to consider in addition to its members.
+/// Servers in ring order to consider for a group in addition to its assigned servers.
 const EXTRA_RING_SERVERS: usize = 2;
 /// Servers sampled by request hash for detours and for short prompts.
 const SAMPLED_SERVERS: u64 = 2;
-/// Maximum number of preferred servers to consider as alternatives.
+/// Maximum number of servers of each preference list to consider as alternatives or fallbacks.
 const MAX_FALLBACK_SERVERS: usize = 8;
 
 /// Inputs of one placement decision.
@@ -45,7 +45,7 @@
             return self.short_prompt();
         };
         let warm = WarmSet::new(self.placer.hints(), self.view, self.chain, self.request.now_ms);
-        let Some((home, reason)) = self.home(&preference, anchor) else {
+        let Some((home, reason)) = self.preferred_server(&preference, anchor) else {
             return self.fallback(&warm);
         };
         let at_home = Estimate::at_home(self, &warm, home);
@@ -68,7 +68,7 @@
     }
 
     /// Number of requests at the server, with a tie-breaker derived from the request hash.
-    pub(crate) fn occupancy(&self, index: u32) -> f64 {
+    pub(crate) fn jittered_occupancy(&self, index: u32) -> f64 {
         self.view.server_at(index).meter.occupancy(self.request.now_ms) + self.jitter(index)
     }
 
@@ -89,7 +89,7 @@
 
     /// The least loaded usable server among the replicas of the prefix, or else the next usable
     /// member.
-    fn home(
+    fn preferred_server(
         &self,
         preference: &PreferenceList,
         anchor: PrefixLevel,
@@ -98,7 +98,8 @@
         let replicas = self.replica_count(anchor).min(members.len());
         let first = *members.first()?;
         let usable = members[..replicas].iter().copied().filter(|index| self.is_usable(*index));
-        let least_loaded = usable.min_by(|a, b| self.occupancy(*a).total_cmp(&self.occupancy(*b)));
+        let least_loaded = usable
+            .min_by(|a, b| self.jittered_occupancy(*a).total_cmp(&self.jittered_occupancy(*b)));
         if let Some(home) = least_loaded {
             let reason = if home == first { ChoiceReason::Home } else { ChoiceReason::Spread };
             return Some((home, reason));
@@ -176,21 +177,21 @@
             list.push(*index);
         }
         let group = self.chain.group().map(|level| level.hash.0).unwrap_or_default();
-        for index in self.view.ring().preference_list(group, EXTRA_RING_SERVERS + 1).as_slice() {
+        for index in self.view.ring().ring_order(group, EXTRA_RING_SERVERS + 1).as_slice() {
             list.push(*index);
         }
         self.sample(self.view.near(), &mut list);
         list
     }
 
-    /// If no member is usable, selects the next usable server of the group's ring list, which keeps
-    /// the group together, then any near server, then a far one.
+    /// If no member is usable, selects the next usable server in ring order from the group's hash,
+    /// which keeps the group together, then any near server, then a far one.
     fn fallback(&self, warm: &WarmSet) -> Option<Choice> {
         let group = self.chain.group().map(|level| level.hash.0).unwrap_or_default();
-        let list = self.view.ring().preference_list(group, MAX_FALLBACK_SERVERS);
+        let list = self.view.ring().ring_order(group, MAX_FALLBACK_SERVERS);
         let near = self.view.near().iter();
         let index = list.as_slice().iter().chain(near).find(|index| self.is_usable(**index));
-        let Some(index) = index.copied() else { return self.far_zone() };
+        let Some(index) = index.copied() else { return self.choose_far() };
         let estimate = match warm.get(index) {
             Some(warm) => Estimate::at_warm(self, warm),
             None => Estimate::cold(self, index).imported(self, warm),
@@ -201,11 +202,12 @@
     /// The less loaded of two near servers sampled by request hash.
     fn short_prompt(&self) -> Option<Choice> {
         let index = self.least_loaded_sample(self.view.near());
-        let Some(index) = index else { return self.far_zone() };
+        let Some(index) = index else { return self.choose_far() };
         Some(Estimate::cold(self, index).choice(self, index, ChoiceReason::ShortPrompt))
     }
 
-    pub(crate) fn far_zone(&self) -> Option<Choice> {
+    /// The less loaded of two sampled servers that are far by round-trip time.
+    pub(crate) fn choose_far(&self) -> Option<Choice> {
         let index = self.least_loaded_sample(self.view.far())?;
         Some(Estimate::cold(self, index).choice(self, index, ChoiceReason::FarZone))
     }
@@ -214,7 +216,8 @@
         let mut sampled = ServerList::new();
         self.sample(servers, &mut sampled);
         let usable = sampled.as_slice().iter().copied().filter(|index| self.is_usable(*index));
-        let least_loaded = usable.min_by(|a, b| self.occupancy(*a).total_cmp(&self.occupancy(*b)));
+        let least_loaded = usable
+            .min_by(|a, b| self.jittered_occupancy(*a).total_cmp(&self.jittered_occupancy(*b)));
         least_loaded.or_else(|| servers.iter().copied().find(|index| self.is_usable(*index)))
     }
 
@@ -222,8 +225,8 @@
         if servers.is_empty() {
             return;
         }
-        for turn in 0..SAMPLED_SERVERS {
-            let hash = mix(self.chain.request_hash(), turn);
+        for sample in 0..SAMPLED_SERVERS {
+            let hash = mix(self.chain.request_hash(), sample);
             list.push(servers[(hash % servers.len() as u64) as usize]);
         }
     }
--- a/crates/placement/src/fleet_view.rs
+++ b/crates/placement/src/fleet_view.rs
@@ -109,7 +109,7 @@
 
     /// Names of the first `limit` servers of a prefix's preference list.
     pub fn preferred(&self, prefix: PromptHash, limit: usize) -> Vec<ServerName> {
-        let list = self.ring().preference_list(prefix.0, limit);
+        let list = self.ring().ring_order(prefix.0, limit);
         list.as_slice().iter().map(|index| self.server_at(*index).name().clone()).collect()
     }
 
--- a/crates/placement/src/hash_ring.rs
+++ b/crates/placement/src/hash_ring.rs
@@ -1,4 +1,4 @@
-//! Consistent hashing of keys to preference lists of servers.
+//! Consistent hashing of keys to ordered lists of servers.
 
 use fulmargate_names::ServerName;
 use xxhash_rust::xxh3::xxh3_64;
@@ -14,7 +14,7 @@
 /// Probes per requested server before the list is filled in ring order.
 const PROBES_PER_SERVER: usize = 8;
 
-/// A consistent hash ring with several points per server. Preference lists are built by multi-probe
+/// A consistent hash ring with several points per server. A key's servers are found by multi-probe
 /// hashing: each probe hashes the key to a position and takes the next server on the ring. Removing
 /// a server affects only the keys that it held, and the cost of a lookup does not depend on the
 /// number of servers.
@@ -51,8 +51,8 @@
         HashRing { points, bucket_starts, shift, servers: servers.len() }
     }
 
-    /// The first `limit` servers of the key's preference list.
-    pub(crate) fn preference_list(&self, key: u64, limit: usize) -> ServerList {
+    /// The first `limit` servers for the key, in ring order.
+    pub(crate) fn ring_order(&self, key: u64, limit: usize) -> ServerList {
         let mut list = ServerList::new();
         let limit = limit.min(self.servers).min(MAX_LIST_LEN);
         for probe in 0..(limit * PROBES_PER_SERVER) as u64 {
@@ -69,7 +69,7 @@
         list
     }
 
-    /// The first server of the key's preference list.
+    /// The first server for the key.
     pub(crate) fn first(&self, key: u64) -> Option<u32> {
         if self.points.is_empty() {
             return None;
--- a/crates/placement/src/placer.rs
+++ b/crates/placement/src/placer.rs
@@ -30,12 +30,11 @@
 const GROUP_SLOTS: usize = 4_096;
 /// Capacity of the anchor demand sketch.
 const ANCHOR_SLOTS: usize = 8_192;
-/// Minimum recent requests for an anchor to be hot. Cache events for colder anchors are ignored.
+/// Minimum recent requests for an anchor to be hot. Stored events for other anchors are ignored.
 const MIN_HOT_REQUESTS: f64 = 2.0;
 
-/// Placement state of one model, shared lock-free by all traffic threads of a router. All of it is
-/// soft state: after a restart, choices are the same except for replicas of hot prefixes and
-/// detours.
+/// Placement state of one model, shared lock-free by all traffic threads of a router. It is soft
+/// state: after a restart, only choices that depend on measured demand, load or hints can differ.
 #[derive(Debug)]
 pub struct Placer {
     conf: PlacementConf,
--- a/crates/placement/src/plan_draft.rs
+++ b/crates/placement/src/plan_draft.rs
@@ -185,9 +185,8 @@
     fn packed_shares(&self, group: PromptHash, load: f64) -> Vec<(u32, f64)> {
         let capacity = self.mean * PACK_TARGET;
         let mut candidates: Vec<u32> = self.groups[&group].shares.iter().map(|(i, _)| *i).collect();
-        candidates.extend_from_slice(
-            self.view.ring().preference_list(group.0, LIST_CANDIDATES).as_slice(),
-        );
+        candidates
+            .extend_from_slice(self.view.ring().ring_order(group.0, LIST_CANDIDATES).as_slice());
         let room = |index: u32| capacity - self.load(index);
         if let Some(index) = candidates.iter().find(|index| load <= room(**index)) {
             return vec![(*index, 1.0)];
@@ -233,7 +232,7 @@
             let Some((_, share)) = draft.shares.iter().find(|(index, _)| *index == from) else {
                 continue;
             };
-            let listed = self.view.ring().preference_list(group.0, LIST_CANDIDATES);
+            let listed = self.view.ring().ring_order(group.0, LIST_CANDIDATES);
             let members = draft.shares.iter().map(|(index, _)| index);
             for to in members.chain(listed.as_slice()).chain(&least_loaded) {
                 let candidate = self.evaluate_move(*group, draft, from, *share, *to);
@@ -275,7 +274,7 @@
             (false, true) => RELOCATION_PENALTY,
             (false, false) => REPLICA_PENALTY,
         };
-        let list = self.view.ring().preference_list(group.0, LIST_CANDIDATES);
+        let list = self.view.ring().ring_order(group.0, LIST_CANDIDATES);
         let rank = list.as_slice().iter().position(|index| *index == to).unwrap_or(LIST_CANDIDATES);
         let score = amount / self.mean - penalty - RANK_PENALTY * rank as f64;
         (0.0 < score).then_some(GroupMove { group, to, amount, score })
--- a/crates/placement/src/preference_list.rs
+++ b/crates/placement/src/preference_list.rs
@@ -37,7 +37,7 @@
             return Some(PreferenceList { members });
         }
         let width = width().clamp(1.0, MAX_LIST_LEN as f64);
-        let list = view.ring().preference_list(group.0, width.ceil() as usize);
+        let list = view.ring().ring_order(group.0, width.ceil() as usize);
         let weights = list.as_slice().iter().zip(0..).map(|(index, rank)| {
             let weight = (width - f64::from(rank)).min(1.0);
             (*index, weight)
