--- a/crates/admission/src/class_queue.rs
+++ b/crates/admission/src/class_queue.rs
@@ -64,15 +64,15 @@
 
     /// Estimated waiting time of a new request of this team; `None` without enough data.
     ///
-    /// Based on the team's own drain rate, which accounts for requests of other teams that arrive
+    /// Based on the team's own remove_all rate, which accounts for requests of other teams that arrive
     /// later. If it is unknown, based on the requests queued before the new one.
     pub(crate) fn wait_for(&self, team: &TeamName, cost: u64, now: Instant) -> Option<Duration> {
         let own = self.teams.get(team).and_then(|queue| queue.wait_for(cost, now));
         own.or_else(|| self.drain_rate.time_for(self.cost_before(team, cost) + cost, now))
     }
 
-    /// Discards the measured drain rates.
-    pub(crate) fn forget_pace(&mut self) {
+    /// Discards the measured remove_all rates.
+    pub(crate) fn reset_drain_rates(&mut self) {
         self.drain_rate = DrainRate::default();
         self.teams.values_mut().for_each(TeamQueue::reset_drain_rate);
     }
@@ -128,7 +128,7 @@
             if cost <= queue.deficit {
                 queue.deficit -= cost;
                 queue.record_sent(cost, now);
-                self.drain_rate.granted(cost, now);
+                self.drain_rate.record_sent(cost, now);
                 return self.pop_head(QueueStep::Next);
             }
             self.end_turn();
@@ -157,7 +157,7 @@
     }
 
     /// Removes and returns all requests.
-    pub(crate) fn drain(&mut self) -> Vec<QueueEntry> {
+    pub(crate) fn remove_all(&mut self) -> Vec<QueueEntry> {
         let mut entries = Vec::with_capacity(self.len);
         for (_, mut queue) in std::mem::take(self).teams {
             while let Some(entry) = queue.pop_head() {
--- a/crates/admission/src/crash_evidence.rs
+++ b/crates/admission/src/crash_evidence.rs
@@ -15,7 +15,7 @@
 use crate::suspect_record::SuspectRecord;
 use crate::suspect_record::SuspectStatus;
 
-/// Number of simultaneous unexplained crashes from which servers are taken to fail by themselves.
+/// Number of concurrent unexplained crashes from which servers are taken to fail by themselves.
 const MIN_UNEXPLAINED_CRASHES: usize = 1;
 /// Maximum number of requests that are plausible causes at the same time.
 const MAX_PLAUSIBLE_CAUSES: usize = 2;
@@ -33,9 +33,10 @@
 /// Assessment of a suspect with two or more crashes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Assessment {
-    /// Another request caused its last crash, or only a further run can tell.
+    /// No unexplained crash counts against it, servers seem to fail by themselves, it may be innocent
+    /// after `trial_limit`, or it precedes the other suspects.
     MayRun,
-    /// Undecided until other suspects have run.
+    /// The crash is unconfirmed or too recent, or other suspects have to run first.
     Wait,
     /// Nothing else explains its last crash.
     Convict,
@@ -44,11 +45,11 @@
 /// Whether servers currently crash for reasons other than requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ServerFaults {
-    /// Too many crashes have no plausible cause among the requests.
+    /// Concurrent crashes have no plausible cause, or too many requests seem to cause crashes.
     Likely,
     /// Some crashes are not explained yet, but still have suspects to run.
     Possible,
-    /// No sign of it.
+    /// No sign of it, or the request has more than two crashes.
     Unlikely,
 }
 
@@ -101,10 +102,9 @@
 
     /// Assesses a request by its last crash that no other request was convicted of.
     ///
-    /// A suspect never shares a server with another suspect, but may share it with requests not yet
-    /// suspected. Those are run in isolation first: if one of them crashes its server, it explains
-    /// the crash; if all complete, this request is convicted without the loss of a third server. Of
-    /// two suspects with the same two crashes, the one with the lower fingerprint runs first.
+    /// The other suspects of that crash run first: either one of them crashes its server and explains
+    /// the crash, or all complete and this request is convicted without losing a third server. If
+    /// all suspects have several crashes, the one with the lowest fingerprint runs first.
     pub(crate) fn assess(&self, fingerprint: Fingerprint, now: Instant) -> Assessment {
         let Some(record) = self.records.get(&fingerprint) else {
             return Assessment::MayRun;
@@ -138,7 +138,7 @@
         }
         let runs_first = others
             .iter()
-            .all(|other| fingerprint < *other && self.has_as_repeated_crash(*other, crash));
+            .all(|other| fingerprint < *other && self.is_latest_of_several(*other, crash));
         if runs_first { Assessment::MayRun } else { Assessment::Wait }
     }
 
@@ -202,7 +202,8 @@
         self.changed.insert(fingerprint);
     }
 
-    /// Clears a request of a crash reported by another router, whether or not it is known here.
+    /// Clears a request of a crash as reported by another router. A late report that counts this crash
+    /// against the request is then ignored.
     pub(crate) fn record_cleared_by_peer(
         &mut self,
         fingerprint: Fingerprint,
@@ -308,10 +309,10 @@
         unexplained.max_by_key(|(crash, at, _)| (*at, *crash))
     }
 
-    /// Whether servers may be failing by themselves around this time, for example with their rack, so
-    /// that a request can see two crashes without causing either. Signs are concurrent crashes
-    /// without a repeated suspect, and more repeated suspects than `MAX_PLAUSIBLE_CAUSES`. Ignored for a
-    /// request with three crashes, which bounds the number of servers that it can crash.
+    /// Whether servers may be failing by themselves around this time, for example with their rack.
+    /// Signs are concurrent crashes without a suspect that has several crashes, and more than
+    /// `MAX_PLAUSIBLE_CAUSES` such suspects. Ignored for a request with three crashes, which bounds
+    /// the number of servers that it can crash.
     fn server_faults(
         &self,
         fingerprint: Fingerprint,
@@ -324,8 +325,9 @@
         let is_concurrent = |other: Instant| other.max(at) - other.min(at) <= self.conf.trial_limit;
         let repeated = self.records.values().filter(|record| record.has_multiple_crashes());
         let latest_crashes = repeated.filter_map(SuspectRecord::latest_crash);
-        let plausible_causes = latest_crashes
-            .filter(|(crash, at)| is_concurrent(*at) && !self.has_later_suspect(crash, *at));
+        let plausible_causes = latest_crashes.filter(|(crash, at)| {
+            is_concurrent(*at) && !self.has_suspect_with_later_crash(crash, *at)
+        });
         if plausible_causes.count() > MAX_PLAUSIBLE_CAUSES {
             return ServerFaults::Likely;
         }
@@ -348,7 +350,7 @@
     }
 
     /// Whether a suspect of this crash has a later crash, which makes it the more likely cause.
-    fn has_later_suspect(&self, crash: &CrashId, at: Instant) -> bool {
+    fn has_suspect_with_later_crash(&self, crash: &CrashId, at: Instant) -> bool {
         let fingerprints =
             self.crashes.get(crash).into_iter().flat_map(|crash_record| &crash_record.fingerprints);
         let mut latest_crashes =
@@ -356,7 +358,7 @@
         latest_crashes.any(|(_, other)| other > at)
     }
 
-    /// Whether a confirmed crash has neither a convicted nor a repeated suspect.
+    /// Whether a confirmed crash has no convicted suspect and none with several crashes.
     fn is_unexplained(&self, crash_record: &CrashRecord) -> bool {
         let repeated = |fingerprint: &Fingerprint| {
             self.records.get(fingerprint).is_some_and(SuspectRecord::has_multiple_crashes)
@@ -374,8 +376,8 @@
         })
     }
 
-    /// Whether a request also has an earlier crash, and this one as its last.
-    fn has_as_repeated_crash(&self, fingerprint: Fingerprint, crash: &CrashId) -> bool {
+    /// Whether a request has several crashes, of which this is the latest.
+    fn is_latest_of_several(&self, fingerprint: Fingerprint, crash: &CrashId) -> bool {
         let record = self.records.get(&fingerprint);
         record.is_some_and(|record| {
             let is_latest = record.latest_crash().is_some_and(|(latest, _)| latest == crash);
@@ -383,7 +385,8 @@
         })
     }
 
-    /// Evicts the oldest record when the limit is reached; convictions last.
+    /// Evicts the oldest record when the limit is reached. Convicted requests are evicted only if there
+    /// are no others.
     fn evict_if_full(&mut self, now: Instant) {
         if self.records.len() < self.conf.most_records {
             return;
--- a/crates/admission/src/drain_rate.rs
+++ b/crates/admission/src/drain_rate.rs
@@ -38,7 +38,7 @@
     }
 
     /// Called when a queued request of this cost is sent.
-    pub(crate) fn granted(&mut self, cost: u64, now: Instant) {
+    pub(crate) fn record_sent(&mut self, cost: u64, now: Instant) {
         self.cost = self.cost * SAMPLE_DECAY + cost as f64;
         self.seconds = self.seconds * SAMPLE_DECAY + self.since_last_sample(now);
         self.samples = self.samples.saturating_add(1);
--- a/crates/admission/src/gate_queue.rs
+++ b/crates/admission/src/gate_queue.rs
@@ -43,8 +43,8 @@
     }
 
     /// Discards the throughput estimates.
-    pub(crate) fn forget_pace(&mut self) {
-        self.classes.values_mut().for_each(ClassQueue::forget_pace);
+    pub(crate) fn reset_drain_rates(&mut self) {
+        self.classes.values_mut().for_each(ClassQueue::reset_drain_rates);
     }
 
     /// Removes the next request if it fits. A request that waits for room blocks all less urgent
@@ -64,7 +64,7 @@
     }
 
     /// Removes all requests.
-    pub(crate) fn drain(&mut self) -> Vec<QueueEntry> {
-        self.classes.values_mut().flat_map(ClassQueue::drain).collect()
+    pub(crate) fn remove_all(&mut self) -> Vec<QueueEntry> {
+        self.classes.values_mut().flat_map(ClassQueue::remove_all).collect()
     }
 }
--- a/crates/admission/src/gate_state.rs
+++ b/crates/admission/src/gate_state.rs
@@ -32,6 +32,7 @@
     load: GateLoad,
     queue: GateQueue,
     closed: Option<MoveReason>,
+    /// Number of server restarts seen.
     epoch: u64,
     next_id: u64,
 }
@@ -176,7 +177,7 @@
     pub(crate) fn close(&mut self, reason: MoveReason) -> Vec<QueueDecision> {
         self.closed = Some(reason);
         let move_entry = |entry| QueueDecision { entry, action: QueueAction::Move(reason) };
-        self.queue.drain().into_iter().map(move_entry).collect()
+        self.queue.remove_all().into_iter().map(move_entry).collect()
     }
 
     pub(crate) fn open(&mut self) {
@@ -189,7 +190,7 @@
         self.epoch += 1;
         self.load = GateLoad::default();
         self.limit = AdaptiveLimit::new(self.conf);
-        self.queue.forget_pace();
+        self.queue.reset_drain_rates();
     }
 
     /// Estimated queueing time of a new request; zero while unknown.
--- a/crates/admission/src/health_book.rs
+++ b/crates/admission/src/health_book.rs
@@ -212,8 +212,8 @@
     fn enforce_floor(&mut self, conf: &HealthConf, spot: &ServerSpot, news: &mut Vec<HealthNews>) {
         while self.ejected_count(spot) > self.max_ejected(conf, spot) {
             let entries = self.servers.values_mut();
-            let ejected =
-                entries.filter(|entry| entry.is_alternative_to(spot) && entry.health.is_ejected());
+            let ejected = entries
+                .filter(|entry| entry.is_available_in_same_pool(spot) && entry.health.is_ejected());
             let Some(entry) = ejected.min_by_key(|entry| entry.health.ejected_until()) else {
                 return;
             };
@@ -226,13 +226,14 @@
     fn ejected_count(&self, spot: &ServerSpot) -> usize {
         self.servers
             .values()
-            .filter(|entry| entry.is_alternative_to(spot) && entry.health.is_ejected())
+            .filter(|entry| entry.is_available_in_same_pool(spot) && entry.health.is_ejected())
             .count()
     }
 
     /// Maximum number of ejected servers in the same zone and pool.
     fn max_ejected(&self, conf: &HealthConf, spot: &ServerSpot) -> usize {
-        let available = self.servers.values().filter(|entry| entry.is_alternative_to(spot)).count();
+        let available =
+            self.servers.values().filter(|entry| entry.is_available_in_same_pool(spot)).count();
         let min_in_use = (available as f64 * conf.floor).ceil() as usize;
         available.saturating_sub(min_in_use)
     }
@@ -240,7 +241,7 @@
 
 impl HealthEntry {
     /// Whether it is available and in the same zone and pool.
-    fn is_alternative_to(&self, spot: &ServerSpot) -> bool {
+    fn is_available_in_same_pool(&self, spot: &ServerSpot) -> bool {
         let same_pool = self.spot.zone == spot.zone && self.spot.pool == spot.pool;
         same_pool && self.health.is_available()
     }
--- a/crates/admission/src/reach_book.rs
+++ b/crates/admission/src/reach_book.rs
@@ -16,7 +16,7 @@
 use crate::usage_spread::SpreadView;
 use crate::usage_spread::UsageSpread;
 
-/// Maximum number of views kept. If exceeded, the oldest are replaced by a view without other
+/// Maximum number of views kept. If exceeded, the two oldest are replaced by a view without other
 /// routers.
 const MAX_VIEWS: usize = 6;
 
@@ -54,7 +54,12 @@
     }
 
     /// Records another router's report; reports that arrive out of order are ignored.
-    pub(crate) fn hear(&mut self, host: &HostName, report: &UsageReport, sent_at: Instant) {
+    pub(crate) fn record_report(
+        &mut self,
+        host: &HostName,
+        report: &UsageReport,
+        sent_at: Instant,
+    ) {
         let is_out_of_order = self.reports.get(host).is_some_and(|report| sent_at < report.sent_at);
         if *host == self.own || !self.known.contains(host) || is_out_of_order {
             return;
@@ -68,9 +73,9 @@
         self.reports.insert(host.clone(), report);
     }
 
-    /// Recomputes the view and returns the digest of the routers known and heard, which is sent to
-    /// the others.
-    pub(crate) fn renew(&mut self, conf: &LimiterConf, now: Instant) -> u64 {
+    /// Recomputes the view and returns the digest of the known and the reachable routers, which is sent
+    /// to the others.
+    pub(crate) fn update(&mut self, conf: &LimiterConf, now: Instant) -> u64 {
         let stale_after = conf.stale_among(self.known.len());
         let is_fresh =
             |report: &RouterReport| now.saturating_duration_since(report.sent_at) < stale_after;
--- a/crates/admission/src/team_limiter.rs
+++ b/crates/admission/src/team_limiter.rs
@@ -21,8 +21,8 @@
 use crate::team_state::TeamState;
 use crate::usage_spread::UsageSpread;
 
-/// Number of locks. Each guards a part of the teams, so that a step blocks only few requests at a
-/// time.
+/// Number of locks. Each guards a part of the teams, so that the periodic update blocks only few requests
+/// at a time.
 const SHARDS: usize = 32;
 /// A team is reported when its demand exceeds this fraction of an equal share of its limit.
 const REPORT_THRESHOLD: f64 = 0.5;
@@ -104,12 +104,12 @@
         }
     }
 
-    /// Ends a step of about one second: updates the shares and returns the report for the other
+    /// Called about once per second: updates the shares and returns the report for the other
     /// routers.
     pub fn usage(&self, now: Instant) -> UsageReport {
         let (reach, spread) = {
             let mut reach = lock(&self.reach);
-            (reach.renew(&self.conf, now), Arc::new(reach.spread()))
+            (reach.update(&self.conf, now), Arc::new(reach.spread()))
         };
         let (router_count, elapsed) = self.begin_step(&spread, now);
         let teams = self.teams_to_report(router_count, elapsed, now);
@@ -130,7 +130,7 @@
     /// Applies a report that another router sent at `sent`. The limit holds only if delivery time
     /// counts towards the age of the report.
     pub fn peer_usage(&self, host: &HostName, report: &UsageReport, sent: Instant) {
-        lock(&self.reach).hear(host, report, sent);
+        lock(&self.reach).record_report(host, report, sent);
     }
 
     /// Number of teams with state.
--- a/crates/admission/src/team_queue.rs
+++ b/crates/admission/src/team_queue.rs
@@ -39,7 +39,7 @@
 
     /// Records that a request was sent.
     pub(crate) fn record_sent(&mut self, cost: u64, now: Instant) {
-        self.drain_rate.granted(cost, now);
+        self.drain_rate.record_sent(cost, now);
     }
 
     /// Discards the measured drain rate.
--- a/crates/admission/src/team_state.rs
+++ b/crates/admission/src/team_state.rs
@@ -26,7 +26,7 @@
     requests: TokenBucket,
     tokens: TokenBucket,
     rate: TeamRate,
-    /// Requests and tokens requested since the last step.
+    /// Requests and tokens requested since the last periodic update, including refused ones.
     requested: TeamRate,
     /// Moving average of the requested rates.
     demand: TeamRate,
--- a/crates/placement/src/chooser.rs
+++ b/crates/placement/src/chooser.rs
@@ -80,7 +80,7 @@
         let placer = self.placer;
         let width = || {
             let group = self.chain.group().map(|level| level.hash).unwrap_or_default();
-            let share = placer.groups().share(group, self.request.now_ms);
+            let share = placer.group_demand().share(group, self.request.now_ms);
             let servers = self.view.near().len() as f64;
             (share * servers * placer.conf().width_factor).max(placer.conf().min_width)
         };
@@ -111,7 +111,7 @@
     /// Number of servers that keep the anchor cached. Prefixes that make up a large part of a
     /// server's load are replicated to balance it.
     fn replica_count(&self, anchor: PrefixLevel) -> usize {
-        let share = self.placer.anchors().share(anchor.hash, self.request.now_ms);
+        let share = self.placer.anchor_demand().share(anchor.hash, self.request.now_ms);
         let servers = self.view.near().len() as f64;
         (1.0 + share * servers * self.placer.conf().hot_factor) as usize
     }
--- a/crates/placement/src/estimate.rs
+++ b/crates/placement/src/estimate.rs
@@ -13,7 +13,7 @@
 
 /// Probability that an unexpired hint is correct.
 const HINT_HIT_PROBABILITY: f64 = 0.95;
-/// Probability that a group's prefix is cached on a member of the group.
+/// Probability that a group's prefix is cached on a server assigned to the group.
 const GROUP_HIT_PROBABILITY: f64 = 0.9;
 
 /// The estimated latency of a request at one server.
--- a/crates/placement/src/placer.rs
+++ b/crates/placement/src/placer.rs
@@ -39,8 +39,8 @@
 pub struct Placer {
     conf: PlacementConf,
     hints: HintTable,
-    groups: DemandSketch,
-    anchors: DemandSketch,
+    group_demand: DemandSketch,
+    anchor_demand: DemandSketch,
     budget: DetourBudget,
     round_robin: AtomicUsize,
     reasons: ReasonCounts,
@@ -60,8 +60,8 @@
     pub fn new(conf: PlacementConf) -> Placer {
         Placer {
             hints: HintTable::new(conf.hint_slots),
-            groups: DemandSketch::new(GROUP_SLOTS, conf.demand_window_ms),
-            anchors: DemandSketch::new(ANCHOR_SLOTS, conf.demand_window_ms),
+            group_demand: DemandSketch::new(GROUP_SLOTS, conf.demand_window_ms),
+            anchor_demand: DemandSketch::new(ANCHOR_SLOTS, conf.demand_window_ms),
             budget: DetourBudget::new(conf.detour_share),
             round_robin: AtomicUsize::new(0),
             reasons: ReasonCounts::default(),
@@ -97,8 +97,8 @@
         now_ms: u64,
     ) -> OpenRequest {
         if let (Some(group), Some(anchor)) = (chain.group(), chain.anchor()) {
-            self.groups.record_request(group.hash, now_ms);
-            self.anchors.record_request(anchor.hash, now_ms);
+            self.group_demand.record_request(group.hash, now_ms);
+            self.anchor_demand.record_request(anchor.hash, now_ms);
         }
         let uncached = chain.tokens().saturating_sub(choice.predicted_cached);
         self.budget.deposit(f64::from(uncached));
@@ -118,7 +118,7 @@
             let chain = open.chain();
             let uncached = reply.prompt_tokens.saturating_sub(reply.cached_tokens);
             if let Some(group) = chain.group() {
-                self.groups.record_uncached(group.hash, f64::from(uncached), now_ms);
+                self.group_demand.record_uncached(group.hash, f64::from(uncached), now_ms);
             }
             for level in chain.hint_levels() {
                 self.hints.record(level.hash, open.meter().id(), now_ms);
@@ -163,7 +163,7 @@
         limit: usize,
         now_ms: u64,
     ) -> Vec<(PromptHash, &'a ServerMeter)> {
-        let hottest = self.anchors.top(limit, now_ms);
+        let hottest = self.anchor_demand.top(limit, now_ms);
         hottest
             .iter()
             .filter_map(|demand| {
@@ -177,8 +177,8 @@
     /// The demand observed by this router, as input to the plan.
     pub fn demand(&self, groups: usize, now_ms: u64) -> DemandReport {
         DemandReport {
-            requests_per_s: self.groups.requests_per_s(now_ms),
-            groups: self.groups.top(groups, now_ms),
+            requests_per_s: self.group_demand.requests_per_s(now_ms),
+            groups: self.group_demand.top(groups, now_ms),
         }
     }
 
@@ -196,12 +196,12 @@
         &self.hints
     }
 
-    pub(crate) fn groups(&self) -> &DemandSketch {
-        &self.groups
+    pub(crate) fn group_demand(&self) -> &DemandSketch {
+        &self.group_demand
     }
 
-    pub(crate) fn anchors(&self) -> &DemandSketch {
-        &self.anchors
+    pub(crate) fn anchor_demand(&self) -> &DemandSketch {
+        &self.anchor_demand
     }
 
     pub(crate) fn budget(&self) -> &DetourBudget {
@@ -213,6 +213,6 @@
     }
 
     fn is_hot(&self, prefix: PromptHash, now_ms: u64) -> bool {
-        MIN_HOT_REQUESTS <= self.anchors.count(prefix, now_ms)
+        MIN_HOT_REQUESTS <= self.anchor_demand.count(prefix, now_ms)
     }
 }
--- a/crates/placement/src/plan_draft.rs
+++ b/crates/placement/src/plan_draft.rs
@@ -32,7 +32,7 @@
 const MIN_SHARE: f64 = 0.02;
 /// Candidates from the group's preference list and from the least loaded servers.
 const LIST_CANDIDATES: usize = 4;
-const IDLE_CANDIDATES: usize = 4;
+const LEAST_LOADED_CANDIDATES: usize = 4;
 /// Score penalty, as a fraction of the mean load, for adding a replica of a group.
 const REPLICA_PENALTY: f64 = 0.3;
 /// Score penalty for moving all of a server's share to a server without one.
@@ -191,8 +191,8 @@
         if let Some(index) = candidates.iter().find(|index| load <= room(**index)) {
             return vec![(*index, 1.0)];
         }
-        let idle =
-            self.least_loaded(MAX_LIST_LEN.min((load / capacity) as usize + IDLE_CANDIDATES));
+        let idle = self
+            .least_loaded(MAX_LIST_LEN.min((load / capacity) as usize + LEAST_LOADED_CANDIDATES));
         let min_part = (MIN_REPLICA_SHARE * load).min(MIN_REPLICA_LOAD * capacity);
         let mut remaining = load;
         let mut shares: Vec<(u32, f64)> = Vec::new();
@@ -226,7 +226,7 @@
     }
 
     fn best_move(&self, from: u32) -> Option<GroupMove> {
-        let least_loaded = self.least_loaded(IDLE_CANDIDATES);
+        let least_loaded = self.least_loaded(LEAST_LOADED_CANDIDATES);
         let mut best: Option<GroupMove> = None;
         for (group, draft) in &self.groups {
             let Some((_, share)) = draft.shares.iter().find(|(index, _)| *index == from) else {
