--- a/crates/admission/src/adaptive_limit.rs
+++ b/crates/admission/src/adaptive_limit.rs
@@ -24,10 +24,9 @@
 /// Additive-increase, multiplicative-decrease limits on in-flight requests and on prompt tokens
 /// that wait for prefill.
 ///
-/// A limit grows only when it has held a request back and the server's queue is short: with
-/// each response until the first decrease, later by about one request per round of responses. Both limits shrink
-/// when the queueing time exceeds the target. All routers that share a server observe its whole
-/// queue, so they back off together.
+/// A limit increases only if it has delayed a request and the server's queue is short. Both limits
+/// decrease when the queueing time exceeds the target. All routers observe the server's whole
+/// queue, so they decrease their limits together.
 #[derive(Debug)]
 pub(crate) struct AdaptiveLimit {
     conf: GateConf,
--- a/crates/admission/src/class_queue.rs
+++ b/crates/admission/src/class_queue.rs
@@ -14,9 +14,8 @@
 
 /// Schedules the queues of the teams by deficit round robin.
 ///
-/// Each round a team may send requests worth one quantum. The quantum is the largest cost seen, so
-/// that each turn sends at least one request and dequeuing takes constant time regardless of the
-/// number of teams.
+/// In each round a team's deficit grows by one quantum. The quantum is the largest cost seen, so
+/// every turn sends at least one request.
 #[derive(Debug, Default)]
 pub(crate) struct ClassQueue {
     teams: IndexMap<TeamName, TeamQueue>,
--- a/crates/admission/src/limiter_conf.rs
+++ b/crates/admission/src/limiter_conf.rs
@@ -35,7 +35,7 @@
     ///
     /// An unreachable router is detected after `stale_after`. Reporting this to the others takes up
     /// to one delivery time, and receiving their reports another. One more covers this router's own
-    /// step.
+    /// periodic update.
     pub(crate) fn hold_among(&self, routers: usize) -> Duration {
         (self.stale_after + 3 * self.delivery) * self.interval_factor(routers)
     }
--- a/crates/admission/src/retry_budget.rs
+++ b/crates/admission/src/retry_budget.rs
@@ -28,9 +28,8 @@
 
 /// Limits retries to a share of the traffic, separately for each priority.
 ///
-/// A limit per request would multiply the load on a zone in which every attempt fails. A share of
-/// the traffic bounds the additional load of the whole router. Separate budgets keep retries of
-/// batch requests from consuming those of urgent ones.
+/// Unlike a limit per request, this bounds the router's additional load when every attempt fails.
+/// Retries of batch requests cannot use up the budget of urgent ones.
 #[derive(Debug)]
 pub struct RetryBudget {
     conf: RetryConf,
--- a/crates/admission/src/server_gate.rs
+++ b/crates/admission/src/server_gate.rs
@@ -29,9 +29,8 @@
 
 /// Concurrency limits and queue of one backend server, shared by all traffic threads of a router.
 ///
-/// A request is removed from the queue under the lock, and only the thread that removed it can send
-/// its decision. Each request therefore gets exactly one decision, and a request whose caller has
-/// disconnected is never sent.
+/// Only the thread that removes a request from the queue sends its decision. Each request therefore
+/// gets exactly one, and a request whose caller has disconnected is never sent.
 #[derive(Debug)]
 pub struct ServerGate {
     server: ServerName,
--- a/crates/placement/src/decaying_value.rs
+++ b/crates/placement/src/decaying_value.rs
@@ -3,7 +3,7 @@
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
 
-/// A value and the time of its last update, packed into one word. The decay is applied on reading.
+/// A value and the time of its last update, packed into one word.
 /// Times are stored as 32-bit milliseconds and wrap after 49 days.
 #[derive(Debug, Default)]
 pub(crate) struct DecayingValue(AtomicU64);
@@ -40,7 +40,7 @@
     u64::from((value as f32).to_bits()) | (now_ms << 32)
 }
 
-/// Threads may arrive out of clock order; a timestamp in the future has age 0.
+/// Milliseconds since the update; 0 if another thread has updated it with a later time.
 fn age_ms(word: u64, now_ms: u64) -> u32 {
     let age = (now_ms as u32).wrapping_sub((word >> 32) as u32);
     if age < u32::MAX / 2 { age } else { 0 }
--- a/crates/placement/src/plan_draft.rs
+++ b/crates/placement/src/plan_draft.rs
@@ -258,7 +258,9 @@
     ) -> Option<GroupMove> {
         let source_load = draft.load * share;
         let room = MOVE_TARGET_LIMIT * self.mean - self.load(to);
+        // The source's load above the mean, limited by what the target may still receive.
         let excess = (self.load(from) - self.mean).min(room);
+        // A share that exceeds this by up to 20 % is moved whole.
         let is_whole = source_load <= excess * 1.2;
         let amount = if is_whole { source_load } else { excess };
         if from == to || amount < MIN_MOVE * self.mean {
--- a/crates/placement/src/prompt_chain.rs
+++ b/crates/placement/src/prompt_chain.rs
@@ -12,8 +12,8 @@
 const BLOCK_BYTES: usize = TOKEN_BYTES * BLOCK_TOKENS;
 /// Maximum number of levels per prompt.
 pub const MAX_LEVELS: usize = 8;
-/// Number of leading levels that determine placement. Later levels do not, so that a conversation
-/// stays on its server as it grows.
+/// Maximum number of leading levels, the last of which is the anchor that determines placement.
+/// Later levels do not affect it, so that a conversation stays on its server as it grows.
 pub const ANCHOR_LEVELS: usize = 3;
 /// Minimum distance between boundaries; closer ones are ignored.
 const MIN_LEVEL_TOKENS: usize = 64;
