--- a/crates/admission/src/class_queue.rs
+++ b/crates/admission/src/class_queue.rs
@@ -63,8 +63,8 @@
 
     /// Estimated waiting time of a new request of this team; `None` without enough data.
     ///
-    /// Based on the team's own remove_all rate, which accounts for requests of other teams that arrive
-    /// later. If it is unknown, based on the requests queued before the new one.
+    /// Based on the team's own remove_all rate, which accounts for requests of other teams that
+    /// arrive later. If it is unknown, based on the requests queued before the new one.
     pub(crate) fn wait_for(&self, team: &TeamName, cost: u64, now: Instant) -> Option<Duration> {
         let own = self.teams.get(team).and_then(|queue| queue.wait_for(cost, now));
         own.or_else(|| self.drain_rate.time_for(self.cost_before(team, cost) + cost, now))
--- a/crates/admission/src/crash_evidence.rs
+++ b/crates/admission/src/crash_evidence.rs
@@ -33,8 +33,8 @@
 /// Assessment of a suspect with two or more crashes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Assessment {
-    /// No unexplained crash counts against it, servers seem to fail by themselves, it may be innocent
-    /// after `trial_limit`, or it precedes the other suspects.
+    /// No unexplained crash counts against it, servers seem to fail by themselves, it may be
+    /// innocent after `trial_limit`, or it precedes the other suspects.
     MayRun,
     /// The crash is unconfirmed or too recent, or other suspects have to run first.
     Wait,
@@ -102,9 +102,10 @@
 
     /// Assesses a request by its last crash that no other request was convicted of.
     ///
-    /// The other suspects of that crash run first: either one of them crashes its server and explains
-    /// the crash, or all complete and this request is convicted without losing a third server. If
-    /// all suspects have several crashes, the one with the lowest fingerprint runs first.
+    /// The other suspects of that crash run first: either one of them crashes its server and
+    /// explains the crash, or all complete and this request is convicted without losing a third
+    /// server. If all suspects have several crashes, the one with the lowest fingerprint runs
+    /// first.
     pub(crate) fn assess(&self, fingerprint: Fingerprint, now: Instant) -> Assessment {
         let Some(record) = self.records.get(&fingerprint) else {
             return Assessment::MayRun;
@@ -181,8 +182,8 @@
         }
     }
 
-    /// Clears a request of a crash. Only a confirmed crash is recorded as cleared: an unconfirmed one
-    /// may still follow under the same id, as the server is still running.
+    /// Clears a request of a crash. Only a confirmed crash is recorded as cleared: an unconfirmed
+    /// one may still follow under the same id, as the server is still running.
     pub(crate) fn clear(&mut self, fingerprint: Fingerprint, crash: &CrashId, now: Instant) {
         let Some(record) = self.records.get_mut(&fingerprint) else {
             return;
@@ -202,8 +203,8 @@
         self.changed.insert(fingerprint);
     }
 
-    /// Clears a request of a crash as reported by another router. A late report that counts this crash
-    /// against the request is then ignored.
+    /// Clears a request of a crash as reported by another router. A late report that counts this
+    /// crash against the request is then ignored.
     pub(crate) fn record_cleared_by_peer(
         &mut self,
         fingerprint: Fingerprint,
@@ -246,7 +247,8 @@
         matching.map(|(crash, _)| crash.clone()).collect()
     }
 
-    /// Removes an unconfirmed crash that turned out to be a network failure, and clears its suspects.
+    /// Removes an unconfirmed crash that turned out to be a network failure, and clears its
+    /// suspects.
     pub(crate) fn discard_crash(&mut self, crash: &CrashId, now: Instant) {
         let fingerprints = match self.crashes.get(crash) {
             Some(crash_record) => crash_record.fingerprints.clone(),
@@ -271,7 +273,8 @@
         record.crashes.iter().map(sighting).collect()
     }
 
-    /// Drops expired records. A crash that was not confirmed in time is taken for a network failure.
+    /// Drops expired records. A crash that was not confirmed in time is taken for a network
+    /// failure.
     pub(crate) fn prune(&mut self, now: Instant) {
         let conf = self.conf;
         let has_timed_out = |at: Instant| now.saturating_duration_since(at) > conf.trial_limit;
@@ -385,8 +388,8 @@
         })
     }
 
-    /// Evicts the oldest record when the limit is reached. Convicted requests are evicted only if there
-    /// are no others.
+    /// Evicts the oldest record when the limit is reached. Convicted requests are evicted only if
+    /// there are no others.
     fn evict_if_full(&mut self, now: Instant) {
         if self.records.len() < self.conf.most_records {
             return;
--- a/crates/admission/src/gate_state.rs
+++ b/crates/admission/src/gate_state.rs
@@ -265,7 +265,7 @@
             }
         }
         let id = self.push(request, sender, expires_at, now);
-        let displaced = displaced.map(|entry| self.reject(ErrorKind::QueueFull, entry, now));
+        let displaced = displaced.map(|entry| self.refuse_queued(ErrorKind::QueueFull, entry, now));
         (EntryAction::Wait(id, expires_at), displaced)
     }
 
@@ -304,10 +304,10 @@
     }
 
     fn expire(&self, entry: QueueEntry, now: Instant) -> QueueDecision {
-        self.reject(ErrorKind::DeadlineUnmet, entry, now)
+        self.refuse_queued(ErrorKind::DeadlineUnmet, entry, now)
     }
 
-    fn reject(&self, kind: ErrorKind, entry: QueueEntry, now: Instant) -> QueueDecision {
+    fn refuse_queued(&self, kind: ErrorKind, entry: QueueEntry, now: Instant) -> QueueDecision {
         let refusal = self.refusal(kind, &entry, now);
         QueueDecision { entry, action: QueueAction::Refuse(refusal) }
     }
--- a/crates/admission/src/health_book.rs
+++ b/crates/admission/src/health_book.rs
@@ -20,8 +20,8 @@
 /// Maximum number of servers for which a leaving incarnation is remembered.
 const MAX_LEAVING: usize = 4_096;
 
-/// Health of all servers. A minimum share of each zone's servers of a pool is never ejected, because
-/// a fault of the router or the network can make all servers appear to fail.
+/// Health of all servers. A minimum share of each zone's servers of a pool is never ejected,
+/// because a fault of the router or the network can make all servers appear to fail.
 #[derive(Debug)]
 pub struct HealthBook {
     conf: HealthConf,
@@ -117,8 +117,8 @@
         vec![news_of(server, HealthChange::Restarted)]
     }
 
-    /// Marks an incarnation as leaving, as announced by discovery, the server, an operator or another
-    /// router. Only a later incarnation is used again.
+    /// Marks an incarnation as leaving, as announced by discovery, the server, an operator or
+    /// another router. Only a later incarnation is used again.
     pub fn leaving(&self, server: &ServerName, incarnation: Incarnation) -> Vec<HealthNews> {
         let mut state = lock(&self.state);
         state.mark_leaving(server, incarnation);
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -31,6 +31,7 @@
 mod health_news;
 mod limiter_conf;
 mod lock;
+mod peer_demand;
 mod peer_tracker;
 mod queue_entry;
 mod quota_bucket;
@@ -62,7 +63,6 @@
 mod token_bucket;
 mod trial_order;
 mod usage_report;
-mod usage_spread;
 
 pub use class_conf::ClassConf;
 pub use class_rule::ClassRule;
--- a/crates/admission/src/limiter_conf.rs
+++ b/crates/admission/src/limiter_conf.rs
@@ -36,7 +36,7 @@
     /// An unreachable router is detected after `stale_after`. Reporting this to the others takes up
     /// to one delivery time, and receiving their reports another. One more covers this router's own
     /// periodic update.
-    pub(crate) fn hold_among(&self, routers: usize) -> Duration {
+    pub(crate) fn increase_delay(&self, routers: usize) -> Duration {
         (self.stale_after + 3 * self.delivery) * self.interval_factor(routers)
     }
 
--- a/crates/admission/src/usage_spread.rs
+++ b/crates/admission/src/peer_demand.rs
@@ -1,4 +1,4 @@
-//! Computes a team's share of its limit at one router.
+//! Demand of the other routers, and the resulting share of a team's limit at this router.
 
 use fulmargate_names::TeamName;
 use indexmap::IndexMap;
@@ -17,24 +17,24 @@
 /// at any time a view that all of them apply, and under a common view the shares add up to at most
 /// the limit.
 #[derive(Debug, Default)]
-pub(crate) struct UsageSpread {
-    views: Vec<SpreadView>,
+pub(crate) struct PeerDemand {
+    views: Vec<ViewDemand>,
 }
 
 /// Demand at the routers of one membership view.
 #[derive(Debug)]
-pub(crate) struct SpreadView {
+pub(crate) struct ViewDemand {
     /// Number of routers in the view, including this one.
     pub(crate) size: f64,
     /// Fraction of each limit that the routers of the view share.
-    pub(crate) part: f64,
+    pub(crate) limit_fraction: f64,
     /// Demand at the other routers, by team.
     pub(crate) others: IndexMap<TeamName, TeamRate>,
 }
 
-impl UsageSpread {
-    pub(crate) fn new(views: Vec<SpreadView>) -> UsageSpread {
-        UsageSpread { views }
+impl PeerDemand {
+    pub(crate) fn new(views: Vec<ViewDemand>) -> PeerDemand {
+        PeerDemand { views }
     }
 
     /// Whether another router reported demand for this team.
@@ -43,7 +43,7 @@
     }
 
     /// Rate limit of a team at this router. `own` is the demand that this router reported
-    /// throughout the hold time.
+    /// throughout the increase delay.
     pub(crate) fn rate(&self, team: &TeamName, limit: &TeamLimit, own: TeamRate) -> TeamRate {
         let unlimited = TeamRate { requests: f64::INFINITY, tokens: f64::INFINITY };
         let rates = self.views.iter().map(|view| view.rate(team, limit, own));
@@ -51,9 +51,9 @@
     }
 }
 
-impl SpreadView {
+impl ViewDemand {
     fn rate(&self, team: &TeamName, limit: &TeamLimit, own: TeamRate) -> TeamRate {
-        let total = TeamRate::fraction_of(limit, self.part);
+        let total = TeamRate::fraction_of(limit, self.limit_fraction);
         let others = self.others.get(team).copied().unwrap_or_default();
         TeamRate {
             requests: self.share(total.requests, own.requests, others.requests),
@@ -64,9 +64,9 @@
     /// This router's share of `total`: its demand plus an equal part of what is left over, or a
     /// share proportional to its demand if the demand exceeds the limit.
     ///
-    /// `own` is the minimum that this router reported during the hold time, and `others` the demand
-    /// that it received. No router uses a higher value for itself than others use for it, so the
-    /// shares add up to at most `total`.
+    /// `own` is the minimum that this router reported during the increase delay, and `others` the
+    /// demand that it received. No router uses a higher value for itself than others use for it, so
+    /// the shares add up to at most `total`.
     fn share(&self, total: f64, own: f64, others: f64) -> f64 {
         if total.is_infinite() {
             return total;
--- a/crates/admission/src/quota_bucket.rs
+++ b/crates/admission/src/quota_bucket.rs
@@ -32,8 +32,8 @@
 /// limits what can be spent at once, before routers receive each other's usage reports.
 const STEADY_BURST_FRACTION: f64 = 0.75;
 
-/// A token bucket that every reachable router refills at the quota's full rate. Both local requests and the usage
-/// reported by other routers are deducted from it.
+/// A token bucket that every reachable router refills at the quota's full rate. Both local requests
+/// and the usage reported by other routers are deducted from it.
 #[derive(Debug)]
 pub(crate) struct QuotaBucket {
     pub(crate) quota: TeamQuota,
--- a/crates/admission/src/reach_book.rs
+++ b/crates/admission/src/reach_book.rs
@@ -11,10 +11,10 @@
 
 use crate::LimiterConf;
 use crate::UsageReport;
+use crate::peer_demand::PeerDemand;
+use crate::peer_demand::ViewDemand;
 use crate::sharing_view::SharingView;
 use crate::team_rate::TeamRate;
-use crate::usage_spread::SpreadView;
-use crate::usage_spread::UsageSpread;
 
 /// Maximum number of views kept. If exceeded, the two oldest are replaced by a view without other
 /// routers.
@@ -26,7 +26,7 @@
     own: HostName,
     known: IndexSet<HostName>,
     reports: IndexMap<HostName, RouterReport>,
-    /// Views within the hold time, oldest first, each with the time when it took effect.
+    /// Views within the increase delay, oldest first, each with the time when it took effect.
     views: VecDeque<(Instant, SharingView)>,
 }
 
@@ -73,8 +73,8 @@
         self.reports.insert(host.clone(), report);
     }
 
-    /// Recomputes the view and returns the digest of the known and the reachable routers, which is sent
-    /// to the others.
+    /// Recomputes the view and returns the digest of the known and the reachable routers, which is
+    /// sent to the others.
     pub(crate) fn update(&mut self, conf: &LimiterConf, now: Instant) -> u64 {
         let stale_after = conf.stale_among(self.known.len());
         let is_fresh =
@@ -95,13 +95,13 @@
         reach
     }
 
-    /// Usage by team of the members of each view within the hold time.
-    pub(crate) fn spread(&self) -> UsageSpread {
-        let views = self.views.iter().map(|(_, view)| self.spread_view(view)).collect();
-        UsageSpread::new(views)
+    /// Usage by team of the members of each view within the increase delay.
+    pub(crate) fn peer_demand(&self) -> PeerDemand {
+        let views = self.views.iter().map(|(_, view)| self.view_demand(view)).collect();
+        PeerDemand::new(views)
     }
 
-    fn spread_view(&self, view: &SharingView) -> SpreadView {
+    fn view_demand(&self, view: &SharingView) -> ViewDemand {
         let mut others: IndexMap<TeamName, TeamRate> = IndexMap::new();
         for host in &view.members {
             let Some(report) = self.reports.get(host) else {
@@ -112,11 +112,11 @@
                 *sum = sum.plus(*rate);
             }
         }
-        SpreadView { size: view.router_count(), part: view.limit_share(), others }
+        ViewDemand { size: view.router_count(), limit_fraction: view.limit_share(), others }
     }
 
-    /// Appends a changed view and drops views that were replaced longer ago than the hold time; see
-    /// `UsageSpread`.
+    /// Appends a changed view and drops views that were replaced longer ago than the increase
+    /// delay; see `PeerDemand`.
     fn update_views(&mut self, view: SharingView, conf: &LimiterConf, now: Instant) {
         if self.views.is_empty() {
             self.views.push_back((now, SharingView::alone(self.known.len())));
@@ -124,8 +124,8 @@
         if self.views.back().is_some_and(|(_, last)| *last != view) {
             self.views.push_back((now, view));
         }
-        let hold = conf.hold_among(self.known.len());
-        let has_expired = |since: Instant| now.saturating_duration_since(since) >= hold;
+        let increase_delay = conf.increase_delay(self.known.len());
+        let has_expired = |since: Instant| now.saturating_duration_since(since) >= increase_delay;
         while self.views.get(1).is_some_and(|(since, _)| has_expired(*since)) {
             self.views.pop_front();
         }
--- a/crates/admission/src/server_gate.rs
+++ b/crates/admission/src/server_gate.rs
@@ -144,8 +144,8 @@
         self.send_decisions(decisions, now);
     }
 
-    /// Sends decisions. The lock must not be held: if a receiver is gone, its ticket is dropped here,
-    /// which locks the state again.
+    /// Sends decisions. The lock must not be held: if a receiver is gone, its ticket is dropped
+    /// here, which locks the state again.
     fn send_decisions(
         self: &Arc<ServerGate>,
         decisions: impl IntoIterator<Item = QueueDecision>,
--- a/crates/admission/src/server_health.rs
+++ b/crates/admission/src/server_health.rs
@@ -168,8 +168,8 @@
         Some(())
     }
 
-    /// Resets the failures for a new incarnation. A restarted server warms up, as its cache is empty;
-    /// one seen for the first time does not, unless it is ejected.
+    /// Resets the failures for a new incarnation. A restarted server warms up, as its cache is
+    /// empty; one seen for the first time does not, unless it is ejected.
     pub(crate) fn restart(&mut self, incarnation: Incarnation, now: Instant) {
         let is_first_seen = self.incarnation.is_none();
         self.incarnation = Some(incarnation);
--- a/crates/admission/src/suspect_book.rs
+++ b/crates/admission/src/suspect_book.rs
@@ -130,15 +130,15 @@
         Ok(SuspectRun::new(Arc::clone(self), id, standing))
     }
 
-    /// Reports that this incarnation and all earlier ones have ended: the port is closed, or another
-    /// process answers there.
+    /// Reports that this incarnation and all earlier ones have ended: the port is closed, or
+    /// another process answers there.
     pub fn crashed(&self, server: &ServerName, incarnation: Incarnation, now: Instant) {
         lock(&self.state).crashed(server, incarnation, now);
         self.notify();
     }
 
-    /// Reports that the server answered a probe under this incarnation, sent after connections to it
-    /// broke.
+    /// Reports that the server answered a probe under this incarnation, sent after connections to
+    /// it broke.
     pub fn seen(&self, server: &ServerName, incarnation: Incarnation, now: Instant) {
         lock(&self.state).seen(server, incarnation, now);
         self.notify();
--- a/crates/admission/src/suspect_state.rs
+++ b/crates/admission/src/suspect_state.rs
@@ -174,8 +174,8 @@
         self.confirm_crashes(server, |crashed| crashed <= incarnation);
     }
 
-    /// Records that the server answered a probe after connections to it broke. Unconfirmed crashes of
-    /// earlier incarnations are confirmed, and one of the same incarnation is discarded.
+    /// Records that the server answered a probe after connections to it broke. Unconfirmed crashes
+    /// of earlier incarnations are confirmed, and one of the same incarnation is discarded.
     pub(crate) fn seen(&mut self, server: &ServerName, incarnation: Incarnation, now: Instant) {
         self.confirm_crashes(server, |crashed| crashed < incarnation);
         for crash in self.evidence.unconfirmed_crashes(server, |crashed| crashed == incarnation) {
@@ -183,7 +183,8 @@
         }
     }
 
-    /// Merges a verdict from another router. It is not forwarded: its sender sends it to all routers.
+    /// Merges a verdict from another router. It is not forwarded: its sender sends it to all
+    /// routers.
     pub(crate) fn merge(&mut self, verdict: &SuspectVerdict, from: &HostName, now: Instant) {
         let changed = self.evidence.take_changed();
         for crash in &verdict.cleared {
@@ -203,7 +204,8 @@
             }
         }
         self.evidence.set_changed(changed);
-        // Let the sender know that the request is in flight here, so that it doesn't run it as well.
+        // Let the sender know that the request is in flight here, so that it doesn't run it as
+        // well.
         if self.runs.target_of(verdict.print).is_some() && self.evidence.is_suspect(verdict.print) {
             self.evidence.mark_changed(verdict.print);
         }
@@ -236,10 +238,10 @@
             || self.evidence.has_peer_run(server, now)
     }
 
-    /// Whether a suspect must not start on a server now. A suspect has at most one run at a time, and
-    /// no two suspects share a server, since a crash could not be attributed to either. Reports of
-    /// other routers' runs arrive with a delay, so routers of a higher rank at the server wait longer
-    /// before they use it.
+    /// Whether a suspect must not start on a server now. A suspect has at most one run at a time,
+    /// and no two suspects share a server, since a crash could not be attributed to either. Reports
+    /// of other routers' runs arrive with a delay, so routers of a higher rank at the server wait
+    /// longer before they use it.
     fn is_busy(&self, fingerprint: Fingerprint, server: &ServerName, now: Instant) -> bool {
         if self.runs.target_of(fingerprint).is_some() || self.has_suspect(server, now) {
             return true;
--- a/crates/admission/src/team_limiter.rs
+++ b/crates/admission/src/team_limiter.rs
@@ -16,13 +16,13 @@
 use crate::TeamUsage;
 use crate::UsageReport;
 use crate::lock::lock;
+use crate::peer_demand::PeerDemand;
 use crate::reach_book::ReachBook;
 use crate::team_rate::TeamRate;
 use crate::team_state::TeamState;
-use crate::usage_spread::UsageSpread;
 
-/// Number of locks. Each guards a part of the teams, so that the periodic update blocks only few requests
-/// at a time.
+/// Number of locks. Each guards a part of the teams, so that the periodic update blocks only few
+/// requests at a time.
 const SHARDS: usize = 32;
 /// A team is reported when its demand exceeds this fraction of an equal share of its limit.
 const REPORT_THRESHOLD: f64 = 0.5;
@@ -49,7 +49,7 @@
 struct SharingState {
     /// Number of known routers, including this one.
     router_count: usize,
-    spread: Arc<UsageSpread>,
+    peer_demand: Arc<PeerDemand>,
     /// Time of the last step. If it is too long ago, the shares by usage are no longer valid.
     last_step: Option<Instant>,
 }
@@ -57,12 +57,12 @@
 impl TeamLimiter {
     /// Creates a limiter for the router `own` without any other routers.
     pub fn new(own: HostName, conf: LimiterConf) -> TeamLimiter {
-        let spread = Arc::default();
+        let peer_demand = Arc::default();
         TeamLimiter {
             conf,
             shards: (0..SHARDS).map(|_| Mutex::default()).collect(),
             reach: Mutex::new(ReachBook::new(own)),
-            sharing: Mutex::new(SharingState { router_count: 1, spread, last_step: None }),
+            sharing: Mutex::new(SharingState { router_count: 1, peer_demand, last_step: None }),
         }
     }
 
@@ -92,7 +92,7 @@
             return Ok(());
         };
         state.limit = *limit;
-        let rate = self.rate(&sharing, team, limit, state.usage_rate(), now);
+        let rate = self.rate(&sharing, team, limit, state.demand_rate(), now);
         state.set_rate(rate, &self.conf, now);
         state.admit(f64::from(prompt_tokens), now)
     }
@@ -107,13 +107,14 @@
     /// Called about once per second: updates the shares and returns the report for the other
     /// routers.
     pub fn usage(&self, now: Instant) -> UsageReport {
-        let (reach, spread) = {
+        let (reach, peer_demand) = {
             let mut reach = lock(&self.reach);
-            (reach.update(&self.conf, now), Arc::new(reach.spread()))
+            (reach.update(&self.conf, now), Arc::new(reach.peer_demand()))
         };
-        let (router_count, elapsed) = self.begin_step(&spread, now);
+        let (router_count, elapsed) = self.begin_step(&peer_demand, now);
         let teams = self.teams_to_report(router_count, elapsed, now);
-        let step = ShareStep { spread, hold: self.conf.hold_among(router_count), now };
+        let step =
+            ShareStep { peer_demand, increase_delay: self.conf.increase_delay(router_count), now };
         for shard in &self.shards {
             for (name, state) in lock(shard).iter_mut() {
                 self.update_share(&step, name, state, teams.get(name));
@@ -145,7 +146,7 @@
         sharing: &SharingState,
         team: &TeamName,
         limit: &TeamLimit,
-        usage_rate: Option<TeamRate>,
+        demand_rate: Option<TeamRate>,
         now: Instant,
     ) -> TeamRate {
         let equal_share =
@@ -155,12 +156,12 @@
         };
         // After a long pause of this process, the other routers have already reassigned its share.
         if now.saturating_duration_since(last_step) >= self.conf.stale_after {
-            return usage_rate.map_or(equal_share, |rate| rate.min(equal_share));
+            return demand_rate.map_or(equal_share, |rate| rate.min(equal_share));
         }
-        match usage_rate {
+        match demand_rate {
             Some(rate) => rate,
-            None if sharing.spread.is_reported(team) => {
-                sharing.spread.rate(team, &self.group_limit(limit), TeamRate::default())
+            None if sharing.peer_demand.is_reported(team) => {
+                sharing.peer_demand.rate(team, &self.group_limit(limit), TeamRate::default())
             }
             None => equal_share,
         }
@@ -174,10 +175,10 @@
         }
     }
 
-    fn begin_step(&self, spread: &Arc<UsageSpread>, now: Instant) -> (usize, Duration) {
+    fn begin_step(&self, peer_demand: &Arc<PeerDemand>, now: Instant) -> (usize, Duration) {
         let mut sharing = lock(&self.sharing);
         let previous = sharing.last_step.replace(now);
-        sharing.spread = Arc::clone(spread);
+        sharing.peer_demand = Arc::clone(peer_demand);
         (
             sharing.router_count,
             previous.map_or(Duration::ZERO, |at| now.saturating_duration_since(at)),
@@ -219,14 +220,14 @@
         state: &mut TeamState,
         reported: Option<&ReportedRate>,
     ) {
-        if reported.is_none() && !step.spread.is_reported(name) {
-            state.clear_usage_share();
+        if reported.is_none() && !step.peer_demand.is_reported(name) {
+            state.clear_demand_share();
             return;
         }
         let reported = reported.copied().map(ReportedRate::rate).unwrap_or_default();
-        let own = state.record_report(reported, step.hold, step.now);
-        let rate = step.spread.rate(name, &self.group_limit(&state.limit), own);
-        state.set_usage_share(rate);
+        let own = state.record_report(reported, step.increase_delay, step.now);
+        let rate = step.peer_demand.rate(name, &self.group_limit(&state.limit), own);
+        state.set_demand_share(rate);
         state.set_rate(rate, &self.conf, step.now);
     }
 
@@ -249,8 +250,8 @@
 
 /// Inputs of a step.
 struct ShareStep {
-    spread: Arc<UsageSpread>,
-    hold: Duration,
+    peer_demand: Arc<PeerDemand>,
+    increase_delay: Duration,
     now: Instant,
 }
 
--- a/crates/admission/src/team_state.rs
+++ b/crates/admission/src/team_state.rs
@@ -31,14 +31,14 @@
     /// Moving average of the requested rates.
     demand: TeamRate,
     /// Present only for teams that this or another router reports.
-    usage_share: Option<Box<UsageShare>>,
+    demand_share: Option<Box<DemandShare>>,
 }
 
 /// Recently reported rates of a team and the resulting rate limit.
 #[derive(Debug, Default)]
-struct UsageShare {
+struct DemandShare {
     /// Reported rates with the times of their reports, oldest first. The first one was current when
-    /// the hold time began.
+    /// the increase delay began.
     reported: VecDeque<(Instant, TeamRate)>,
     rate: TeamRate,
 }
@@ -60,13 +60,13 @@
             rate,
             requested: TeamRate::default(),
             demand: TeamRate::default(),
-            usage_share: None,
+            demand_share: None,
         }
     }
 
-    /// The rate limit by usage, if the team's limit is shared by usage.
-    pub(crate) fn usage_rate(&self) -> Option<TeamRate> {
-        self.usage_share.as_ref().map(|usage_share| usage_share.rate)
+    /// The rate limit by demand, if the team's limit is divided by demand.
+    pub(crate) fn demand_rate(&self) -> Option<TeamRate> {
+        self.demand_share.as_ref().map(|demand_share| demand_share.rate)
     }
 
     /// Changes the rate limit. Tokens accrued so far are computed at the old rate.
@@ -112,35 +112,37 @@
         self.demand
     }
 
-    /// Records a reported rate and returns the minimum of the rates reported during the hold time.
+    /// Records a reported rate and returns the minimum of the rates reported during the increase
+    /// delay.
     /// Times without a report count as zero.
     pub(crate) fn record_report(
         &mut self,
         reported: TeamRate,
-        hold: Duration,
+        increase_delay: Duration,
         now: Instant,
     ) -> TeamRate {
-        let usage_share = self.usage_share.get_or_insert_default();
-        usage_share.reported.push_back((now, reported));
-        let is_outside_hold = |since: Instant| now.saturating_duration_since(since) >= hold;
-        while usage_share.reported.get(1).is_some_and(|(since, _)| is_outside_hold(*since)) {
-            usage_share.reported.pop_front();
+        let demand_share = self.demand_share.get_or_insert_default();
+        demand_share.reported.push_back((now, reported));
+        let is_before_delay =
+            |since: Instant| now.saturating_duration_since(since) >= increase_delay;
+        while demand_share.reported.get(1).is_some_and(|(since, _)| is_before_delay(*since)) {
+            demand_share.reported.pop_front();
         }
-        if usage_share.reported.front().is_none_or(|(since, _)| !is_outside_hold(*since)) {
+        if demand_share.reported.front().is_none_or(|(since, _)| !is_before_delay(*since)) {
             return TeamRate::default();
         }
-        usage_share.reported.iter().map(|(_, rate)| *rate).fold(reported, TeamRate::min)
+        demand_share.reported.iter().map(|(_, rate)| *rate).fold(reported, TeamRate::min)
     }
 
     /// Sets the rate limit by usage.
-    pub(crate) fn set_usage_share(&mut self, rate: TeamRate) {
-        self.usage_share.get_or_insert_default().rate = rate;
+    pub(crate) fn set_demand_share(&mut self, rate: TeamRate) {
+        self.demand_share.get_or_insert_default().rate = rate;
     }
 
     /// Stops sharing by usage: the router falls back to an equal share. The recorded reports are
     /// discarded.
-    pub(crate) fn clear_usage_share(&mut self) {
-        self.usage_share = None;
+    pub(crate) fn clear_demand_share(&mut self) {
+        self.demand_share = None;
     }
 }
 
