--- a/crates/admission/src/suspect_book.rs
+++ b/crates/admission/src/suspect_book.rs
@@ -22,10 +22,9 @@
 
 /// Detects the requests that crash servers, among all that were in flight at a crash.
 ///
-/// All of those are suspects, most of them innocent. A suspect is run again without another suspect
-/// on its server. It is cleared when its response is complete, and convicted when that server
-/// crashes too and nothing else explains the crash. Suspicions, runs and convictions are shared
-/// with the other routers, so that they also apply to retries sent there.
+/// A suspect is run again without another suspect on its server. It is cleared when its response is
+/// complete, and convicted when that server crashes too and nothing else explains the crash. All
+/// routers share suspicions, runs and convictions.
 #[derive(Debug)]
 pub struct SuspectBook {
     state: Mutex<SuspectState>,
--- a/crates/placement/src/estimate.rs
+++ b/crates/placement/src/estimate.rs
@@ -26,7 +26,7 @@
     pub(crate) uncached: f64,
     compute_ms: f64,
     import_ms: f64,
-    zone_ms: f64,
+    round_trip_ms: f64,
     source: Option<ImportSource>,
     prediction: CachePrediction,
 }
@@ -93,7 +93,7 @@
             uncached,
             compute_ms: uncached / server.meter.prefill_rate(),
             import_ms: 0.0,
-            zone_ms: server.zone_ms,
+            round_trip_ms: server.zone_ms,
             source: None,
             prediction,
         }
@@ -152,7 +152,7 @@
     }
 
     fn ttft_ms(&self) -> f64 {
-        self.wait_ms + self.compute_ms + self.import_ms + self.zone_ms
+        self.wait_ms + self.compute_ms + self.import_ms + self.round_trip_ms
     }
 }
 
--- a/crates/placement/src/placer.rs
+++ b/crates/placement/src/placer.rs
@@ -30,8 +30,8 @@
 const GROUP_SLOTS: usize = 4_096;
 /// Capacity of the anchor demand sketch.
 const ANCHOR_SLOTS: usize = 8_192;
-/// Minimum recent requests for an anchor to be hot. Stored events for other anchors are ignored.
-const MIN_HOT_REQUESTS: f64 = 2.0;
+/// Minimum recent requests of an anchor for which stored events are recorded as hints.
+const MIN_RECORDED_REQUESTS: f64 = 2.0;
 
 /// Placement state of one model, shared lock-free by all traffic threads of a router. It is soft
 /// state: after a restart, only choices that depend on measured demand, load or hints can differ.
@@ -127,8 +127,8 @@
         source
     }
 
-    /// Applies a server's cache events to the hints. Stored events are applied only for prefixes
-    /// that are hot on this router.
+    /// Applies a server's cache events to the hints. Stored events are applied only for anchors
+    /// that this router requests often.
     pub fn apply_events(&self, meter: &ServerMeter, new_events: &NewEvents, now_ms: u64) {
         if new_events.incarnation != meter.incarnation()
             || new_events.continuity == StreamContinuity::StaleIncarnation
@@ -140,7 +140,7 @@
         }
         for event in &new_events.events {
             match event.kind {
-                CacheEventKind::Stored if self.is_hot(event.hash, now_ms) => {
+                CacheEventKind::Stored if self.is_often_requested(event.hash, now_ms) => {
                     self.hints.record(event.hash, meter.id(), now_ms);
                 }
                 CacheEventKind::Stored => {}
@@ -155,7 +155,7 @@
         self.hints.record(prefix, meter.id(), now_ms);
     }
 
-    /// The hottest anchors, each with the server that most recently had it cached, for sharing with
+    /// The most requested anchors, each with the server that most recently had it cached, for sharing with
     /// other routers.
     pub fn hot_hints<'a>(
         &self,
@@ -212,7 +212,7 @@
         self.round_robin.fetch_add(1, Ordering::Relaxed)
     }
 
-    fn is_hot(&self, prefix: PromptHash, now_ms: u64) -> bool {
-        MIN_HOT_REQUESTS <= self.anchor_demand.count(prefix, now_ms)
+    fn is_often_requested(&self, prefix: PromptHash, now_ms: u64) -> bool {
+        MIN_RECORDED_REQUESTS <= self.anchor_demand.count(prefix, now_ms)
     }
 }
--- a/crates/placement/src/spread_plan.rs
+++ b/crates/placement/src/spread_plan.rs
@@ -1,4 +1,4 @@
-//! Placement plan for hot prefix groups.
+//! Placement plan for the prefix groups with the highest load.
 
 use fulmargate_names::PromptHash;
 use fulmargate_names::ServerName;
@@ -21,7 +21,7 @@
     pub shares: Vec<ServerShare>,
 }
 
-/// Assignment of hot groups to servers. All other groups are placed on the first server of their
+/// Assignment of the groups with the highest load to servers. All other groups are placed on the first server of their
 /// preference list. One router computes the plan for all routers, so that they send the same prefix
 /// to the same servers.
 #[derive(Clone, Debug, Default, PartialEq)]
