--- a/crates/admission/src/class_queue.rs
+++ b/crates/admission/src/class_queue.rs
@@ -14,9 +14,8 @@
 
 /// Schedules the queues of the teams by deficit round robin.
 ///
-/// Each round a team may send requests worth one quantum. The quantum is the largest cost seen, so
-/// that each turn sends at least one request and dequeuing takes constant time regardless of the
-/// number of teams.
+/// In each round a team's deficit grows by one quantum. The quantum is the largest cost seen, so
+/// every turn sends at least one request.
 #[derive(Debug, Default)]
 pub(crate) struct ClassQueue {
     teams: IndexMap<TeamName, TeamQueue>,
@@ -64,8 +63,8 @@
 
     /// Estimated waiting time of a new request of this team; `None` without enough data.
     ///
-    /// Based on the team's own drain rate, which accounts for requests of other teams that arrive
-    /// later. If it is unknown, based on the requests queued before the new one.
+    /// Based on the team's own drain rate, which accounts for requests of other teams that
+    /// arrive later. If it is unknown, based on the requests queued before the new one.
     pub(crate) fn estimated_wait(
         &self,
         team: &TeamName,
@@ -77,7 +76,7 @@
     }
 
     /// Discards the measured drain rates.
-    pub(crate) fn reset_rate(&mut self) {
+    pub(crate) fn reset_drain_rates(&mut self) {
         self.drain_rate = DrainRate::default();
         self.teams.values_mut().for_each(TeamQueue::reset_drain_rate);
     }
@@ -133,7 +132,7 @@
             if cost <= queue.deficit {
                 queue.deficit -= cost;
                 queue.record_sent(cost, now);
-                self.drain_rate.record_grant(cost, now);
+                self.drain_rate.record_sent(cost, now);
                 return self.pop_head(QueueStep::Next);
             }
             self.end_turn();
@@ -162,7 +161,7 @@
     }
 
     /// Removes and returns all requests.
-    pub(crate) fn drain(&mut self) -> Vec<QueueEntry> {
+    pub(crate) fn remove_all(&mut self) -> Vec<QueueEntry> {
         let mut entries = Vec::with_capacity(self.len);
         for (_, mut queue) in std::mem::take(self).teams {
             while let Some(entry) = queue.pop_head() {
--- a/crates/admission/src/crash_detector.rs
+++ b/crates/admission/src/crash_detector.rs
@@ -22,10 +22,9 @@
 
 /// Detects the requests that crash servers, among all that were in flight at a crash.
 ///
-/// All of those are suspects, most of them innocent. A suspect is run again without another suspect
-/// on its server. It is cleared when its response is complete, and convicted when that server
-/// crashes too and nothing else explains the crash. Suspicions, runs and convictions are shared
-/// with the other routers, so that they also apply to retries sent there.
+/// A suspect is run again without another suspect on its server. It is cleared when its response is
+/// complete, and convicted when that server crashes too and nothing else explains the crash. All
+/// routers share suspicions, runs and convictions.
 #[derive(Debug)]
 pub struct CrashDetector {
     state: Mutex<SuspectState>,
@@ -125,15 +124,15 @@
         Ok(SuspectRun::new(Arc::clone(self), id, standing))
     }
 
-    /// Reports that this incarnation and all earlier ones have ended: the port is closed, or another
-    /// process answers there.
+    /// Reports that this incarnation and all earlier ones have ended: the port is closed, or
+    /// another process answers there.
     pub fn crashed(&self, server: &ServerName, incarnation: Incarnation, now: Instant) {
         lock(&self.state).crashed(server, incarnation, now);
         self.notify();
     }
 
-    /// Reports that the server answered a probe under this incarnation, sent after connections to it
-    /// broke.
+    /// Reports that the server answered a probe under this incarnation, sent after connections to
+    /// it broke.
     pub fn incarnation_seen(&self, server: &ServerName, incarnation: Incarnation, now: Instant) {
         lock(&self.state).incarnation_seen(server, incarnation, now);
         self.notify();
--- a/crates/admission/src/gate_state.rs
+++ b/crates/admission/src/gate_state.rs
@@ -32,6 +32,7 @@
     load: GateLoad,
     queue: GateQueue,
     closed: Option<MoveReason>,
+    /// Number of server restarts seen.
     epoch: u64,
     next_id: u64,
 }
@@ -176,7 +177,7 @@
     pub(crate) fn close(&mut self, reason: MoveReason) -> Vec<QueueDecision> {
         self.closed = Some(reason);
         let move_entry = |entry| QueueDecision { entry, action: QueueAction::Move(reason) };
-        self.queue.drain().into_iter().map(move_entry).collect()
+        self.queue.remove_all().into_iter().map(move_entry).collect()
     }
 
     pub(crate) fn open(&mut self) {
@@ -189,7 +190,7 @@
         self.epoch += 1;
         self.load = GateLoad::default();
         self.limit = AdaptiveLimit::new(self.conf);
-        self.queue.reset_rate();
+        self.queue.reset_drain_rates();
     }
 
     /// Estimated queueing time of a new request; zero while unknown.
@@ -264,7 +265,7 @@
             }
         }
         let id = self.push(request, sender, expires_at, now);
-        let displaced = displaced.map(|entry| self.reject(ErrorKind::QueueFull, entry, now));
+        let displaced = displaced.map(|entry| self.refuse_queued(ErrorKind::QueueFull, entry, now));
         (EntryAction::Wait(id, expires_at), displaced)
     }
 
@@ -303,10 +304,10 @@
     }
 
     fn expire(&self, entry: QueueEntry, now: Instant) -> QueueDecision {
-        self.reject(ErrorKind::DeadlineUnmet, entry, now)
+        self.refuse_queued(ErrorKind::DeadlineUnmet, entry, now)
     }
 
-    fn reject(&self, kind: ErrorKind, entry: QueueEntry, now: Instant) -> QueueDecision {
+    fn refuse_queued(&self, kind: ErrorKind, entry: QueueEntry, now: Instant) -> QueueDecision {
         let refusal = self.refusal(kind, &entry, now);
         QueueDecision { entry, action: QueueAction::Refuse(refusal) }
     }
--- a/crates/admission/src/health_registry.rs
+++ b/crates/admission/src/health_registry.rs
@@ -20,8 +20,8 @@
 /// Maximum number of servers for which a leaving incarnation is remembered.
 const MAX_LEAVING: usize = 4_096;
 
-/// Health of all servers. A minimum share of each zone's servers of a pool is never ejected, because
-/// a fault of the router or the network can make all servers appear to fail.
+/// Health of all servers. A minimum share of each zone's servers of a pool is never ejected,
+/// because a fault of the router or the network can make all servers appear to fail.
 #[derive(Debug)]
 pub struct HealthRegistry {
     conf: HealthConf,
@@ -124,8 +124,8 @@
         vec![event_of(server, HealthChange::Restarted)]
     }
 
-    /// Marks an incarnation as leaving, as announced by discovery, the server, an operator or another
-    /// router. Only a later incarnation is used again.
+    /// Marks an incarnation as leaving, as announced by discovery, the server, an operator or
+    /// another router. Only a later incarnation is used again.
     pub fn mark_leaving(&self, server: &ServerName, incarnation: Incarnation) -> Vec<HealthEvent> {
         let mut state = lock(&self.state);
         state.mark_leaving(server, incarnation);
@@ -227,8 +227,9 @@
     ) {
         while self.ejected_count(configured) > self.max_ejected(conf, configured) {
             let entries = self.servers.values_mut();
-            let ejected = entries
-                .filter(|entry| entry.is_alternative_to(configured) && entry.health.is_ejected());
+            let ejected = entries.filter(|entry| {
+                entry.is_available_in_same_pool(configured) && entry.health.is_ejected()
+            });
             let Some(entry) = ejected.min_by_key(|entry| entry.health.ejected_until()) else {
                 return;
             };
@@ -241,14 +242,19 @@
     fn ejected_count(&self, configured: &ConfiguredServer) -> usize {
         self.servers
             .values()
-            .filter(|entry| entry.is_alternative_to(configured) && entry.health.is_ejected())
+            .filter(|entry| {
+                entry.is_available_in_same_pool(configured) && entry.health.is_ejected()
+            })
             .count()
     }
 
     /// Maximum number of ejected servers in the same zone and pool.
     fn max_ejected(&self, conf: &HealthConf, configured: &ConfiguredServer) -> usize {
-        let available =
-            self.servers.values().filter(|entry| entry.is_alternative_to(configured)).count();
+        let available = self
+            .servers
+            .values()
+            .filter(|entry| entry.is_available_in_same_pool(configured))
+            .count();
         let min_in_use = (available as f64 * conf.min_in_use_share).ceil() as usize;
         available.saturating_sub(min_in_use)
     }
@@ -256,7 +262,7 @@
 
 impl HealthEntry {
     /// Whether it is available and in the same zone and pool.
-    fn is_alternative_to(&self, configured: &ConfiguredServer) -> bool {
+    fn is_available_in_same_pool(&self, configured: &ConfiguredServer) -> bool {
         let same_pool =
             self.configured.zone == configured.zone && self.configured.pool == configured.pool;
         same_pool && self.health.is_available()
--- a/crates/admission/src/limiter_conf.rs
+++ b/crates/admission/src/limiter_conf.rs
@@ -35,8 +35,8 @@
     ///
     /// An unreachable router is detected after `stale_after`. Reporting this to the others takes up
     /// to one delivery time, and receiving their reports another. One more covers this router's own
-    /// step.
-    pub(crate) fn hold_time(&self, routers: usize) -> Duration {
+    /// periodic update.
+    pub(crate) fn increase_delay(&self, routers: usize) -> Duration {
         (self.stale_after + 3 * self.delivery) * self.interval_factor(routers)
     }
 
--- a/crates/admission/src/router_reports.rs
+++ b/crates/admission/src/router_reports.rs
@@ -12,11 +12,11 @@
 use crate::LimiterConf;
 use crate::UsageReport;
 use crate::peer_demand::PeerDemand;
-use crate::peer_demand::PeerDemandView;
+use crate::peer_demand::ViewDemand;
 use crate::sharing_view::SharingView;
 use crate::team_rate::TeamRate;
 
-/// Maximum number of views kept. If exceeded, the oldest are replaced by a view without other
+/// Maximum number of views kept. If exceeded, the two oldest are replaced by a view without other
 /// routers.
 const MAX_VIEWS: usize = 6;
 
@@ -26,7 +26,7 @@
     own: HostName,
     known: IndexSet<HostName>,
     reports: IndexMap<HostName, RouterReport>,
-    /// Views within the hold time, oldest first, each with the time when it took effect.
+    /// Views within the increase delay, oldest first, each with the time when it took effect.
     views: VecDeque<(Instant, SharingView)>,
 }
 
@@ -54,7 +54,12 @@
     }
 
     /// Records another router's report; reports that arrive out of order are ignored.
-    pub(crate) fn apply_report(&mut self, host: &HostName, report: &UsageReport, sent_at: Instant) {
+    pub(crate) fn record_report(
+        &mut self,
+        host: &HostName,
+        report: &UsageReport,
+        sent_at: Instant,
+    ) {
         let is_out_of_order = self.reports.get(host).is_some_and(|report| sent_at < report.sent_at);
         if *host == self.own || !self.known.contains(host) || is_out_of_order {
             return;
@@ -68,9 +73,9 @@
         self.reports.insert(host.clone(), report);
     }
 
-    /// Recomputes the view and returns the digest of the routers known and heard, which is sent to
-    /// the others.
-    pub(crate) fn refresh(&mut self, conf: &LimiterConf, now: Instant) -> u64 {
+    /// Recomputes the view and returns the digest of the known and the reachable routers, which is
+    /// sent to the others.
+    pub(crate) fn update(&mut self, conf: &LimiterConf, now: Instant) -> u64 {
         let stale_after = conf.scaled_stale_after(self.known.len());
         let is_fresh =
             |report: &RouterReport| now.saturating_duration_since(report.sent_at) < stale_after;
@@ -90,13 +95,13 @@
         view_digest
     }
 
-    /// Usage by team of the members of each view within the hold time.
+    /// Usage by team of the members of each view within the increase delay.
     pub(crate) fn peer_demand(&self) -> PeerDemand {
-        let views = self.views.iter().map(|(_, view)| self.peer_demand_view(view)).collect();
+        let views = self.views.iter().map(|(_, view)| self.view_demand(view)).collect();
         PeerDemand::new(views)
     }
 
-    fn peer_demand_view(&self, view: &SharingView) -> PeerDemandView {
+    fn view_demand(&self, view: &SharingView) -> ViewDemand {
         let mut others: IndexMap<TeamName, TeamRate> = IndexMap::new();
         for host in &view.members {
             let Some(report) = self.reports.get(host) else {
@@ -107,11 +112,11 @@
                 *sum = sum.plus(*rate);
             }
         }
-        PeerDemandView { size: view.router_count(), limit_share: view.limit_share(), others }
+        ViewDemand { size: view.router_count(), limit_fraction: view.limit_share(), others }
     }
 
-    /// Appends a changed view and drops views that were replaced longer ago than the hold time; see
-    /// `PeerDemand`.
+    /// Appends a changed view and drops views that were replaced longer ago than the increase
+    /// delay; see `PeerDemand`.
     fn update_views(&mut self, view: SharingView, conf: &LimiterConf, now: Instant) {
         if self.views.is_empty() {
             self.views.push_back((now, SharingView::alone(self.known.len())));
@@ -119,8 +124,8 @@
         if self.views.back().is_some_and(|(_, last)| *last != view) {
             self.views.push_back((now, view));
         }
-        let hold = conf.hold_time(self.known.len());
-        let has_expired = |since: Instant| now.saturating_duration_since(since) >= hold;
+        let increase_delay = conf.increase_delay(self.known.len());
+        let has_expired = |since: Instant| now.saturating_duration_since(since) >= increase_delay;
         while self.views.get(1).is_some_and(|(since, _)| has_expired(*since)) {
             self.views.pop_front();
         }
--- a/crates/admission/src/server_gate.rs
+++ b/crates/admission/src/server_gate.rs
@@ -29,9 +29,8 @@
 
 /// Concurrency limits and queue of one backend server, shared by all traffic threads of a router.
 ///
-/// A request is removed from the queue under the lock, and only the thread that removed it can send
-/// its decision. Each request therefore gets exactly one decision, and a request whose caller has
-/// disconnected is never sent.
+/// Only the thread that removes a request from the queue sends its decision. Each request therefore
+/// gets exactly one, and a request whose caller has disconnected is never sent.
 #[derive(Debug)]
 pub struct ServerGate {
     server: ServerName,
@@ -145,8 +144,8 @@
         self.send_decisions(decisions, now);
     }
 
-    /// Sends decisions. The lock must not be held: if a receiver is gone, its ticket is dropped here,
-    /// which locks the state again.
+    /// Sends decisions. The lock must not be held: if a receiver is gone, its ticket is dropped
+    /// here, which locks the state again.
     fn send_decisions(
         self: &Arc<ServerGate>,
         decisions: impl IntoIterator<Item = QueueDecision>,
--- a/crates/admission/src/team_limiter.rs
+++ b/crates/admission/src/team_limiter.rs
@@ -21,8 +21,8 @@
 use crate::team_rate::TeamRate;
 use crate::team_state::TeamState;
 
-/// Number of locks. Each guards a part of the teams, so that a step blocks only few requests at a
-/// time.
+/// Number of locks. Each guards a part of the teams, so that the periodic update blocks only few
+/// requests at a time.
 const SHARDS: usize = 32;
 /// A team is reported when its demand exceeds this fraction of an equal share of its limit.
 const REPORT_THRESHOLD: f64 = 0.5;
@@ -92,7 +92,7 @@
             return Ok(());
         };
         state.limit = *limit;
-        let rate = self.rate(&sharing, team, limit, state.usage_rate(), now);
+        let rate = self.rate(&sharing, team, limit, state.demand_rate(), now);
         state.set_rate(rate, &self.conf, now);
         state.admit(f64::from(prompt_tokens), now)
     }
@@ -104,16 +104,17 @@
         }
     }
 
-    /// Ends a step of about one second: updates the shares and returns the report for the other
+    /// Called about once per second: updates the shares and returns the report for the other
     /// routers.
     pub fn usage(&self, now: Instant) -> UsageReport {
         let (view_digest, peer_demand) = {
             let mut router_reports = lock(&self.router_reports);
-            (router_reports.refresh(&self.conf, now), Arc::new(router_reports.peer_demand()))
+            (router_reports.update(&self.conf, now), Arc::new(router_reports.peer_demand()))
         };
         let (router_count, elapsed) = self.begin_step(&peer_demand, now);
         let teams = self.teams_to_report(router_count, elapsed, now);
-        let step = ShareStep { peer_demand, hold: self.conf.hold_time(router_count), now };
+        let step =
+            ShareStep { peer_demand, increase_delay: self.conf.increase_delay(router_count), now };
         for shard in &self.shards {
             for (name, state) in lock(shard).iter_mut() {
                 self.update_share(&step, name, state, teams.get(name));
@@ -130,7 +131,7 @@
     /// Applies a report that another router sent at `sent`. The limit holds only if delivery time
     /// counts towards the age of the report.
     pub fn peer_usage(&self, host: &HostName, report: &UsageReport, sent: Instant) {
-        lock(&self.router_reports).apply_report(host, report, sent);
+        lock(&self.router_reports).record_report(host, report, sent);
     }
 
     /// Number of teams with state.
@@ -145,7 +146,7 @@
         sharing: &SharingState,
         team: &TeamName,
         limit: &TeamLimit,
-        usage_rate: Option<TeamRate>,
+        demand_rate: Option<TeamRate>,
         now: Instant,
     ) -> TeamRate {
         let equal_share =
@@ -155,9 +156,9 @@
         };
         // After a long pause of this process, the other routers have already reassigned its share.
         if now.saturating_duration_since(last_step) >= self.conf.stale_after {
-            return usage_rate.map_or(equal_share, |rate| rate.min(equal_share));
+            return demand_rate.map_or(equal_share, |rate| rate.min(equal_share));
         }
-        match usage_rate {
+        match demand_rate {
             Some(rate) => rate,
             None if sharing.peer_demand.is_reported(team) => {
                 sharing.peer_demand.rate(team, &self.group_limit(limit), TeamRate::default())
@@ -220,13 +221,13 @@
         reported: Option<&ReportedRate>,
     ) {
         if reported.is_none() && !step.peer_demand.is_reported(name) {
-            state.clear_usage_share();
+            state.clear_demand_share();
             return;
         }
         let reported = reported.copied().map(ReportedRate::rate).unwrap_or_default();
-        let own = state.record_report(reported, step.hold, step.now);
+        let own = state.record_report(reported, step.increase_delay, step.now);
         let rate = step.peer_demand.rate(name, &self.group_limit(&state.limit), own);
-        state.set_usage_share(rate);
+        state.set_demand_share(rate);
         state.set_rate(rate, &self.conf, step.now);
     }
 
@@ -250,7 +251,7 @@
 /// Inputs of a step.
 struct ShareStep {
     peer_demand: Arc<PeerDemand>,
-    hold: Duration,
+    increase_delay: Duration,
     now: Instant,
 }
 
--- a/crates/placement/src/estimate.rs
+++ b/crates/placement/src/estimate.rs
@@ -13,7 +13,7 @@
 
 /// Probability that an unexpired hint is correct.
 const HINT_HIT_PROBABILITY: f64 = 0.95;
-/// Probability that a group's prefix is cached on a member of the group.
+/// Probability that a group's prefix is cached on a server assigned to the group.
 const GROUP_HIT_PROBABILITY: f64 = 0.9;
 
 /// The estimated latency of a request at one server.
@@ -26,7 +26,7 @@
     pub(crate) uncached: f64,
     compute_ms: f64,
     import_ms: f64,
-    zone_ms: f64,
+    round_trip_ms: f64,
     source: Option<ImportSource>,
     prediction: CachePrediction,
 }
@@ -93,7 +93,7 @@
             uncached,
             compute_ms: uncached / server.meter.prefill_rate(),
             import_ms: 0.0,
-            zone_ms: server.zone_ms,
+            round_trip_ms: server.zone_ms,
             source: None,
             prediction,
         }
@@ -152,7 +152,7 @@
     }
 
     fn ttft_ms(&self) -> f64 {
-        self.wait_ms + self.compute_ms + self.import_ms + self.zone_ms
+        self.wait_ms + self.compute_ms + self.import_ms + self.round_trip_ms
     }
 }
 
--- a/crates/placement/src/placer.rs
+++ b/crates/placement/src/placer.rs
@@ -30,18 +30,17 @@
 const GROUP_SLOTS: usize = 4_096;
 /// Capacity of the anchor demand sketch.
 const ANCHOR_SLOTS: usize = 8_192;
-/// Minimum recent requests for an anchor to be hot. Cache events for colder anchors are ignored.
-const MIN_HOT_REQUESTS: f64 = 2.0;
+/// Minimum recent requests of an anchor for which stored events are recorded as hints.
+const MIN_RECORDED_REQUESTS: f64 = 2.0;
 
-/// Placement state of one model, shared lock-free by all traffic threads of a router. All of it is
-/// soft state: after a restart, choices are the same except for replicas of hot prefixes and
-/// detours.
+/// Placement state of one model, shared lock-free by all traffic threads of a router. It is soft
+/// state: after a restart, only choices that depend on measured demand, load or hints can differ.
 #[derive(Debug)]
 pub struct Placer {
     conf: PlacementConf,
     hints: HintTable,
-    groups: DemandSketch,
-    anchors: DemandSketch,
+    group_demand: DemandSketch,
+    anchor_demand: DemandSketch,
     budget: DetourBudget,
     round_robin: AtomicUsize,
     reasons: ReasonCounts,
@@ -61,8 +60,8 @@
     pub fn new(conf: PlacementConf) -> Placer {
         Placer {
             hints: HintTable::new(conf.hint_slots),
-            groups: DemandSketch::new(GROUP_SLOTS, conf.demand_window_ms),
-            anchors: DemandSketch::new(ANCHOR_SLOTS, conf.demand_window_ms),
+            group_demand: DemandSketch::new(GROUP_SLOTS, conf.demand_window_ms),
+            anchor_demand: DemandSketch::new(ANCHOR_SLOTS, conf.demand_window_ms),
             budget: DetourBudget::new(conf.detour_share),
             round_robin: AtomicUsize::new(0),
             reasons: ReasonCounts::default(),
@@ -98,8 +97,8 @@
         now_ms: u64,
     ) -> OpenRequest {
         if let (Some(group), Some(anchor)) = (chain.group(), chain.anchor()) {
-            self.groups.record_request(group.hash, now_ms);
-            self.anchors.record_request(anchor.hash, now_ms);
+            self.group_demand.record_request(group.hash, now_ms);
+            self.anchor_demand.record_request(anchor.hash, now_ms);
         }
         let uncached = chain.tokens().saturating_sub(choice.predicted_cached);
         self.budget.deposit(f64::from(uncached));
@@ -119,7 +118,7 @@
             let chain = open.chain();
             let uncached = reply.prompt_tokens.saturating_sub(reply.cached_tokens);
             if let Some(group) = chain.group() {
-                self.groups.record_uncached(group.hash, f64::from(uncached), now_ms);
+                self.group_demand.record_uncached(group.hash, f64::from(uncached), now_ms);
             }
             for level in chain.hint_levels() {
                 self.hints.record(level.hash, open.meter().id(), now_ms);
@@ -128,8 +127,8 @@
         source
     }
 
-    /// Applies a server's cache events to the hints. Stored events are applied only for prefixes
-    /// that are hot on this router.
+    /// Applies a server's cache events to the hints. Stored events are applied only for anchors
+    /// that this router requests often.
     pub fn apply_events(&self, meter: &ServerMeter, new_events: &NewEvents, now_ms: u64) {
         if new_events.incarnation != meter.incarnation()
             || new_events.continuity == StreamContinuity::StaleIncarnation
@@ -141,7 +140,7 @@
         }
         for event in &new_events.events {
             match event.kind {
-                CacheEventKind::Stored if self.is_hot(event.hash, now_ms) => {
+                CacheEventKind::Stored if self.is_often_requested(event.hash, now_ms) => {
                     self.hints.record(event.hash, meter.id(), now_ms);
                 }
                 CacheEventKind::Stored => {}
@@ -156,7 +155,7 @@
         self.hints.record(prefix, meter.id(), now_ms);
     }
 
-    /// The hottest anchors, each with the server that most recently had it cached, for sharing with
+    /// The most requested anchors, each with the server that most recently had it cached, for sharing with
     /// other routers.
     pub fn hot_hints<'a>(
         &self,
@@ -164,7 +163,7 @@
         limit: usize,
         now_ms: u64,
     ) -> Vec<(PromptHash, &'a ServerMeter)> {
-        let hottest = self.anchors.top(limit, now_ms);
+        let hottest = self.anchor_demand.top(limit, now_ms);
         hottest
             .iter()
             .filter_map(|demand| {
@@ -178,8 +177,8 @@
     /// The demand observed by this router, as input to the plan.
     pub fn demand(&self, groups: usize, now_ms: u64) -> DemandReport {
         DemandReport {
-            requests_per_s: self.groups.requests_per_s(now_ms),
-            groups: self.groups.top(groups, now_ms),
+            requests_per_s: self.group_demand.requests_per_s(now_ms),
+            groups: self.group_demand.top(groups, now_ms),
         }
     }
 
@@ -197,12 +196,12 @@
         &self.hints
     }
 
-    pub(crate) fn groups(&self) -> &DemandSketch {
-        &self.groups
+    pub(crate) fn group_demand(&self) -> &DemandSketch {
+        &self.group_demand
     }
 
-    pub(crate) fn anchors(&self) -> &DemandSketch {
-        &self.anchors
+    pub(crate) fn anchor_demand(&self) -> &DemandSketch {
+        &self.anchor_demand
     }
 
     pub(crate) fn budget(&self) -> &DetourBudget {
@@ -213,7 +212,7 @@
         self.round_robin.fetch_add(1, Ordering::Relaxed)
     }
 
-    fn is_hot(&self, prefix: PromptHash, now_ms: u64) -> bool {
-        MIN_HOT_REQUESTS <= self.anchors.count(prefix, now_ms)
+    fn is_often_requested(&self, prefix: PromptHash, now_ms: u64) -> bool {
+        MIN_RECORDED_REQUESTS <= self.anchor_demand.count(prefix, now_ms)
     }
 }
--- a/crates/placement/src/plan_draft.rs
+++ b/crates/placement/src/plan_draft.rs
@@ -32,7 +32,7 @@
 const MIN_SHARE: f64 = 0.02;
 /// Candidates from the group's preference list and from the least loaded servers.
 const LIST_CANDIDATES: usize = 4;
-const IDLE_CANDIDATES: usize = 4;
+const LEAST_LOADED_CANDIDATES: usize = 4;
 /// Score penalty, as a fraction of the mean load, for adding a replica of a group.
 const REPLICA_PENALTY: f64 = 0.3;
 /// Score penalty for moving all of a server's share to a server without one.
@@ -185,15 +185,14 @@
     fn packed_shares(&self, group: PromptHash, load: f64) -> Vec<(u32, f64)> {
         let capacity = self.mean * PACK_TARGET;
         let mut candidates: Vec<u32> = self.groups[&group].shares.iter().map(|(i, _)| *i).collect();
-        candidates.extend_from_slice(
-            self.view.ring().preference_list(group.0, LIST_CANDIDATES).as_slice(),
-        );
+        candidates
+            .extend_from_slice(self.view.ring().ring_order(group.0, LIST_CANDIDATES).as_slice());
         let room = |index: u32| capacity - self.load(index);
         if let Some(index) = candidates.iter().find(|index| load <= room(**index)) {
             return vec![(*index, 1.0)];
         }
-        let idle =
-            self.least_loaded(MAX_LIST_LEN.min((load / capacity) as usize + IDLE_CANDIDATES));
+        let idle = self
+            .least_loaded(MAX_LIST_LEN.min((load / capacity) as usize + LEAST_LOADED_CANDIDATES));
         let min_part = (MIN_REPLICA_SHARE * load).min(MIN_REPLICA_LOAD * capacity);
         let mut remaining = load;
         let mut shares: Vec<(u32, f64)> = Vec::new();
@@ -227,13 +226,13 @@
     }
 
     fn best_move(&self, from: u32) -> Option<GroupMove> {
-        let least_loaded = self.least_loaded(IDLE_CANDIDATES);
+        let least_loaded = self.least_loaded(LEAST_LOADED_CANDIDATES);
         let mut best: Option<GroupMove> = None;
         for (group, draft) in &self.groups {
             let Some((_, share)) = draft.shares.iter().find(|(index, _)| *index == from) else {
                 continue;
             };
-            let listed = self.view.ring().preference_list(group.0, LIST_CANDIDATES);
+            let listed = self.view.ring().ring_order(group.0, LIST_CANDIDATES);
             let members = draft.shares.iter().map(|(index, _)| index);
             for to in members.chain(listed.as_slice()).chain(&least_loaded) {
                 let candidate = self.evaluate_move(*group, draft, from, *share, *to);
@@ -259,7 +258,9 @@
     ) -> Option<GroupMove> {
         let source_load = draft.load * share;
         let room = MOVE_TARGET_LIMIT * self.mean - self.load(to);
+        // The source's load above the mean, limited by what the target may still receive.
         let excess = (self.load(from) - self.mean).min(room);
+        // A share that exceeds this by up to 20 % is moved whole.
         let is_whole = source_load <= excess * 1.2;
         let amount = if is_whole { source_load } else { excess };
         if from == to || amount < MIN_MOVE * self.mean {
@@ -275,7 +276,7 @@
             (false, true) => RELOCATION_PENALTY,
             (false, false) => REPLICA_PENALTY,
         };
-        let list = self.view.ring().preference_list(group.0, LIST_CANDIDATES);
+        let list = self.view.ring().ring_order(group.0, LIST_CANDIDATES);
         let rank = list.as_slice().iter().position(|index| *index == to).unwrap_or(LIST_CANDIDATES);
         let score = amount / self.mean - penalty - RANK_PENALTY * rank as f64;
         (0.0 < score).then_some(GroupMove { group, to, amount, score })
