--- a/crates/dispatch/src/bulk_read_limiter.rs
+++ b/crates/dispatch/src/backfill_limiter.rs
@@ -1,30 +1,30 @@
-//! Rate limit for bulk reads.
+//! Rate limit for the backfill of cache events.
 //!
-//! It keeps a host that has just started from saturating its link, which would cut it off from
+//! Keeps a host that has just started from saturating its link, which would cut it off from
 //! callers and other routers.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// Share of the link's bandwidth available to bulk reads.
-const BULK_READ_SHARE: f64 = 0.25;
-/// Delay before the first retry of a failed history read. It doubles with each further failure.
+/// Share of the link's bandwidth available to backfills.
+const BACKFILL_SHARE: f64 = 0.25;
+/// Delay before the first retry of a failed backfill read. It doubles with each further failure.
 const MIN_RETRY_DELAY: Duration = Duration::from_millis(1_000);
 /// Upper bound of the retry delay.
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(8_000);
 
-/// Limits bulk reads to a share of the host's link, by the bytes received.
+/// Limits backfills to a share of the host's link, by the bytes received.
 #[derive(Clone, Copy, Debug)]
-pub struct BulkReadLimiter {
+pub struct BackfillLimiter {
     bytes_per_s: f64,
     available_at: Option<Instant>,
 }
 
-impl BulkReadLimiter {
+impl BackfillLimiter {
     /// Creates a limiter for a link of this bandwidth.
-    pub fn new(link_bytes_per_s: f64) -> BulkReadLimiter {
-        BulkReadLimiter { bytes_per_s: link_bytes_per_s * BULK_READ_SHARE, available_at: None }
+    pub fn new(link_bytes_per_s: f64) -> BackfillLimiter {
+        BackfillLimiter { bytes_per_s: link_bytes_per_s * BACKFILL_SHARE, available_at: None }
     }
 
     /// Records received bytes, including those of failed reads.
@@ -44,9 +44,9 @@
     }
 }
 
-/// Retry delay after this many failed history reads in a row. A failed read may have transferred
+/// Retry delay after this many failed backfill reads in a row. A failed read may have transferred
 /// most of a page.
-pub fn history_retry_delay(failures: u32) -> Duration {
+pub fn backfill_retry_delay(failures: u32) -> Duration {
     let exponent = failures.saturating_sub(1).min(u32::BITS - 1);
     MIN_RETRY_DELAY.saturating_mul(1 << exponent).min(MAX_RETRY_DELAY)
 }
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -4,9 +4,9 @@
 //! decisions. See `docs/design/platform.md` for the design.
 
 mod admission;
+mod backfill_limiter;
 mod backlog;
 mod boot_time;
-mod bulk_read_limiter;
 mod call_facts;
 mod call_progress;
 mod call_shape;
@@ -58,11 +58,11 @@
 mod weights_table;
 mod zone_peer;
 
+pub use backfill_limiter::BackfillLimiter;
+pub use backfill_limiter::backfill_retry_delay;
 pub use backlog::Backlog;
 pub use backlog::Urgency;
 pub use boot_time::BootTime;
-pub use bulk_read_limiter::BulkReadLimiter;
-pub use bulk_read_limiter::history_retry_delay;
 pub use call_facts::CallFacts;
 pub use call_facts::PromptPart;
 pub use call_progress::CallProgress;
--- a/crates/dispatch/tests/bulk_reads.rs
+++ b/crates/dispatch/tests/backfills.rs
@@ -1,12 +1,12 @@
-//! Rate limit for bulk reads.
+//! Rate limit for the backfill of cache events.
 
 use std::time::Duration;
 
-use fulmargate_dispatch::BulkReadLimiter;
-use fulmargate_dispatch::history_retry_delay;
+use fulmargate_dispatch::BackfillLimiter;
+use fulmargate_dispatch::backfill_retry_delay;
 use tokio::time::Instant;
 
-/// 10 Mbit/s; the share for bulk reads is 312,500 bytes per second.
+/// 10 Mbit/s; the share for backfills is 312,500 bytes per second.
 const SMALL_LINK: f64 = 1_250_000.0;
 /// 1,000 Mbit/s.
 const LARGE_LINK: f64 = 125_000_000.0;
@@ -66,13 +66,13 @@
     },
 ];
 
-/// Bulk reads, including failed ones, must not saturate the link of a small host.
+/// Backfills, including failed reads, must not saturate the link of a small host.
 #[test]
-fn bulk_reads_are_limited_to_a_share_of_the_link() {
+fn backfills_are_limited_to_a_share_of_the_link() {
     for case in SHARE_CASES {
         let start = Instant::now();
         let at = |ms: u64| start + Duration::from_millis(ms);
-        let mut limiter = BulkReadLimiter::new(case.link_bytes_per_s);
+        let mut limiter = BackfillLimiter::new(case.link_bytes_per_s);
         for (ms, bytes) in case.reads {
             limiter.add(*bytes, at(*ms));
         }
@@ -93,7 +93,7 @@
 fn failed_history_reads_back_off() {
     for (failures, seconds) in RETRY_DELAYS {
         assert_eq!(
-            history_retry_delay(*failures),
+            backfill_retry_delay(*failures),
             Duration::from_secs(*seconds),
             "{failures} failures"
         );
--- a/crates/entry/src/control/cache_event_client.rs
+++ b/crates/entry/src/control/cache_event_client.rs
@@ -9,7 +9,7 @@
 use fulmargate_consortium::EngineClient;
 use fulmargate_consortium::MOST_PAGE_BYTES;
 use fulmargate_consortium::StoreError;
-use fulmargate_dispatch::BulkReadLimiter;
+use fulmargate_dispatch::BackfillLimiter;
 use tokio::sync::Semaphore;
 use tokio::time::Instant;
 use tokio::time::sleep;
@@ -37,7 +37,7 @@
 pub(crate) struct CacheEventClient {
     engines: EngineClient,
     backfill_permits: Semaphore,
-    backfill_limiter: RefCell<BulkReadLimiter>,
+    backfill_limiter: RefCell<BackfillLimiter>,
 }
 
 impl CacheEventClient {
@@ -45,7 +45,7 @@
         CacheEventClient {
             engines: EngineClient::new(),
             backfill_permits: Semaphore::new(MAX_CONCURRENT_BACKFILLS),
-            backfill_limiter: RefCell::new(BulkReadLimiter::new(link_bytes_per_s)),
+            backfill_limiter: RefCell::new(BackfillLimiter::new(link_bytes_per_s)),
         }
     }
 
--- a/crates/entry/src/control/cache_reader.rs
+++ b/crates/entry/src/control/cache_reader.rs
@@ -12,7 +12,7 @@
 use fulmargate_consortium::StoreError;
 use fulmargate_dispatch::CacheNotice;
 use fulmargate_dispatch::ServerKey;
-use fulmargate_dispatch::history_retry_delay;
+use fulmargate_dispatch::backfill_retry_delay;
 use fulmargate_names::EventKind;
 use fulmargate_names::Incarnation;
 use tokio::time::Instant;
@@ -109,7 +109,7 @@
         self.mode = ReadMode::Backfill;
         self.failures = self.failures.saturating_add(1);
         match self.epoch {
-            None => history_retry_delay(self.failures),
+            None => backfill_retry_delay(self.failures),
             Some(_) => LIVE_RETRY_DELAY,
         }
     }
--- a/crates/entry/src/control/cache_reader_set.rs
+++ b/crates/entry/src/control/cache_reader_set.rs
@@ -30,7 +30,7 @@
     /// Starts readers for new sources and cancels those of removed ones.
     pub(crate) fn set_sources(&mut self, sources: &IndexMap<ServerKey, CacheSource>) {
         // Cancelling closes the connection. Left running, each call would still transfer its
-        // source's backlog.
+        // source's retained events.
         self.tasks.retain(|key, _| sources.contains_key(key));
         for (key, source) in sources {
             if !self.tasks.contains_key(key) {
