--- a/crates/admission/src/gate_queue.rs
+++ b/crates/admission/src/gate_queue.rs
@@ -1,4 +1,4 @@
-//! All that waits at one gate.
+//! Priority queue of one gate.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,52 +8,51 @@
 
 use crate::class_queue::ClassQueue;
 use crate::class_queue::QueueStep;
-use crate::gate_load::GateRoom;
+use crate::gate_load::GateCapacity;
 use crate::queue_entry::QueueEntry;
 
-/// All that waits at one gate, urgent strictly first.
+/// Queued requests of one gate, in strict order of priority.
 #[derive(Debug, Default)]
 pub(crate) struct GateQueue {
     classes: BTreeMap<u8, ClassQueue>,
 }
 
 impl GateQueue {
-    /// How many wait.
     pub(crate) fn len(&self) -> usize {
         self.classes.values().map(ClassQueue::len).sum()
     }
 
-    /// Whether anyone waits whom a request of this priority may not overtake.
-    pub(crate) fn any_up_to(&self, priority: u8) -> bool {
+    /// Whether a request of this or a more urgent priority is queued.
+    pub(crate) fn has_waiting_up_to(&self, priority: u8) -> bool {
         self.classes.range(..=priority).any(|(_, class)| class.len() > 0)
     }
 
-    /// The queue of a priority.
     pub(crate) fn class(&mut self, priority: u8) -> &mut ClassQueue {
         self.classes.entry(priority).or_default()
     }
 
-    /// How long a new request will probably wait; `None` while nothing is known.
-    pub(crate) fn wait_for(
+    /// Estimated wait of a new request; `None` while unknown.
+    pub(crate) fn estimated_wait(
         &self,
         priority: u8,
         team: &TeamName,
         cost: u64,
         now: Instant,
     ) -> Option<Duration> {
-        self.classes.get(&priority)?.wait_for(team, cost, now)
+        self.classes.get(&priority)?.estimated_wait(team, cost, now)
     }
 
-    /// What was learnt of the pace holds no more.
-    pub(crate) fn forget_pace(&mut self) {
-        self.classes.values_mut().for_each(ClassQueue::forget_pace);
+    /// Discards the throughput estimates.
+    pub(crate) fn reset_drain_rates(&mut self) {
+        self.classes.values_mut().for_each(ClassQueue::reset_drain_rates);
     }
 
-    /// Takes the next request if it fits. While a more urgent one waits for room, no other goes.
+    /// Removes the next request if it fits. A request that waits for room blocks all less urgent
+    /// ones.
     pub(crate) fn next(
         &mut self,
         now: Instant,
-        room: impl Fn(u8, &TeamName, u32) -> GateRoom,
+        room: impl Fn(u8, &TeamName, u32) -> GateCapacity,
     ) -> QueueStep {
         for (priority, class) in &mut self.classes {
             match class.next(now, |team, tokens| room(*priority, team, tokens)) {
@@ -64,8 +63,8 @@
         QueueStep::Empty
     }
 
-    /// Takes all.
-    pub(crate) fn drain(&mut self) -> Vec<QueueEntry> {
-        self.classes.values_mut().flat_map(ClassQueue::drain).collect()
+    /// Removes all requests.
+    pub(crate) fn remove_all(&mut self) -> Vec<QueueEntry> {
+        self.classes.values_mut().flat_map(ClassQueue::remove_all).collect()
     }
 }
--- a/crates/admission/src/health_conf.rs
+++ b/crates/admission/src/health_conf.rs
@@ -1,45 +1,45 @@
-//! Numbers that shape ejection and return.
+//! Settings of ejection and recovery.
 
 use std::time::Duration;
 
-/// When a server is taken out of use and how it comes back.
+/// When a server is ejected and how it returns to use.
 #[derive(Clone, Copy, Debug)]
 pub struct HealthConf {
-    /// Failures in a row that eject a server; a closed port counts as two.
-    pub eject_streak: u32,
-    /// Share of failures among the last ten results or so that ejects a server.
-    pub eject_share: f64,
-    /// How long a first ejection lasts; each further one twice as long.
-    pub first_pause: Duration,
-    /// The longest ejection.
-    pub longest_pause: Duration,
-    /// Time without ejection after which earlier ones are forgotten.
-    pub forgive_after: Duration,
-    /// Share of a zone's servers of one pool that stay in use however they fail.
-    pub floor: f64,
-    /// Time from one trial request to the next.
-    pub trial_gap: Duration,
-    /// Trial requests that must succeed in a row.
-    pub trials: u32,
-    /// Time from a start or return to full use.
+    /// Consecutive failures that eject a server; a closed port counts as two.
+    pub max_consecutive_failures: u32,
+    /// Failure rate that ejects a server: a moving average over about ten results.
+    pub max_failure_rate: f64,
+    /// Duration of the first ejection; it doubles with each further one.
+    pub initial_ejection: Duration,
+    /// Maximum duration of an ejection.
+    pub max_ejection: Duration,
+    /// Time in use after which earlier ejections no longer prolong the next one.
+    pub ejection_reset_after: Duration,
+    /// Minimum share of a zone's servers of one pool that stays in use despite failures.
+    pub min_in_use_share: f64,
+    /// Interval between trial requests.
+    pub trial_interval: Duration,
+    /// Number of successful trial requests after which a server returns to use.
+    pub required_trials: u32,
+    /// Duration of the warm-up after a start or return.
     pub slow_start: Duration,
-    /// Share of full use that a server begins with.
-    pub first_share: f64,
+    /// Share of its normal traffic that a server gets at the start of the warm-up.
+    pub initial_share: f64,
 }
 
 impl Default for HealthConf {
     fn default() -> HealthConf {
         HealthConf {
-            eject_streak: 4,
-            eject_share: 0.5,
-            first_pause: Duration::from_secs(1),
-            longest_pause: Duration::from_secs(30),
-            forgive_after: Duration::from_secs(60),
-            floor: 0.5,
-            trial_gap: Duration::from_millis(250),
-            trials: 2,
+            max_consecutive_failures: 4,
+            max_failure_rate: 0.5,
+            initial_ejection: Duration::from_secs(1),
+            max_ejection: Duration::from_secs(30),
+            ejection_reset_after: Duration::from_secs(60),
+            min_in_use_share: 0.5,
+            trial_interval: Duration::from_millis(250),
+            required_trials: 2,
             slow_start: Duration::from_secs(5),
-            first_share: 0.1,
+            initial_share: 0.1,
         }
     }
 }
--- a/crates/admission/src/suspect_conf.rs
+++ b/crates/admission/src/suspect_conf.rs
@@ -1,40 +1,41 @@
-//! Times and bounds of suspicion.
+//! Settings of crash suspicion.
 
 use std::time::Duration;
 
-/// Times and bounds of suspicion.
+/// Timeouts and limits of crash suspicion.
 #[derive(Clone, Copy, Debug)]
 pub struct SuspectConf {
-    /// Time after a second crash in which other routers' suspects of the same crash are waited
-    /// for: as long as peers need to hear of each other.
-    pub settle: Duration,
-    /// Time that each router leaves to those before it at a server that is not its own for suspects.
-    pub turn: Duration,
-    /// Time after a second crash in which the others of that crash are waited for.
-    pub trial_limit: Duration,
-    /// A run that ended unclearly still counts as under way at its server for this long.
-    pub grace: Duration,
-    /// How long another router's word that it runs a suspect holds.
+    /// Time after a second crash before a suspect is assessed, so that other routers can report
+    /// their suspects of the same crash.
+    pub settle_time: Duration,
+    /// Delay per rank before a router may run a suspect on a server; see `TrialOrder`.
+    pub rank_delay: Duration,
+    /// Maximum time to wait for the other suspects of a second crash to run, and for a crash to be
+    /// confirmed. Crashes within this time of each other count as concurrent.
+    pub max_trial_time: Duration,
+    /// Time for which a run that ended without a complete response counts as in flight.
+    pub grace_period: Duration,
+    /// Validity of another router's report that it runs a suspect.
     pub run_lease: Duration,
-    /// How long a suspicion lasts without news.
+    /// Retention of a suspect without updates.
     pub suspect_ttl: Duration,
-    /// How long a conviction lasts.
+    /// Retention of a convicted request without updates.
     pub convicted_ttl: Duration,
-    /// Most fingerprints kept.
-    pub most_records: usize,
+    /// Maximum number of records.
+    pub max_records: usize,
 }
 
 impl Default for SuspectConf {
     fn default() -> SuspectConf {
         SuspectConf {
-            settle: Duration::from_millis(500),
-            turn: Duration::from_millis(250),
-            trial_limit: Duration::from_secs(10),
-            grace: Duration::from_secs(2),
+            settle_time: Duration::from_millis(500),
+            rank_delay: Duration::from_millis(250),
+            max_trial_time: Duration::from_secs(10),
+            grace_period: Duration::from_secs(2),
             run_lease: Duration::from_secs(10),
             suspect_ttl: Duration::from_secs(600),
             convicted_ttl: Duration::from_secs(3_600),
-            most_records: 4_096,
+            max_records: 4_096,
         }
     }
 }
--- a/crates/admission/src/suspect_run.rs
+++ b/crates/admission/src/suspect_run.rs
@@ -1,49 +1,53 @@
-//! One run of a request at a server.
+//! Run of a request on a server.
 
 use std::sync::Arc;
 
 use tokio::time::Instant;
 
-use crate::SuspectBook;
+use crate::CrashDetector;
 use crate::SuspectStanding;
-use crate::suspect_book::RunEnd;
+use crate::crash_detector::RunEnd;
 
-/// One run of a request at a server, from before its first byte is sent. Dropping it says that it
-/// ended without saying anything of the server.
+/// Run of a request on a server, created before the first byte is sent. Dropping it without
+/// reporting an end means that the run was abandoned, for example because the caller disconnected.
 #[derive(Debug)]
 pub struct SuspectRun {
-    book: Arc<SuspectBook>,
+    detector: Arc<CrashDetector>,
     id: u64,
     standing: SuspectStanding,
     end: RunEnd,
 }
 
 impl SuspectRun {
-    pub(crate) fn new(book: Arc<SuspectBook>, id: u64, standing: SuspectStanding) -> SuspectRun {
-        SuspectRun { book, id, standing, end: RunEnd::Withdrawn }
+    pub(crate) fn new(
+        detector: Arc<CrashDetector>,
+        id: u64,
+        standing: SuspectStanding,
+    ) -> SuspectRun {
+        SuspectRun { detector, id, standing, end: RunEnd::Abandoned }
     }
 
-    /// What was held of the request when the run began.
+    /// Standing of the request when the run began.
     pub fn standing(&self) -> SuspectStanding {
         self.standing
     }
 
-    /// The whole answer came.
-    pub fn ended_well(mut self) {
-        self.end = RunEnd::Well;
+    /// Reports that the response was complete.
+    pub fn complete(mut self) {
+        self.end = RunEnd::Completed;
     }
 
-    /// The connection broke before the whole answer came.
-    pub fn broke(mut self) {
-        self.end = RunEnd::Broke;
+    /// Reports that the connection broke before the response was complete.
+    pub fn connection_broke(mut self) {
+        self.end = RunEnd::ConnectionBroken;
     }
 }
 
 impl Drop for SuspectRun {
     fn drop(&mut self) {
-        self.book.end(self.id, self.end, Instant::now());
-        if self.standing != SuspectStanding::Innocent || self.end == RunEnd::Broke {
-            self.book.notify();
+        self.detector.end(self.id, self.end, Instant::now());
+        if self.standing != SuspectStanding::Innocent || self.end == RunEnd::ConnectionBroken {
+            self.detector.notify();
         }
     }
 }
--- a/crates/admission/tests/support/mod.rs
+++ b/crates/admission/tests/support/mod.rs
@@ -1,9 +1,9 @@
-//! Fixtures shared by the tests of this crate.
-#![allow(dead_code, reason = "each test file uses its own part")]
+//! Fixtures shared by this crate's tests.
+#![allow(dead_code, reason = "each test binary uses only some of the fixtures")]
 
-pub(crate) mod crash_world;
-pub(crate) mod limit_world;
-pub(crate) mod quota_world;
+pub(crate) mod crash_simulation;
+pub(crate) mod limit_simulation;
+pub(crate) mod quota_simulation;
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -39,16 +39,16 @@
     GateRequest { team: TeamName::new(team), class, prefill_tokens }
 }
 
-/// A gate whose limits stay where they are.
+/// A gate with fixed limits.
 pub(crate) fn fixed_gate(requests: u32, tokens: u32) -> Arc<ServerGate> {
     let conf = GateConf {
-        first_requests: requests,
-        least_requests: requests,
-        most_requests: requests,
-        first_tokens: tokens,
-        least_tokens: tokens,
-        most_tokens: tokens,
-        lesser_share: 1.0,
+        initial_requests: requests,
+        min_requests: requests,
+        max_requests: requests,
+        initial_tokens: tokens,
+        min_tokens: tokens,
+        max_tokens: tokens,
+        non_urgent_share: 1.0,
         team_share: 1.0,
         ..GateConf::engine()
     };
@@ -69,10 +69,10 @@
     }
 }
 
-/// Random numbers that are the same in each run.
-pub(crate) struct Dice(pub(crate) u64);
+/// Deterministic pseudorandom number generator.
+pub(crate) struct TestRng(pub(crate) u64);
 
-impl Dice {
+impl TestRng {
     pub(crate) fn below(&mut self, bound: usize) -> usize {
         let product = self.0.wrapping_mul(6_364_136_223_846_793_005);
         self.0 = product.wrapping_add(1_442_695_040_888_963_407);
--- a/crates/dispatch/src/stall_meter.rs
+++ b/crates/dispatch/src/chat_gap_tracker.rs
@@ -5,9 +5,9 @@
 use tokio::time::Instant;
 
 use crate::experiment::Mechanism;
-use crate::experiment::is_on;
+use crate::experiment::is_enabled;
 
-/// A chat is near the limit if its longest gap is at least this share of the accepted gap.
+/// A chat is near the limit if its longest gap between events is at least this share of the accepted gap.
 const NEAR_LIMIT_SHARE: f64 = 0.65;
 /// Share of chats near the limit at which long prompts are kept away from chats entirely.
 const SATURATION_SHARE: f64 = 0.1;
@@ -21,15 +21,15 @@
 /// How much a long prompt delays chats depends on the engine's prefill chunk size, which is not
 /// reported but can be inferred from the gaps between events.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct StallMeter {
+pub(crate) struct ChatGapTracker {
     chats: f64,
     near_limit: f64,
     updated_at: Option<Instant>,
 }
 
-impl StallMeter {
+impl ChatGapTracker {
     /// Records a chat whose longest gap was this share of the gap that its caller accepts.
-    pub(crate) fn note(&mut self, share: f64, now: Instant) {
+    pub(crate) fn record(&mut self, share: f64, now: Instant) {
         let decay = self.decay(now);
         self.chats = self.chats * decay + 1.0;
         self.near_limit = self.near_limit * decay + f64::from(u8::from(NEAR_LIMIT_SHARE <= share));
@@ -38,7 +38,7 @@
 
     /// How strictly long prompts are kept away from chats, from 0 to 1.
     pub(crate) fn strength(&self, now: Instant) -> f64 {
-        if self.chats * self.decay(now) < MIN_CHATS || !is_on(Mechanism::StallLearning) {
+        if self.chats * self.decay(now) < MIN_CHATS || !is_enabled(Mechanism::StallLearning) {
             return 1.0;
         }
         (self.near_limit / self.chats / SATURATION_SHARE).min(1.0)
--- a/crates/dispatch/src/config_proof.rs
+++ b/crates/dispatch/src/config_proof.rs
@@ -11,16 +11,15 @@
 /// are rewritten in the same way, are back within about two seconds.
 const RESTORE_GRACE_PERIOD: Duration = Duration::from_millis(2_000);
 
-/// Decides whether requests with an API key may be admitted, by the age of the configuration.
+/// Decides whether requests with an API key may be admitted, by the time since the configuration
+/// was last known to be the newest. A revoked key must stop working even if the store is
+/// unreachable.
 ///
-/// A revoked key must stop working even on a host that cannot reach the store. An answered read
-/// proves that there was nothing newer when the read was sent, not when the answer arrived.
-///
-/// A store restored from a backup may have lost the configuration that revoked a key. Until
-/// operators have rewritten it, reads return an older configuration as the newest and prove
-/// nothing.
+/// After the store is restored from a backup, reads may return an older configuration as the newest
+/// until operators have rewritten the lost one. Such reads are not trusted.
 #[derive(Clone, Copy, Debug)]
 pub struct ConfigProof {
+    /// Send time of the newest trusted read. The configuration was the newest at that time.
     newest_read: Option<BootTime>,
     max_admit_age: Duration,
     max_reject_age: Duration,
@@ -30,9 +29,9 @@
     untrusted_epoch: Option<StoreEpoch>,
     /// The newest untrusted read; it counts once the epoch is known to be complete.
     pending_read: Option<BootTime>,
-    in_force: ConfigVersion,
-    /// The newest configuration that any router has had in force.
-    newest_known: ConfigVersion,
+    active_version: ConfigVersion,
+    /// The newest version that any router has had in force.
+    newest_seen_version: ConfigVersion,
 }
 
 impl ConfigProof {
@@ -47,8 +46,8 @@
             untrusted_until: None,
             untrusted_epoch: None,
             pending_read: None,
-            in_force: ConfigVersion(0),
-            newest_known: ConfigVersion(0),
+            active_version: ConfigVersion(0),
+            newest_seen_version: ConfigVersion(0),
         }
     }
 
@@ -63,7 +62,7 @@
     /// Marks reads as untrusted for a grace period: the store was restored from a backup with this
     /// epoch, or this host has just started and cannot tell. Each topic's reader reports it; only
     /// the first report of an epoch counts.
-    pub fn doubt(&mut self, epoch: StoreEpoch, now: BootTime) {
+    pub fn mark_untrusted(&mut self, epoch: StoreEpoch, now: BootTime) {
         if self.untrusted_epoch.is_some_and(|untrusted| epoch <= untrusted) {
             return;
         }
@@ -73,7 +72,7 @@
     }
 
     /// Trusts the reads of this epoch: operators have rewritten what was lost, or nothing was.
-    pub fn settle(&mut self, epoch: StoreEpoch) {
+    pub fn mark_trusted(&mut self, epoch: StoreEpoch) {
         if self.untrusted_epoch.is_some_and(|untrusted| epoch < untrusted) {
             return;
         }
@@ -82,24 +81,24 @@
     }
 
     /// Whether reads sent now are untrusted.
-    pub fn is_doubted(&self, now: BootTime) -> bool {
+    pub fn is_untrusted(&self, now: BootTime) -> bool {
         self.untrusted_until.is_some_and(|until| now < until)
     }
 
     /// Sets the configuration in force on this host.
-    pub fn put_in_force(&mut self, version: ConfigVersion) {
-        self.in_force = version;
+    pub fn set_active_version(&mut self, version: ConfigVersion) {
+        self.active_version = version;
     }
 
     /// The configuration in force on this host; 0 before the first.
-    pub fn in_force(&self) -> ConfigVersion {
-        self.in_force
+    pub fn active_version(&self) -> ConfigVersion {
+        self.active_version
     }
 
     /// Records that a router has had this configuration in force. While this host has an older one,
     /// it admits nothing, since that one may contain revoked keys.
-    pub fn note_known(&mut self, version: ConfigVersion) {
-        self.newest_known = self.newest_known.max(version);
+    pub fn observe_version(&mut self, version: ConfigVersion) {
+        self.newest_seen_version = self.newest_seen_version.max(version);
     }
 
     /// Time since the newest trusted read was sent; `None` before the first.
@@ -116,11 +115,12 @@
     ///
     /// A host that was suspended, or whose reads are late, may not have the route yet. Callers do
     /// not retry after 404, but try another host after 503.
-    pub fn refuses(&self, now: BootTime) -> bool {
+    pub fn may_reject(&self, now: BootTime) -> bool {
         self.is_fresh(self.max_reject_age, now)
     }
 
     fn is_fresh(&self, max_age: Duration, now: BootTime) -> bool {
-        self.newest_known <= self.in_force && self.age(now).is_some_and(|age| age < max_age)
+        self.newest_seen_version <= self.active_version
+            && self.age(now).is_some_and(|age| age < max_age)
     }
 }
--- a/crates/dispatch/src/engine_choice/sampling.rs
+++ b/crates/dispatch/src/engine_choice/sampling.rs
@@ -2,13 +2,13 @@
 
 use xxhash_rust::xxh3::xxh3_64;
 
+use super::EngineContext;
 use super::EngineRequest;
-use super::Surroundings;
 use crate::CallShape;
 use crate::ServerKey;
 use crate::ServerState;
 use crate::experiment::Mechanism;
-use crate::experiment::is_on;
+use crate::experiment::is_enabled;
 
 /// Share of the engines used for chats when long prompts delay them most.
 const MIN_CHAT_SHARE: f64 = 0.25;
@@ -19,15 +19,15 @@
 const SAMPLED_HOLDERS: f64 = 3.0;
 
 /// Share of the engines that are filled with chats first.
-pub(super) fn chat_share(stall: f64) -> f64 {
-    1.0 - (1.0 - MIN_CHAT_SHARE) * stall
+pub(super) fn chat_share(chat_delay: f64) -> f64 {
+    1.0 - (1.0 - MIN_CHAT_SHARE) * chat_delay
 }
 
 impl EngineRequest<'_> {
-    /// Rendezvous hash of the engine for the prompt's shared prefix; the highest score is the home
-    /// engine.
-    pub(crate) fn home_score(&self, state: &ServerState) -> u64 {
-        let key = self.call.home_key().unwrap_or_default();
+    /// Rendezvous hash of the engine for the prompt's shared prefix. The engine with the highest score is the
+    /// prompt's owner.
+    pub(crate) fn owner_score(&self, state: &ServerState) -> u64 {
+        let key = self.call.owner_key().unwrap_or_default();
         mix(key, xxh3_64(state.entry.name.as_str().as_bytes()))
     }
 
@@ -41,26 +41,26 @@
     ///
     /// Routers see each other's sends with a delay that grows with their number. If each chose
     /// among all engines, all would pick the same few, so each call samples some engines in
-    /// addition to its home engine and to those that hold its prefix.
-    pub(crate) fn draws(&self, state: &ServerState, context: &Surroundings<'_>) -> bool {
-        if !is_on(Mechanism::Draws) {
+    /// addition to its owner and to those that hold its prefix.
+    pub(crate) fn is_sampled(&self, state: &ServerState, context: &EngineContext<'_>) -> bool {
+        if !is_enabled(Mechanism::Draws) {
             return true;
         }
         let mut share = SAMPLED_ENGINES / context.routers.max(1) as f64;
-        let chat_engines = (context.engines as f64 * chat_share(context.stall)).ceil();
+        let chat_engines = (context.engines as f64 * chat_share(context.chat_delay)).ceil();
         if context.shape == CallShape::Chat {
             if chat_engines <= context.chat_rank as f64 && share < 1.0 {
                 return false;
             }
-            share /= chat_share(context.stall);
+            share /= chat_share(context.chat_delay);
         }
-        context.is_home || self.jitter(state) < share || self.samples_holder(state, context)
+        context.is_owner || self.jitter(state) < share || self.samples_holder(state, context)
     }
 
     /// Whether the engine is sampled as a holder of the longest cached prefix. With many holders
     /// only some are considered: a prefix common to all prompts must not attract them all to one
     /// engine.
-    fn samples_holder(&self, state: &ServerState, context: &Surroundings<'_>) -> bool {
+    fn samples_holder(&self, state: &ServerState, context: &EngineContext<'_>) -> bool {
         let engines = || context.sources.iter().filter(|source| source.key != ServerKey::STORE);
         let max_tokens = engines().map(|source| source.tokens).max().unwrap_or_default();
         let holders = || engines().filter(|source| source.tokens == max_tokens);
--- a/crates/dispatch/src/experiment.rs
+++ b/crates/dispatch/src/experiment.rs
@@ -10,7 +10,7 @@
     ShortFirst,
     /// Routers queue prompts instead of sending them to a full engine.
     RequestQueue,
-    /// Prompts that wait too long are refused with a retry delay.
+    /// Prompts that wait too long are rejected with a retry delay.
     Refusal,
     /// Queued prompts are ordered by value for each prefilled token.
     EarningOrder,
@@ -24,9 +24,9 @@
     FastGossip,
     /// Requests avoid replaced weights.
     NewWeights,
-    /// Prompt prefixes are fetched from engines and the cache store.
+    /// Prompt prefixes are fetched from engines and the prompt cache store.
     Fetches,
-    /// The cache store keeps prefixes that were requested before.
+    /// The prompt cache store keeps prefixes that were requested before.
     StoreKeeping,
     /// All routers send a prompt that is cached nowhere to the same engine.
     Homes,
@@ -56,22 +56,22 @@
     ];
 }
 
-/// Whether a mechanism is enabled. Builds with the `experiments` feature disable those listed,
-/// separated by commas, in the environment variable `FULMARGATE_OFF`.
+/// Whether a mechanism is enabled: always in builds without the `experiments` feature.
 #[cfg(not(feature = "experiments"))]
 #[inline]
-pub const fn is_on(_: Mechanism) -> bool {
+pub const fn is_enabled(_: Mechanism) -> bool {
     true
 }
 
-/// Whether a mechanism is enabled.
+/// Whether a mechanism is enabled. Disabled are those set by [`disable`] and those listed,
+/// separated by commas, in the environment variable `FULMARGATE_OFF`.
 #[cfg(feature = "experiments")]
-pub fn is_on(mechanism: Mechanism) -> bool {
-    switches::is_on(mechanism)
+pub fn is_enabled(mechanism: Mechanism) -> bool {
+    switches::is_enabled(mechanism)
 }
 
 #[cfg(feature = "experiments")]
-pub use switches::switch_off;
+pub use switches::disable;
 
 #[cfg(feature = "experiments")]
 mod switches {
@@ -90,11 +90,11 @@
     }
 
     /// Disables exactly these mechanisms on this thread, in addition to those of the environment.
-    pub fn switch_off(mechanisms: &[Mechanism]) {
+    pub fn disable(mechanisms: &[Mechanism]) {
         DISABLED_ON_THREAD.with_borrow_mut(|disabled| *disabled = mechanisms.to_vec());
     }
 
-    pub(super) fn is_on(mechanism: Mechanism) -> bool {
+    pub(super) fn is_enabled(mechanism: Mechanism) -> bool {
         let is_disabled_here =
             DISABLED_ON_THREAD.with_borrow(|disabled| disabled.contains(&mechanism));
         !is_disabled_here && (DISABLED.is_empty() || !DISABLED.contains(&mechanism.to_string()))
--- a/crates/dispatch/src/fleet_fold.rs
+++ b/crates/dispatch/src/fleet_state.rs
@@ -19,8 +19,8 @@
 use crate::ZonePeer;
 
 /// Hosts count as present for this long after their record was read, even if no gossip message has
-/// come from them. Other hosts open their links to a new one a few at a time, which takes seconds
-/// on a busy host.
+/// come from them. Other hosts connect to new ones a few at a time, which takes seconds on a busy
+/// host.
 const NEW_MEMBER_PERIOD: Duration = Duration::from_secs(10);
 
 /// A host as described by its record.
@@ -32,10 +32,10 @@
     read_at: BootTime,
 }
 
-/// The newest lease record in the topic.
+/// The newest lease record in the topic. The lease may have expired.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HeldLease {
-    /// The host of the router that holds the lease.
+    /// The host of the router that took the lease.
     pub host: HostName,
     /// Incarnation of that router.
     pub incarnation: Incarnation,
@@ -49,7 +49,7 @@
 
 /// Reports of routers on the restore that began the current epoch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct RestoreNote {
+pub struct RestoreReport {
     /// The newest configuration that any of them had.
     pub config: ConfigVersion,
     /// Operators have had time to rewrite what was lost.
@@ -58,7 +58,7 @@
 
 /// Members, lease and restore state, folded from the topic's records.
 #[derive(Debug, Default)]
-pub struct FleetFold {
+pub struct FleetState {
     members: IndexMap<HostName, FleetMember>,
     lease: Option<HeldLease>,
     end: LogPosition,
@@ -67,10 +67,10 @@
     /// Records of an earlier epoch were read: the store was restored at least once.
     has_earlier_epochs: bool,
     /// Merged reports of routers that ran before the current epoch began.
-    restore_note: Option<RestoreNote>,
+    restore_report: Option<RestoreReport>,
 }
 
-impl FleetFold {
+impl FleetState {
     /// Starts an epoch of the store. The lease is dropped, since its record may be lost; the
     /// members are kept. Returns whether the epoch is new to this router.
     pub fn begin_epoch(&mut self, epoch: StoreEpoch, now: BootTime) -> bool {
@@ -81,7 +81,7 @@
         self.epoch_first_seen = Some(now);
         self.end = LogPosition { epoch, offset: LogOffset(0) };
         self.lease = None;
-        self.restore_note = None;
+        self.restore_report = None;
         true
     }
 
@@ -112,7 +112,10 @@
                 });
             }
             FleetRecord::Restored { epoch, config, is_settled } if *epoch == position.epoch => {
-                self.merge_restore_note(RestoreNote { config: *config, is_settled: *is_settled });
+                self.merge_restore_report(RestoreReport {
+                    config: *config,
+                    is_settled: *is_settled,
+                });
             }
             FleetRecord::Restored { .. } | FleetRecord::Crash { .. } => {}
         }
@@ -133,7 +136,7 @@
         self.epoch_first_seen.is_some()
     }
 
-    /// The newest lease of which a record was read.
+    /// The newest lease record read. The lease may have expired.
     pub fn lease(&self) -> Option<&HeldLease> {
         self.lease.as_ref()
     }
@@ -142,29 +145,34 @@
     /// duration. `None` if nothing was lost, or if a lease was taken in the current epoch: its
     /// holder has waited out the lost one.
     pub fn lost_lease_since(&self) -> Option<BootTime> {
-        let is_settled = self.lease.as_ref().is_some_and(|lease| lease.epoch == self.end.epoch);
-        if is_settled { None } else { self.epoch_first_seen.filter(|_| self.has_earlier_epochs) }
+        let has_current_lease =
+            self.lease.as_ref().is_some_and(|lease| lease.epoch == self.end.epoch);
+        if has_current_lease {
+            None
+        } else {
+            self.epoch_first_seen.filter(|_| self.has_earlier_epochs)
+        }
     }
 
-    fn merge_restore_note(&mut self, note: RestoreNote) {
-        let merged = self.restore_note.unwrap_or(note);
-        let config = merged.config.max(note.config);
-        let is_settled = merged.is_settled || note.is_settled;
-        self.restore_note = Some(RestoreNote { config, is_settled });
+    fn merge_restore_report(&mut self, report: RestoreReport) {
+        let merged = self.restore_report.unwrap_or(report);
+        let config = merged.config.max(report.config);
+        let is_settled = merged.is_settled || report.is_settled;
+        self.restore_report = Some(RestoreReport { config, is_settled });
     }
 
     /// Merged reports of the restore that began the current epoch.
-    pub fn restore_note(&self) -> Option<RestoreNote> {
-        self.restore_note
+    pub fn restore_report(&self) -> Option<RestoreReport> {
+        self.restore_report
     }
 
     /// Whether the store was restored and operators may not have rewritten yet what was lost.
-    pub fn is_restored_lately(&self) -> bool {
-        self.has_earlier_epochs && self.restore_note.is_none_or(|note| !note.is_settled)
+    pub fn is_restore_pending(&self) -> bool {
+        self.has_earlier_epochs && self.restore_report.is_none_or(|report| !report.is_settled)
     }
 
     /// Number of members.
-    pub fn hosts(&self) -> usize {
+    pub fn host_count(&self) -> usize {
         self.members.len()
     }
 
@@ -178,7 +186,8 @@
         self.members.get(host).map(|member| member.address)
     }
 
-    /// All members, and whether the record of each was read recently.
+    /// All hosts with a record in the fleet topic, and whether the record of each was read
+    /// recently.
     pub fn fleet_hosts(&self, now: BootTime) -> impl Iterator<Item = (FleetHost, bool)> {
         self.members.iter().map(move |(host, member)| {
             let (host, zone) = (host.clone(), member.zone.clone());
--- a/crates/dispatch/src/forward_budget.rs
+++ b/crates/dispatch/src/forward_budget.rs
@@ -2,7 +2,7 @@
 
 use tokio::time::Instant;
 
-use crate::SubscriberStore;
+use crate::StoreAccess;
 
 /// Long-term share of the host's link. Answers to callers and gossip need the rest.
 const LINK_SHARE: f64 = 0.25;
@@ -17,13 +17,11 @@
 
 /// Token bucket for the records that other hosts request.
 ///
-/// All hosts of a zone request a new configuration from their reader at once. Without a limit a
-/// large one would saturate the reader's link for seconds, blocking answers to callers and
-/// connections to servers. A host that is refused reads the store directly.
+/// All hosts of a zone request a new configuration from their zone reader at once, which could
+/// saturate the reader's link. A host that is refused reads the store directly.
 ///
-/// A host that cannot reach the store has no alternative. It gets a large answer whenever the
-/// budget is not overdrawn, and later answers wait until the excess is refilled. It gets small
-/// answers at any time, so that it learns of draining servers.
+/// A host that cannot reach the store gets small answers at any time, and a large one whenever the
+/// budget is not overdrawn, even if it exceeds the budget.
 #[derive(Debug)]
 pub struct ForwardBudget {
     link_bytes_per_s: f64,
@@ -44,7 +42,7 @@
 
     /// Takes the bytes of an answer if it may be sent now. An answer without records, which
     /// confirms that there is nothing new, always may.
-    pub fn try_take(&mut self, bytes: usize, store: SubscriberStore, now: Instant) -> bool {
+    pub fn try_take(&mut self, bytes: usize, store: StoreAccess, now: Instant) -> bool {
         self.refill(now);
         let is_allowed = bytes == 0 || self.is_allowed(bytes, store);
         if is_allowed {
@@ -54,19 +52,19 @@
     }
 
     /// Bytes that may be sent now; negative while overdrawn.
-    pub fn left(&self) -> i64 {
+    pub fn available_bytes(&self) -> i64 {
         self.available_bytes as i64
     }
 
-    fn is_allowed(&self, bytes: usize, store: SubscriberStore) -> bool {
+    fn is_allowed(&self, bytes: usize, store: StoreAccess) -> bool {
         let is_small = bytes <= MAX_SMALL_ANSWER_BYTES;
         let remaining = self.available_bytes - bytes as f64;
         match store {
-            SubscriberStore::InReach if is_small => {
+            StoreAccess::Reachable if is_small => {
                 -self.link_bytes_per_s * OVERDRAFT_SECONDS <= remaining
             }
-            SubscriberStore::InReach => 0.0 <= remaining,
-            SubscriberStore::OutOfReach => is_small || 0.0 <= self.available_bytes,
+            StoreAccess::Reachable => 0.0 <= remaining,
+            StoreAccess::Unreachable => is_small || 0.0 <= self.available_bytes,
         }
     }
 
--- a/crates/dispatch/src/lease_keeper.rs
+++ b/crates/dispatch/src/lease_keeper.rs
@@ -7,16 +7,16 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::BootTime;
-use crate::FleetFold;
+use crate::FleetState;
 use crate::HeldLease;
 use crate::LinkRank;
 use crate::LogPosition;
 
-/// The holder stops this long before its lease ends. Clocks of two hosts may drift, and an order
-/// with a lost packet takes another 200 ms.
+/// The holder sends no more orders this long before its lease expires. Allows for clock drift
+/// between hosts and for an order whose first packet is lost and sent again after 200 ms.
 const EXPIRY_MARGIN: Duration = Duration::from_millis(500);
-/// Head start of the last holder, so that the lease does not move with each piece of work. Its
-/// renewal takes one append, about 10 ms unless the host is busy.
+/// Other hosts wait this long after a rollout begins before they take an expired lease, so that the
+/// last holder can renew it. Otherwise the holder would change with each rollout.
 const LAST_HOLDER_HEAD_START: Duration = Duration::from_millis(400);
 
 /// Upper bound of the random delay, per host in the fleet. If all hosts appended at once, only one
@@ -42,10 +42,9 @@
 
 /// Acquires and renews the lease for one router.
 ///
-/// The store accepts a lease record only at the end to which its writer has read, so that of two
-/// routers one wins and the other reads the winner's record. A lease that is not renewed expires by
-/// time, on clocks that keep running during suspension: the holder counts from before it sent the
-/// append, all others from the later time at which they read the record.
+/// Lease records are appended conditionally: the store rejects one whose writer has not read to the
+/// end of the topic. Leases expire by time, on clocks that keep running during suspension. The
+/// holder counts from when it sent the append, the others from when they read the record.
 #[derive(Debug)]
 pub struct LeaseKeeper {
     host: HostName,
@@ -68,15 +67,16 @@
     /// Returns the next action, given that there has been work for the holder since `work_since`.
     pub fn step(
         &self,
-        fold: &FleetFold,
+        fleet_state: &FleetState,
         work_since: BootTime,
         rank: LinkRank,
         now: BootTime,
     ) -> LeaseStep {
-        let newest = fold.lease();
+        let newest = fleet_state.lease();
         // A restored store may have lost another router's lease record. That router keeps acting
         // until its lease expires.
-        let lost_lease_expiry = fold.lost_lease_since().map(|since| since.after(self.duration));
+        let lost_lease_expiry =
+            fleet_state.lost_lease_since().map(|since| since.after(self.duration));
         if let Some(own) = self.own.filter(|own| self.is_newest(newest, own.fence)) {
             let age = now.since(own.sent);
             if age < self.duration / 2 {
@@ -84,7 +84,7 @@
             }
             // The renewal has a higher fencing number, and nobody else has acted in between.
             if age < self.duration || lost_lease_expiry.is_none_or(|until| until <= now) {
-                return LeaseStep::Append { at: fold.end() };
+                return LeaseStep::Append { at: fleet_state.end() };
             }
         }
         // Delays start when the last lease expires, even if work was already waiting. Otherwise all
@@ -99,37 +99,37 @@
         };
         let earliest = earliest.max(lost_lease_expiry);
         let acquire_at =
-            earliest.map_or(now, |earliest| earliest.after(self.acquire_delay(fold, rank)));
+            earliest.map_or(now, |earliest| earliest.after(self.acquire_delay(fleet_state, rank)));
         if now < acquire_at {
             return LeaseStep::Wait(acquire_at.since(now));
         }
-        LeaseStep::Append { at: fold.end() }
+        LeaseStep::Append { at: fleet_state.end() }
     }
 
     /// Random delay before this host tries to take the lease, drawn again for each record in the
     /// topic.
     ///
-    /// The holder publishes the load of each engine to all routers, which takes much of a narrow
-    /// link and delays these updates. Hosts with the widest links therefore try first.
-    fn acquire_delay(&self, fold: &FleetFold, rank: LinkRank) -> Duration {
-        let hash = xxh3_64(format!("{}/{}", self.host, fold.end().offset).as_bytes());
+    /// Hosts with the widest links try first: the holder announces each engine that loads weights
+    /// to all routers, which takes much of a narrow link.
+    fn acquire_delay(&self, fleet_state: &FleetState, rank: LinkRank) -> Duration {
+        let hash = xxh3_64(format!("{}/{}", self.host, fleet_state.end().offset).as_bytes());
         let fraction = (hash >> 11) as f64 / (1_u64 << 53) as f64;
         let jitter = |hosts: usize| (JITTER_PER_HOST * hosts as u32).mul_f64(fraction);
         match rank {
-            LinkRank::Equal => jitter(fold.hosts()),
-            LinkRank::Widest { hosts } => jitter(hosts.min(fold.hosts())),
-            LinkRank::Narrower => NARROW_LINK_DELAY + jitter(fold.hosts()),
+            LinkRank::Equal => jitter(fleet_state.host_count()),
+            LinkRank::Widest { hosts } => jitter(hosts.min(fleet_state.host_count())),
+            LinkRank::Narrower => NARROW_LINK_DELAY + jitter(fleet_state.host_count()),
         }
     }
 
     /// Records that the append sent at `sent` was accepted, with its fencing number.
-    pub fn appended(&mut self, fence: FencingNumber, sent: BootTime) {
+    pub fn record_append(&mut self, fence: FencingNumber, sent: BootTime) {
         self.own = Some(OwnLease { fence, sent });
     }
 
     /// Drops the lease: an engine has seen a higher fencing number, so that another router holds
     /// it.
-    pub fn refused(&mut self) {
+    pub fn drop_lease(&mut self) {
         self.own = None;
     }
 
@@ -140,7 +140,8 @@
         Some(own.fence)
     }
 
-    /// Whether this router holds the lease to its own knowledge.
+    /// Whether this router took the lease and has not dropped it. Stays true after the lease has
+    /// expired; use [`LeaseKeeper::usable_fence`] to check the time.
     pub fn is_holder(&self) -> bool {
         self.own.is_some()
     }
--- a/crates/dispatch/src/log_cache.rs
+++ b/crates/dispatch/src/log_cache.rs
@@ -14,7 +14,7 @@
 /// Topics of the store that routers follow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum LogTopic {
-    /// Written by operators: the configuration and the wanted weights.
+    /// Written by operators: the configuration and the target weights versions.
     Operator,
     /// The list of backend servers.
     Servers,
@@ -24,7 +24,7 @@
 
 /// A request to another router for records.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LogQuestion {
+pub struct LogRequest {
     /// The topic to read.
     pub topic: LogTopic,
     /// Offset of the first record requested.
@@ -36,7 +36,7 @@
     pub epoch: StoreEpoch,
 }
 
-impl LogQuestion {
+impl LogRequest {
     /// Position from which the requester reads on.
     pub fn position(&self) -> LogPosition {
         LogPosition { epoch: self.epoch, offset: self.from }
@@ -45,7 +45,7 @@
 
 /// The records, with their age.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LogAnswer {
+pub struct LogResponse {
     /// The records from the requested offset on.
     pub records: Vec<Vec<u8>>,
     /// Age of the records when the answer was sent: milliseconds since the newest read that reached
@@ -55,7 +55,7 @@
     pub held_ms: u64,
 }
 
-impl LogAnswer {
+impl LogResponse {
     /// Total size of the records.
     pub fn bytes(&self) -> usize {
         self.records.iter().map(Vec::len).sum()
@@ -63,13 +63,13 @@
 
     /// The time at which the records were known to be complete, on the requester's clock. The
     /// unknown network delay counts as age, the time for which the request was held does not.
-    pub fn proven(&self, asked: BootTime) -> BootTime {
+    pub fn complete_as_of(&self, asked: BootTime) -> BootTime {
         BootTime((asked.0 + self.held_ms).saturating_sub(self.age_ms))
     }
 }
 
-/// Maximum size of the records kept of one topic: 20 s of heartbeats of 1,000 servers.
-const MAX_BYTES: usize = 6 << 20;
+/// Maximum size of the cached records of one topic: 20 s of heartbeats of 1,000 servers.
+const MAX_CACHED_BYTES: usize = 6 << 20;
 
 /// The newest records of a topic.
 #[derive(Debug, Default)]
@@ -78,8 +78,8 @@
     start: LogPosition,
     records: VecDeque<Vec<u8>>,
     bytes: usize,
-    /// When the newest read that reached the end of the topic was sent.
-    validated_at: Option<BootTime>,
+    /// Send time of the newest read that reached the end of the topic.
+    complete_as_of: Option<BootTime>,
 }
 
 impl LogCache {
@@ -93,7 +93,7 @@
             self.bytes += record.len();
             self.records.push_back(record.clone());
         }
-        while MAX_BYTES < self.bytes {
+        while MAX_CACHED_BYTES < self.bytes {
             let Some(oldest) = self.records.pop_front() else { break };
             self.bytes -= oldest.len();
             self.start = self.start.after(1);
@@ -101,13 +101,13 @@
     }
 
     /// Records that a read sent at this time reached the end of the topic.
-    pub fn prove(&mut self, sent: BootTime) {
-        self.validated_at = self.validated_at.max(Some(sent));
+    pub fn mark_complete(&mut self, sent: BootTime) {
+        self.complete_as_of = self.complete_as_of.max(Some(sent));
     }
 
-    /// When the newest read that reached the end of the topic was sent.
-    pub fn proven(&self) -> Option<BootTime> {
-        self.validated_at
+    /// Send time of the newest read that reached the end of the topic.
+    pub fn complete_as_of(&self) -> Option<BootTime> {
+        self.complete_as_of
     }
 
     /// Position of the next record.
@@ -124,8 +124,8 @@
         max_age: Duration,
         received: BootTime,
         now: BootTime,
-    ) -> Option<LogAnswer> {
-        let age = now.since(self.validated_at?);
+    ) -> Option<LogResponse> {
+        let age = now.since(self.complete_as_of?);
         if from.epoch != self.start.epoch || max_age < age {
             return None;
         }
@@ -135,6 +135,6 @@
         let skipped = (from.offset.0 - self.start.offset.0) as usize;
         let records = self.records.iter().skip(skipped).cloned().collect();
         let held_ms = now.since(received).as_millis() as u64;
-        Some(LogAnswer { records, age_ms: age.as_millis() as u64, held_ms })
+        Some(LogResponse { records, age_ms: age.as_millis() as u64, held_ms })
     }
 }
--- a/crates/dispatch/src/last_seen.rs
+++ b/crates/dispatch/src/peer_discovery.rs
@@ -1,7 +1,7 @@
 //! Startup delay until a router knows which other routers exist.
 //!
-//! Work that is divided among the known routers would otherwise all fall to one that has just
-//! started and knows no other yet, and would saturate a small link.
+//! A starting router that knows no others would otherwise take on all shared work and saturate its
+//! link.
 
 use std::time::Duration;
 
@@ -18,27 +18,27 @@
 
 /// Tracks whether a starting router has had time to receive messages from all others.
 #[derive(Clone, Copy, Debug)]
-pub struct LastSeen {
+pub struct PeerDiscovery {
     started_at: Instant,
     joined_at: Option<Instant>,
-    is_over: bool,
+    is_complete: bool,
 }
 
-impl LastSeen {
+impl PeerDiscovery {
     /// Starts tracking at process start.
-    pub fn new(now: Instant) -> LastSeen {
-        LastSeen { started_at: now, joined_at: None, is_over: false }
+    pub fn new(now: Instant) -> PeerDiscovery {
+        PeerDiscovery { started_at: now, joined_at: None, is_complete: false }
     }
 
     /// Whether all reachable routers have had time to send a message, so that shared work can be
     /// divided among them. `members` are the hosts in the fleet topic. A topic without other hosts
     /// does not prove that there are none, since records expire.
-    pub fn is_over(&mut self, own: &HostName, members: &[HostName], now: Instant) -> bool {
+    pub fn is_complete(&mut self, own: &HostName, members: &[HostName], now: Instant) -> bool {
         if self.joined_at.is_none() && members.contains(own) {
             self.joined_at = Some(now);
         }
-        let visible_since = self.joined_at.unwrap_or(self.started_at + MAX_JOIN_TIME);
-        self.is_over |= DISCOVERY_TIME <= now.saturating_duration_since(visible_since);
-        self.is_over
+        let discoverable_since = self.joined_at.unwrap_or(self.started_at + MAX_JOIN_TIME);
+        self.is_complete |= DISCOVERY_TIME <= now.saturating_duration_since(discoverable_since);
+        self.is_complete
     }
 }
--- a/crates/dispatch/src/peer_board.rs
+++ b/crates/dispatch/src/peer_load_table.rs
@@ -17,25 +17,26 @@
 use crate::ServerKey;
 use crate::ZonePeer;
 use crate::experiment::Mechanism;
-use crate::experiment::is_on;
+use crate::experiment::is_enabled;
 
 /// How long a report counts: twice the longest interval between two. A router that stopped
 /// reporting may have ended, and its requests with it.
 const MESSAGE_TTL: Duration = Duration::from_millis(1_200);
 
-/// Interval between the gossip messages of a router. Until others have heard of a long prompt, they
-/// may queue short ones behind it.
-const MIN_INTERVAL: Duration = Duration::from_millis(25);
-/// Added for each pair of routers, since every router sends to every other.
-const INTERVAL_PER_PAIR: Duration = Duration::from_micros(71);
-/// Minimum interval without the fast gossip mechanism.
-const SLOW_INTERVAL: Duration = Duration::from_millis(150);
-/// Longest interval. With a longer one, reports would expire before the next; routers would
-/// consider each other gone, and all would read the store and the engines' events themselves.
-const MAX_INTERVAL: Duration = Duration::from_millis(600);
-
-/// Minimum interval before a message that announces that an engine is about to load. Announcing
-/// each load at once would overload small hosts when many engines are ordered to load together.
+/// Base interval between the gossip messages of a router, to which the term for the fleet size is
+/// added. Until others have heard of a long prompt, they may queue short ones behind it.
+const BASE_INTERVAL: Duration = Duration::from_millis(25);
+/// Multiplied by the square of the number of peers, as the number of messages in the fleet grows
+/// with it.
+const INTERVAL_PER_SQUARED_PEERS: Duration = Duration::from_micros(71);
+/// Base interval without the fast gossip mechanism.
+const SLOW_BASE_INTERVAL: Duration = Duration::from_millis(150);
+/// Upper bound of the interval. With a longer one, reports could expire before the next arrives,
+/// and each router would read the store and the engines' events itself.
+const MAX_GOSSIP_INTERVAL: Duration = Duration::from_millis(600);
+
+/// Minimum interval before a message that announces an engine about to load weights. Many engines
+/// may be ordered to load together, and a message for each would overload small hosts.
 const MIN_URGENT_INTERVAL: Duration = Duration::from_millis(30);
 /// Added for each other router.
 const URGENT_INTERVAL_PER_PEER: Duration = Duration::from_millis(1);
@@ -45,22 +46,24 @@
 
 /// Interval between the gossip messages of a router with this many peers.
 pub fn gossip_interval(peers: usize) -> Duration {
-    let pairs = (peers as u32).saturating_mul(peers as u32);
-    let min_interval = if is_on(Mechanism::FastGossip) { MIN_INTERVAL } else { SLOW_INTERVAL };
-    (min_interval + INTERVAL_PER_PAIR.saturating_mul(pairs)).min(MAX_INTERVAL)
+    let squared_peers = (peers as u32).saturating_mul(peers as u32);
+    let min_interval =
+        if is_enabled(Mechanism::FastGossip) { BASE_INTERVAL } else { SLOW_BASE_INTERVAL };
+    (min_interval + INTERVAL_PER_SQUARED_PEERS.saturating_mul(squared_peers))
+        .min(MAX_GOSSIP_INTERVAL)
 }
 
 /// Interval after which an urgent message may follow the last message, whose size was
 /// `message_bytes`.
 ///
-/// While new weights are rolled out, each message lists dozens of engines and goes to all routers,
-/// which would saturate a narrow link. An interval in proportion to the size of the last message
-/// limits the bandwidth; it never exceeds the regular interval.
-pub fn urgent_pace(peers: usize, message_bytes: usize, link_bytes_per_s: f64) -> Duration {
+/// The interval is proportional to the message size, up to the regular interval, so that
+/// announcements of a weights rollout don't saturate a narrow link.
+pub fn urgent_interval(peers: usize, message_bytes: usize, link_bytes_per_s: f64) -> Duration {
     let min_interval = MIN_URGENT_INTERVAL + URGENT_INTERVAL_PER_PEER.saturating_mul(peers as u32);
     let bytes = message_bytes as f64 * peers as f64;
     let link_interval_s = bytes / (link_bytes_per_s * URGENT_LINK_SHARE);
-    let link_interval = Duration::from_secs_f64(link_interval_s.min(MAX_INTERVAL.as_secs_f64()));
+    let link_interval =
+        Duration::from_secs_f64(link_interval_s.min(MAX_GOSSIP_INTERVAL.as_secs_f64()));
     min_interval.max(link_interval).min(gossip_interval(peers))
 }
 
@@ -68,9 +71,9 @@
 ///
 /// Totals are maintained incrementally, since each choice of an engine needs them for all engines.
 #[derive(Debug, Default)]
-pub struct PeerBoard {
+pub struct PeerLoadTable {
     reports: IndexMap<HostName, PeerReport>,
-    totals: IndexMap<ServerKey, PeerSum>,
+    totals: IndexMap<ServerKey, PeerTotal>,
 }
 
 #[derive(Debug)]
@@ -83,7 +86,7 @@
 
 /// Load of all other routers at one server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct PeerSum {
+pub struct PeerTotal {
     /// Requests in progress.
     pub open: u32,
     /// Chat requests among them.
@@ -92,10 +95,10 @@
     pub backlog: Backlog,
 }
 
-impl PeerBoard {
+impl PeerLoadTable {
     /// Records a message from a router.
-    pub fn hear(&mut self, host: &HostName, message: &GossipMessage, now: Instant) {
-        self.drop_silent(now);
+    pub fn record_message(&mut self, host: &HostName, message: &GossipMessage, now: Instant) {
+        self.remove_expired(now);
         let report = PeerReport {
             received_at: now,
             zone: message.zone.clone(),
@@ -112,10 +115,10 @@
 
     /// Drops the reports of routers that have stopped reporting. Must be called regularly, since
     /// the totals include a report until it is dropped.
-    pub fn drop_silent(&mut self, now: Instant) {
-        let is_silent =
+    pub fn remove_expired(&mut self, now: Instant) {
+        let is_expired =
             |report: &PeerReport| MESSAGE_TTL <= now.saturating_duration_since(report.received_at);
-        while let Some(index) = self.reports.values().position(is_silent) {
+        while let Some(index) = self.reports.values().position(is_expired) {
             if let Some((_, report)) = self.reports.swap_remove_index(index) {
                 self.subtract(&report);
             }
@@ -130,9 +133,9 @@
         self.reports.iter().filter(move |(_, report)| is_fresh(report)).map(|(host, _)| host)
     }
 
-    /// Those of them in one availability zone.
+    /// Routers of one availability zone with a current report.
     pub fn zone_peers(&self, zone: &ZoneName, now: Instant) -> impl Iterator<Item = ZonePeer> {
-        let is_there = move |report: &PeerReport| {
+        let is_fresh_in_zone = move |report: &PeerReport| {
             report.zone.as_ref() == Some(zone)
                 && now.saturating_duration_since(report.received_at) < MESSAGE_TTL
         };
@@ -140,7 +143,7 @@
             host: host.clone(),
             link_kbps: report.link_kbps.unwrap_or_default(),
         };
-        self.reports.iter().filter(move |(_, report)| is_there(report)).map(peer)
+        self.reports.iter().filter(move |(_, report)| is_fresh_in_zone(report)).map(peer)
     }
 
     /// Routers with a current report whose zone is known.
@@ -170,7 +173,7 @@
     }
 
     /// Total load of all other routers at a server.
-    pub fn sum(&self, server: ServerKey) -> PeerSum {
+    pub fn total(&self, server: ServerKey) -> PeerTotal {
         self.totals.get(&server).copied().unwrap_or_default()
     }
 
@@ -178,14 +181,14 @@
         for load in &report.loads {
             let Some(sum) = self.totals.get_mut(&load.server) else { continue };
             sum.subtract(load);
-            if *sum == PeerSum::default() {
+            if *sum == PeerTotal::default() {
                 self.totals.swap_remove(&load.server);
             }
         }
     }
 }
 
-impl PeerSum {
+impl PeerTotal {
     fn add(&mut self, load: &PeerLoad) {
         self.open = self.open.saturating_add(load.open);
         self.chats = self.chats.saturating_add(load.chats);
--- a/crates/dispatch/src/prompt_source.rs
+++ b/crates/dispatch/src/prompt_source.rs
@@ -6,7 +6,7 @@
 use tokio::time::Instant;
 
 use crate::ServerKey;
-use crate::link_meter::LinkMeter;
+use crate::link_usage::LinkUsage;
 
 /// Time to set up a fetch.
 const FETCH_SETUP_MS: f64 = 2.0;
@@ -15,7 +15,7 @@
 /// A fetch is not started if it would wait longer for the link.
 const MAX_LINK_WAIT_MS: f64 = 1_500.0;
 
-/// An engine or the cache store, with the prefix of a prompt that it holds.
+/// An engine or the prompt cache store, with the prefix of a prompt that it holds.
 #[derive(Clone, Debug)]
 pub(crate) struct PromptSource {
     pub(crate) key: ServerKey,
@@ -26,7 +26,7 @@
     /// Length in tokens of the prefix that can be fetched now.
     pub(crate) ready_tokens: u32,
     pub(crate) link_mbps: f64,
-    pub(crate) link: LinkMeter,
+    pub(crate) link: LinkUsage,
 }
 
 impl PromptSource {
--- a/crates/dispatch/src/queue_priority.rs
+++ b/crates/dispatch/src/queue_priority.rs
@@ -1,7 +1,7 @@
 //! Order in which queued prompts go to engines.
 //!
-//! Under overload, prompts with the highest value for each prefilled token go first: a prompt whose
-//! prefix is cached costs little and is worth as much as any other of its size.
+//! Timely prompts go before late ones, then more urgent priorities first, then prompts with the fewest tokens to
+//! prefill per unit of value. The value grows with the prompt's size, including its cached prefix.
 
 use std::cmp::Ordering;
 
@@ -10,11 +10,11 @@
 use crate::CallFacts;
 use crate::admission::is_late;
 use crate::experiment::Mechanism;
-use crate::experiment::is_on;
+use crate::experiment::is_enabled;
 
-/// Value of a prompt regardless of its size.
+/// Constant part of a prompt's value.
 const BASE_VALUE: f64 = 0.3;
-/// Value of a prompt of mean size in addition to that; proportional to the size.
+/// Part of the value that is multiplied by the prompt's size relative to the mean size.
 const SIZE_VALUE: f64 = 0.7;
 
 /// Sort key of a queued prompt. The lowest goes first.
@@ -32,13 +32,13 @@
     /// size.
     pub(crate) fn of(
         call: &CallFacts,
-        read_tokens: f64,
+        prefill_tokens: f64,
         mean_tokens: f64,
         now: Instant,
     ) -> QueuePriority {
         let relative_size = f64::from(call.prompt_tokens()) / mean_tokens.max(1.0);
-        let cost_per_value = match is_on(Mechanism::EarningOrder) {
-            true => read_tokens / (BASE_VALUE + SIZE_VALUE * relative_size),
+        let cost_per_value = match is_enabled(Mechanism::EarningOrder) {
+            true => prefill_tokens / (BASE_VALUE + SIZE_VALUE * relative_size),
             false => 0.0,
         };
         let (is_late, priority) = (is_late(call, now), call.priority);
--- a/crates/dispatch/src/repeat_budget.rs
+++ b/crates/dispatch/src/retry_budget.rs
@@ -8,13 +8,13 @@
 
 /// Number of buckets in the sliding window.
 const BUCKETS: usize = 20;
-/// Share of the allowance that is used. Allows for windows that are off by one bucket, and for sends that
-/// are not seen because a response was lost.
+/// Share of the allowance that is used. The window moves in steps of a bucket, and a first send counts even if
+/// it does not reach a server.
 const SAFETY_FACTOR: f64 = 0.7;
 
 /// Retry allowance per service, for all routers together.
 #[derive(Clone, Copy, Debug)]
-pub struct RepeatConf {
+pub struct RetryConf {
     /// Retries allowed per first send.
     pub ratio: f64,
     /// Additional retries allowed in a window.
@@ -38,34 +38,34 @@
 /// ratio of its own first sends and an equal share of the slack, so that all routers together keep to the
 /// allowance. A new process does not know what its predecessor spent, and gets no slack in its first window.
 #[derive(Debug)]
-pub struct RepeatBudget {
-    conf: RepeatConf,
+pub struct RetryBudget {
+    conf: RetryConf,
     started_at: Instant,
     hosts: usize,
     services: IndexMap<ServiceName, ServiceCounts>,
 }
 
-impl RepeatBudget {
+impl RetryBudget {
     /// Creates the budget of a process that starts now.
-    pub fn new(conf: RepeatConf, now: Instant) -> RepeatBudget {
-        RepeatBudget { conf, started_at: now, hosts: 0, services: IndexMap::new() }
+    pub fn new(conf: RetryConf, now: Instant) -> RetryBudget {
+        RetryBudget { conf, started_at: now, hosts: 0, services: IndexMap::new() }
     }
 
-    /// Sets the number of hosts that share the slack. Zero, for unknown, allows no slack.
+    /// Sets the number of routers that share the slack. Zero, for unknown, allows no slack.
     pub fn set_hosts(&mut self, hosts: usize) {
         self.hosts = hosts;
     }
 
     /// Records the first send of a call.
-    pub fn first(&mut self, service: &ServiceName, now: Instant) {
+    pub fn record_first_send(&mut self, service: &ServiceName, now: Instant) {
         let bucket = self.bucket(now);
         let counts = self.counts(service, bucket);
         counts.first_sends[(bucket % BUCKETS as u64) as usize] += 1;
     }
 
     /// Spends one retry if the budget allows it.
-    pub fn try_repeat(&mut self, service: &ServiceName, now: Instant) -> bool {
-        let is_allowed = self.has_repeat(service, now);
+    pub fn try_retry(&mut self, service: &ServiceName, now: Instant) -> bool {
+        let is_allowed = self.allows_retry(service, now);
         if is_allowed {
             let bucket = self.bucket(now);
             self.counts(service, bucket).retries[(bucket % BUCKETS as u64) as usize] += 1;
@@ -74,7 +74,7 @@
     }
 
     /// Whether the budget allows a retry.
-    pub fn has_repeat(&mut self, service: &ServiceName, now: Instant) -> bool {
+    pub fn allows_retry(&mut self, service: &ServiceName, now: Instant) -> bool {
         let ratio = self.conf.ratio * SAFETY_FACTOR;
         let slack = self.slack(now);
         let bucket = self.bucket(now);
--- a/crates/dispatch/src/order_wave.rs
+++ b/crates/dispatch/src/rollout_plan.rs
@@ -13,9 +13,9 @@
 
 /// Parameters of a rolling update.
 #[derive(Clone, Copy, Debug)]
-pub struct WaveConf {
-    /// Time for which an engine is unavailable: it finishes running requests, loads, and is polled until the
-    /// load is confirmed.
+pub struct RolloutConf {
+    /// Time for which an engine is unavailable: it finishes running requests, loads the weights, and is polled
+    /// until it confirms them.
     pub engine_downtime: Duration,
     /// Share of the bound within which the update should finish. The rest allows for retries, and for requests
     /// that must start on new weights before the bound.
@@ -24,9 +24,9 @@
     pub max_concurrent_share: f64,
 }
 
-impl Default for WaveConf {
-    fn default() -> WaveConf {
-        WaveConf {
+impl Default for RolloutConf {
+    fn default() -> RolloutConf {
+        RolloutConf {
             engine_downtime: Duration::from_millis(1_100),
             deadline_share: 0.6,
             max_concurrent_share: 0.4,
@@ -36,7 +36,7 @@
 
 /// State of an engine as far as a rolling update needs it.
 #[derive(Clone, Debug)]
-pub struct WaveServer {
+pub struct RolloutEngine {
     /// The engine.
     pub key: ServerKey,
     /// Its name. Breaks ties, so that all routers order engines in the same way.
@@ -47,15 +47,15 @@
     pub version: WeightsVersion,
     /// Last known number of running and queued requests.
     pub load: u32,
-    /// Whether a load order is in progress.
+    /// Whether an order to load weights is in progress.
     pub is_ordered: bool,
-    /// Whether it can be reached.
-    pub is_open: bool,
+    /// Whether it can be reached. Unreachable engines are updated last.
+    pub is_reachable: bool,
 }
 
 /// Age and time limit of the target version.
 #[derive(Clone, Copy, Debug)]
-pub struct WaveTime {
+pub struct RolloutTime {
     /// Time since the version was published.
     pub age: Duration,
     /// Age from which no request may start on older weights.
@@ -64,26 +64,26 @@
 
 /// Plans the rolling update to one version.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct OrderWave {
-    conf: WaveConf,
+pub struct RolloutPlan {
+    conf: RolloutConf,
 }
 
-impl OrderWave {
+impl RolloutPlan {
     /// Creates a plan with the given parameters.
-    pub fn new(conf: WaveConf) -> OrderWave {
-        OrderWave { conf }
+    pub fn new(conf: RolloutConf) -> RolloutPlan {
+        RolloutPlan { conf }
     }
 
     /// Number of engines to update at the same time: the minimum with which the update finishes before the
     /// deadline.
     pub fn concurrency(
         &self,
-        servers: &[WaveServer],
+        servers: &[RolloutEngine],
         target: WeightsVersion,
-        wave: WaveTime,
+        time: RolloutTime,
     ) -> usize {
         let outdated = servers.iter().filter(|server| server.version < target).count() as f64;
-        let remaining = wave.bound.mul_f64(self.conf.deadline_share).saturating_sub(wave.age);
+        let remaining = time.bound.mul_f64(self.conf.deadline_share).saturating_sub(time.age);
         let rounds = (remaining.as_secs_f64() / self.conf.engine_downtime.as_secs_f64()).max(1.0);
         let max_concurrent = (servers.len() as f64 * self.conf.max_concurrent_share).ceil();
         (outdated / rounds).ceil().clamp(1.0, max_concurrent.max(1.0)) as usize
@@ -94,15 +94,15 @@
     /// engine finishes its running requests before it loads.
     pub fn next(
         &self,
-        servers: &[WaveServer],
+        servers: &[RolloutEngine],
         target: WeightsVersion,
-        wave: WaveTime,
+        time: RolloutTime,
     ) -> Vec<ServerKey> {
         let in_progress = servers.iter().filter(|server| server.is_ordered).count();
-        let mut slots = self.concurrency(servers, target, wave).saturating_sub(in_progress);
-        let mut candidates: Vec<&WaveServer> =
+        let mut slots = self.concurrency(servers, target, time).saturating_sub(in_progress);
+        let mut candidates: Vec<&RolloutEngine> =
             servers.iter().filter(|server| server.version < target && !server.is_ordered).collect();
-        let mut chosen: Vec<&WaveServer> = Vec::new();
+        let mut chosen: Vec<&RolloutEngine> = Vec::new();
         while 0 < slots && !candidates.is_empty() {
             let updating_in = |zone: &ZoneName| {
                 let ordered = servers.iter().filter(|server| server.is_ordered);
@@ -110,7 +110,7 @@
             };
             let next = (0..candidates.len()).min_by_key(|index| {
                 let server = candidates[*index];
-                (!server.is_open, updating_in(&server.zone), server.load, server.name.clone())
+                (!server.is_reachable, updating_in(&server.zone), server.load, server.name.clone())
             });
             let Some(index) = next else { break };
             chosen.push(candidates.swap_remove(index));
--- a/crates/dispatch/src/server_contact.rs
+++ b/crates/dispatch/src/server_probe.rs
@@ -1,31 +1,32 @@
-//! Probes of servers that have stopped sending while requests wait there.
+//! Probes of servers that send nothing while requests wait there.
 //!
-//! All waiting requests share one probe connection per server, as a probe for each would overload busy servers.
+//! [`ServerProbe::next_step`] asks only one of the waiting requests for a probe connection, as a probe for each
+//! would overload busy servers. Stream failovers and crash checks open connections besides.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-use crate::ConnectEnd;
+use crate::ConnectOutcome;
 
 /// How long the result of a connection is valid: about the time that an engine takes for a long prompt.
 const RESULT_TTL: Duration = Duration::from_millis(250);
 /// A probe without a result is repeated after this time. Connections time out sooner.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(400);
-/// Consecutive failed connections before a server counts as lost. A live server at its connection limit
-/// refuses some connections, but responds on others in between.
+/// Consecutive failed connections before a server counts as lost. A live server at its connection limit may
+/// refuse a connection, but accepts others in between.
 const MIN_LOST_FAILURES: u32 = 3;
 /// Minimum time since the first of these failures.
 const MIN_LOST_DURATION: Duration = Duration::from_millis(600);
-/// Consecutive connection timeouts before waiting requests treat the server as unreachable. A single
-/// timeout may precede the detection of a local network fault.
+/// Consecutive failed connections before a timeout makes waiting requests treat the server as unreachable. A
+/// single timeout may precede the detection of a local network fault. A refusal needs no second failure.
 const MIN_TIMEOUTS: u32 = 2;
 
 /// What a request should do that waits for a server which sends nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ContactStep {
+pub enum ProbeStep {
     /// Open a probe connection and record its outcome.
-    Ask,
+    Probe,
     /// Keep waiting: the server was reached recently, or a probe is in flight.
     Wait,
     /// Give up: recent connections failed.
@@ -34,7 +35,7 @@
 
 /// Outcomes of recent connections to a server.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct ServerContact {
+pub(crate) struct ServerProbe {
     failures: u32,
     /// Time of the first consecutive failure.
     failing_since: Option<Instant>,
@@ -46,46 +47,47 @@
     probe_started: Option<Instant>,
 }
 
-impl ServerContact {
+impl ServerProbe {
     /// Records a successful connection or a response.
-    pub(crate) fn reached(&mut self, now: Instant) {
-        *self = ServerContact { last_attempt: Some((now, true)), ..ServerContact::default() };
+    pub(crate) fn record_reached(&mut self, now: Instant) {
+        *self = ServerProbe { last_attempt: Some((now, true)), ..ServerProbe::default() };
     }
 
     /// Records a failed connection.
-    pub(crate) fn failed(&mut self, outcome: ConnectEnd, now: Instant) {
+    pub(crate) fn record_failure(&mut self, outcome: ConnectOutcome, now: Instant) {
         self.failures += 1;
         self.failing_since.get_or_insert(now);
         self.last_attempt = Some((now, false));
-        self.is_refused = outcome == ConnectEnd::Refused;
+        self.is_refused = outcome == ConnectOutcome::Refused;
         self.probe_started = None;
     }
 
-    /// Returns the next step of a waiting request. A probe counts as in flight once [`ContactStep::Ask`] is
+    /// Returns the next step of a waiting request. A probe counts as in flight once [`ProbeStep::Probe`] is
     /// returned. Timeouts until `local_fault_end` are not counted.
     pub(crate) fn next_step(
         &mut self,
         local_fault_end: Option<Instant>,
         now: Instant,
-    ) -> ContactStep {
+    ) -> ProbeStep {
         match self.last_attempt {
-            Some((at, true)) if is_recent(at, RESULT_TTL, now) => return ContactStep::Wait,
+            Some((at, true)) if is_recent(at, RESULT_TTL, now) => return ProbeStep::Wait,
             Some((at, false))
                 if is_recent(at, RESULT_TTL, now) && self.is_server_fault(at, local_fault_end) =>
             {
-                return ContactStep::Unreachable;
+                return ProbeStep::Unreachable;
             }
             _ => {}
         }
         if self.probe_started.is_some_and(|started| is_recent(started, PROBE_TIMEOUT, now)) {
-            return ContactStep::Wait;
+            return ProbeStep::Wait;
         }
         self.probe_started = Some(now);
-        ContactStep::Ask
+        ProbeStep::Probe
     }
 
     /// Whether the server and the requests waiting there count as lost. Timeouts until `local_fault_end` are
-    /// not counted; otherwise every server not reached yet would be lost right after a local fault.
+    /// not counted; otherwise every server not reached yet would be lost right after a suspected local
+    /// network fault.
     pub(crate) fn is_lost(&self, local_fault_end: Option<Instant>, now: Instant) -> bool {
         let Some(failing_since) = self.failing_since else { return false };
         let since = match (self.is_refused, local_fault_end) {
--- a/crates/dispatch/src/server_book/choices.rs
+++ b/crates/dispatch/src/server_registry/choices.rs
@@ -11,25 +11,25 @@
 use indexmap::IndexMap;
 use tokio::time::Instant;
 
+use crate::AssignedEngine;
 use crate::CallShape;
 use crate::ChoiceReason;
 use crate::ChoiceView;
 use crate::EngineChoice;
 use crate::EngineRequest;
+use crate::Placement;
 use crate::PlacementRequest;
-use crate::Placing;
-use crate::ServerBook;
 use crate::ServerEntry;
 use crate::ServerKey;
+use crate::ServerRegistry;
 use crate::ServerState;
-use crate::TakenEngine;
 use crate::Urgency;
 use crate::admission::has_room;
 use crate::admission::is_short;
-use crate::engine_choice::Surroundings;
+use crate::engine_choice::EngineContext;
 use crate::engine_choice::scope_of;
 use crate::experiment::Mechanism;
-use crate::experiment::is_on;
+use crate::experiment::is_enabled;
 use crate::gossip_interval;
 use crate::prompt_source::PromptSource;
 
@@ -39,15 +39,15 @@
 const FAILURE_MS: f64 = 150.0;
 /// Cost of a server with at least one second of warm-up left.
 const WARM_UP_MS: f64 = 30.0;
-/// Lower bound on the decaying request count of parts to save: one request within the last 6 s.
+/// Minimum decaying request count at which the parts of a prompt are saved.
 const MIN_RECENT_REQUESTS: f64 = 0.2;
 /// Minimum ratio of shared to unshared tokens at which a prompt is saved on first use. It keeps prompts
-/// that nobody else requests from filling the store.
+/// that nobody else requests from filling the prompt cache store.
 const MIN_SHARED_RATIO: u32 = 2;
-/// Shorter shared prefixes are computed faster than they are fetched.
+/// Prompts with a shorter shared prefix are not saved.
 const MIN_SAVED_TOKENS: u32 = 1_000;
 
-impl ServerBook {
+impl ServerRegistry {
     /// Selects the server of a plain service with the lowest expected latency.
     pub fn choose_plain(
         &self,
@@ -61,7 +61,7 @@
         };
         let cost = |state: &ServerState| {
             let slots = f64::from(state.entry.slots.max(1));
-            let open = state.occupancy(now).max(state.open + self.peers.sum(state.key()).open);
+            let open = state.occupancy(now).max(state.open + self.peers.total(state.key()).open);
             let load = 1.0 + f64::from(open) / slots;
             let cross_zone = if state.entry.zone == *zone { 0.0 } else { CROSS_ZONE_MS };
             let warm_up = state.entry.warm_up.as_secs_f64().min(1.0) * WARM_UP_MS;
@@ -80,16 +80,16 @@
     }
 
     /// Sends a prompt to the engine with the lowest cost, if its queue has room.
-    pub fn place(&mut self, placement: &PlacementRequest, view: ChoiceView<'_>) -> Placing {
+    pub fn place(&mut self, placement: &PlacementRequest, view: ChoiceView<'_>) -> Placement {
         let choice = self.choose_engine(&placement.request(view, &placement.excluded));
         // Falls back to servers that this prompt has already been sent to.
         let choice = choice.or_else(|| self.choose_engine(&placement.request(view, &[])));
-        let Some(choice) = choice else { return Placing::Nowhere };
+        let Some(choice) = choice else { return Placement::NoEngine };
         if !has_room(placement, &choice, self.current_gossip_interval(view.now)) {
-            return Placing::Wait(choice.read_tokens);
+            return Placement::Queued(choice.prefill_tokens);
         }
-        let ticket = self.begin_prompt(&placement.call, &choice, view.now);
-        Placing::Taken(Box::new(TakenEngine { choice, ticket }))
+        let ticket = self.record_prompt_send(&placement.call, &choice, view.now);
+        Placement::Assigned(Box::new(AssignedEngine { choice, ticket }))
     }
 
     /// The configured gossip interval, or by default that of direct messages between all routers.
@@ -98,10 +98,11 @@
     }
 
     /// Selects the engine with the lowest cost in waiting time, recomputed tokens and outdated weights. If none
-    /// can respond within the target latency, selects again with the urgency of a late request.
+    /// can respond within the target latency, the costs are estimated anew with the urgency of a late request, which
+    /// may change the selection.
     pub fn choose_engine(&self, request: &EngineRequest<'_>) -> Option<EngineChoice> {
         let priority = request.call.priority;
-        if is_short(request.call) && is_on(Mechanism::ShortFirst) {
+        if is_short(request.call) && is_enabled(Mechanism::ShortFirst) {
             return self.cheapest_engine(request, Urgency::short(priority));
         }
         let choice = self.cheapest_engine(request, Urgency::timely(priority))?;
@@ -124,29 +125,29 @@
             0 => 0.0,
             _ => self.current_gossip_interval(request.now).as_secs_f64() * 1_000.0,
         };
-        let context = |engine: &EligibleEngine<'_>| Surroundings {
-            is_home: engine.is_home,
+        let context = |engine: &EligibleEngine<'_>| EngineContext {
+            is_owner: engine.is_owner,
             urgency,
             shape,
             chat_rank: engine.chat_rank,
             engines: eligible.len(),
             routers,
             gossip_interval_ms,
-            others: self.peers.sum(engine.state.key()),
+            others: self.peers.total(engine.state.key()),
             sources: sources.get(&engine.weights).map_or(&[][..], Vec::as_slice),
             demand: &self.demand,
-            stall: self.stalls.strength(request.now),
+            chat_delay: self.chat_gaps.strength(request.now),
         };
         let is_sampled =
-            |engine: &EligibleEngine<'_>| request.draws(engine.state, &context(engine));
+            |engine: &EligibleEngine<'_>| request.is_sampled(engine.state, &context(engine));
         let (engines, is_open) = engines_to_rate(&eligible, request.now, is_sampled);
         let evaluate = |engine: &EligibleEngine<'a>| {
             request.candidate(engine.state, engine.weights, &context(engine))
         };
         let best = engines.into_iter().map(evaluate).min_by(|a, b| a.cost.total_cmp(&b.cost))?;
-        let reason = match (is_open, best.is_home) {
+        let reason = match (is_open, best.is_owner) {
             (false, _) => ChoiceReason::LastResort,
-            (true, true) => ChoiceReason::Home,
+            (true, true) => ChoiceReason::Owner,
             (true, false) => ChoiceReason::Cheaper,
         };
         Some(EngineChoice {
@@ -160,17 +161,18 @@
             shape,
             estimate_ms: best.estimate_ms,
             queue_ms: best.queue_ms,
-            reread_tokens: best.reread_tokens,
-            read_tokens: best.read_tokens,
-            taken_tokens: best.taken_tokens,
+            recomputed_tokens: best.recomputed_tokens,
+            prefill_tokens: best.prefill_tokens,
+            added_tokens: best.added_tokens,
         })
     }
 
-    /// Engines that may start the call. Their chat ranks and the home engine are the same on all routers.
+    /// Engines that may start the call. Routers with the same eligible engines agree on the chat ranks and the
+    /// prompt's owner.
     fn eligible_engines(&self, request: &EngineRequest<'_>) -> Vec<EligibleEngine<'_>> {
         let eligible = |state| {
             let weights = request.allows(state)?;
-            Some(EligibleEngine { state, weights, is_home: false, chat_rank: 0 })
+            Some(EligibleEngine { state, weights, is_owner: false, chat_rank: 0 })
         };
         let mut eligible: Vec<EligibleEngine<'_>> =
             self.servers.values().filter_map(eligible).collect();
@@ -178,14 +180,14 @@
         for (rank, engine) in eligible.iter_mut().enumerate() {
             engine.chat_rank = rank;
         }
-        let home = eligible.iter_mut().max_by_key(|engine| request.home_score(engine.state));
-        if let Some(home) = home {
-            home.is_home = true;
+        let owner = eligible.iter_mut().max_by_key(|engine| request.owner_score(engine.state));
+        if let Some(owner) = owner {
+            owner.is_owner = true;
         }
         eligible
     }
 
-    /// Engines and the store that have cached parts of the prompt, for each weights version in use.
+    /// Engines and the prompt cache store that have cached parts of the prompt, for each weights version in use.
     fn sources_by_weights(
         &self,
         request: &EngineRequest<'_>,
@@ -199,7 +201,7 @@
         sources
     }
 
-    /// Engines and the store that have parts of the prompt cached under the salt of these weights.
+    /// Engines and the prompt cache store that have parts of the prompt cached under the salt of these weights.
     fn sources(&self, request: &EngineRequest<'_>, weights: WeightsVersion) -> Vec<PromptSource> {
         let scope = scope_of(&request.salt(weights));
         let link_mbps = request.engine_rule().map_or(0.0, |engine| engine.link_mbps);
@@ -210,7 +212,7 @@
             key: state.key(),
             address: state.entry.address,
             zone: state.entry.zone.clone(),
-            tokens: request.known_tokens(state, scope),
+            tokens: request.known_cached_tokens(state, scope),
             ready_tokens: request.ready_tokens(state, scope),
             link_mbps,
             link: state.link,
@@ -233,11 +235,11 @@
         sources
     }
 
-    /// Address of the store if the prompt should be saved there: its shared parts are not stored yet, and were
-    /// requested recently or make up most of the prompt. A prompt is stored whole, with its unshared part, so
-    /// that storing every prompt on first use would evict entries too early.
+    /// Address of the prompt cache store if the prompt should be saved there: its shared parts are not stored yet,
+    /// and were requested recently or make up most of the prompt. A prompt is stored whole, with its unshared part,
+    /// so that storing every prompt on first use would evict entries too early.
     fn save_to(&self, request: &EngineRequest<'_>, salt: &str) -> Option<SocketAddr> {
-        if !is_on(Mechanism::StoreKeeping) {
+        if !is_enabled(Mechanism::StoreKeeping) {
             return None;
         }
         let store = request.table.cache_store()?;
@@ -264,7 +266,7 @@
     state: &'a ServerState,
     weights: WeightsVersion,
     /// Whether this is the engine that all routers prefer for an uncached prompt.
-    is_home: bool,
+    is_owner: bool,
     /// Position in the order in which engines are filled with chats.
     chat_rank: usize,
 }
--- a/crates/dispatch/tests/gossip_topologies.rs
+++ b/crates/dispatch/tests/gossip_topologies.rs
@@ -7,8 +7,8 @@
 use fulmargate_dispatch::GossipTarget;
 use fulmargate_dispatch::GossipTopology;
 use fulmargate_dispatch::RelayChoice;
-use fulmargate_dispatch::is_passed_on;
-use fulmargate_dispatch::is_taken_in;
+use fulmargate_dispatch::should_apply;
+use fulmargate_dispatch::should_forward;
 use fulmargate_names::HostName;
 use fulmargate_names::ZoneName;
 use indexmap::IndexMap;
@@ -23,13 +23,13 @@
 const RELAY_HOPS: usize = 2;
 
 /// Zones of equal size; the first `wide` hosts of each have wide links.
-fn fleet(zones: usize, hosts: usize, wide: usize) -> Vec<FleetHost> {
+fn fleet(zones: usize, hosts_per_zone: usize, wide: usize) -> Vec<FleetHost> {
     let host = |zone: usize, number: usize| FleetHost {
         host: HostName::new(&format!("host-{zone}-{number}")),
         zone: ZoneName::new(&format!("zone-{zone}")),
         link_kbps: if number < wide { WIDE_KBPS } else { NARROW_KBPS },
     };
-    (0..zones).flat_map(|zone| (0..hosts).map(move |number| host(zone, number))).collect()
+    (0..zones).flat_map(|zone| (0..hosts_per_zone).map(move |number| host(zone, number))).collect()
 }
 
 /// Simulated hosts with their choices of relays.
@@ -94,13 +94,13 @@
                 continue;
             }
             let zone = &self.hosts[receiver].zone;
-            if is_taken_in(GossipPath::Direct, subscribes, &own.zone, zone) {
+            if should_apply(GossipPath::Direct, subscribes, &own.zone, zone) {
                 *self.received.entry((receiver, sender)).or_default() += 1;
             }
             if subscribes {
                 self.subscribers.entry(receiver).or_default().insert(sender);
             }
-            if is_passed_on(GossipPath::Direct, &own.zone, &self.hosts[receiver].zone) {
+            if should_forward(GossipPath::Direct, &own.zone, &self.hosts[receiver].zone) {
                 self.pending.entry(receiver).or_default().push(sender);
             }
         }
@@ -111,7 +111,7 @@
             let zone = self.hosts[relay].zone.clone();
             for subscriber in self.subscribers.get(&relay).cloned().unwrap_or_default() {
                 let relay_host = self.hosts[relay].host.clone();
-                self.choices[subscriber].heard(&relay_host, now);
+                self.choices[subscriber].record_message(&relay_host, now);
                 self.sent[relay] += 1;
                 let is_same_zone = self.hosts[subscriber].zone == zone;
                 for sender in origins.iter().copied().filter(|sender| *sender != subscriber) {
@@ -120,7 +120,7 @@
                     }
                     *self.received.entry((subscriber, sender)).or_default() += 1;
                     let (origin, own) = (&self.hosts[sender].zone, &self.hosts[subscriber].zone);
-                    if is_passed_on(GossipPath::Relayed, origin, own) {
+                    if should_forward(GossipPath::Relayed, origin, own) {
                         self.pending.entry(subscriber).or_default().push(sender);
                     }
                 }
@@ -145,7 +145,7 @@
 struct FleetCase {
     name: &'static str,
     zones: usize,
-    hosts: usize,
+    hosts_per_zone: usize,
     wide: usize,
     /// Maximum number of messages that a host which is no relay, and a relay, send in a round.
     max_sent: usize,
@@ -156,7 +156,7 @@
     FleetCase {
         name: "90 hosts in four zones",
         zones: 4,
-        hosts: 23,
+        hosts_per_zone: 23,
         wide: 2,
         max_sent: 2,
         max_relayed: 60,
@@ -164,7 +164,7 @@
     FleetCase {
         name: "195 hosts in five zones",
         zones: 5,
-        hosts: 39,
+        hosts_per_zone: 39,
         wide: 3,
         max_sent: 2,
         max_relayed: 100,
@@ -172,12 +172,19 @@
     FleetCase {
         name: "740 hosts in ten zones",
         zones: 10,
-        hosts: 74,
+        hosts_per_zone: 74,
         wide: 6,
         max_sent: 6,
         max_relayed: 200,
     },
-    FleetCase { name: "no wide links", zones: 5, hosts: 39, wide: 0, max_sent: 9, max_relayed: 60 },
+    FleetCase {
+        name: "no wide links",
+        zones: 5,
+        hosts_per_zone: 39,
+        wide: 0,
+        max_sent: 9,
+        max_relayed: 60,
+    },
 ];
 
 /// Guards against traffic that grows with the square of the fleet. Through relays each host must
@@ -185,7 +192,7 @@
 #[test]
 fn each_message_reaches_each_host_once() {
     for case in FLEET_CASES {
-        let mut fleet = TestFleet::new(fleet(case.zones, case.hosts, case.wide));
+        let mut fleet = TestFleet::new(fleet(case.zones, case.hosts_per_zone, case.wide));
         let start = Instant::now();
         fleet.round(start);
         fleet.sent.fill(0);
@@ -236,7 +243,7 @@
 struct IntervalCase {
     name: &'static str,
     zones: usize,
-    hosts: usize,
+    hosts_per_zone: usize,
     wide: usize,
     /// Upper bound of the interval between two messages, in milliseconds.
     max_interval_ms: u64,
@@ -247,7 +254,7 @@
     IntervalCase {
         name: "8 hosts",
         zones: 2,
-        hosts: 4,
+        hosts_per_zone: 4,
         wide: 0,
         max_interval_ms: 29,
         relays: None,
@@ -255,7 +262,7 @@
     IntervalCase {
         name: "32 hosts",
         zones: 4,
-        hosts: 8,
+        hosts_per_zone: 8,
         wide: 0,
         max_interval_ms: 94,
         relays: None,
@@ -263,7 +270,7 @@
     IntervalCase {
         name: "92 hosts",
         zones: 4,
-        hosts: 23,
+        hosts_per_zone: 23,
         wide: 2,
         max_interval_ms: 92,
         relays: Some(2),
@@ -271,7 +278,7 @@
     IntervalCase {
         name: "195 hosts",
         zones: 5,
-        hosts: 39,
+        hosts_per_zone: 39,
         wide: 3,
         max_interval_ms: 195,
         relays: Some(2),
@@ -279,7 +286,7 @@
     IntervalCase {
         name: "740 hosts",
         zones: 10,
-        hosts: 74,
+        hosts_per_zone: 74,
         wide: 7,
         max_interval_ms: 600,
         relays: Some(5),
@@ -287,7 +294,7 @@
     IntervalCase {
         name: "narrow links",
         zones: 5,
-        hosts: 39,
+        hosts_per_zone: 39,
         wide: 0,
         max_interval_ms: 600,
         relays: Some(8),
@@ -297,13 +304,13 @@
 #[test]
 fn intervals_and_relay_counts() {
     for case in INTERVAL_CASES {
-        let hosts = fleet(case.zones, case.hosts, case.wide);
+        let hosts = fleet(case.zones, case.hosts_per_zone, case.wide);
         let topology = GossipTopology::new(&hosts, DIRECT_HOSTS);
         assert!(
-            topology.pace.as_millis() as u64 <= case.max_interval_ms,
+            topology.interval.as_millis() as u64 <= case.max_interval_ms,
             "{}: {:?}",
             case.name,
-            topology.pace
+            topology.interval
         );
         let relays = topology.relays.map(|relays| relays["zone-0"].len());
         assert_eq!(relays, case.relays, "{}", case.name);
--- a/crates/entry/src/control/cache_watcher.rs
+++ b/crates/entry/src/control/cache_watcher.rs
@@ -1,10 +1,11 @@
-//! Assigns cache event sources to routers and runs this host's readers.
+//! Assigns the sources of prompt cache events to routers and runs the cache event readers of this
+//! host.
 
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::Duration;
 
-use fulmargate_dispatch::LastSeen;
+use fulmargate_dispatch::PeerDiscovery;
 use fulmargate_dispatch::ServerEntry;
 use fulmargate_dispatch::ServerKey;
 use fulmargate_names::HostName;
@@ -21,12 +22,12 @@
 /// Interval at which the assignment is recomputed.
 const SYNC_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Has each source read by one router, which forwards the events to the others: a source serves few
-/// concurrent calls.
+/// Assigns each source to one router, which forwards the events to the others, since a source
+/// serves few concurrent calls.
 pub(crate) struct CacheWatcher {
     state: Arc<SharedState>,
     /// Whether the other routers have had time to reach this one.
-    peer_discovery: LastSeen,
+    peer_discovery: PeerDiscovery,
     readers: CacheReaderSet,
 }
 
@@ -34,7 +35,7 @@
     pub(crate) fn new(state: Arc<SharedState>) -> CacheWatcher {
         let client = CacheEventClient::new(state.settings.link_bytes_per_s());
         let readers = CacheReaderSet::new(state.clone(), Rc::new(client));
-        CacheWatcher { state, peer_discovery: LastSeen::new(Instant::now()), readers }
+        CacheWatcher { state, peer_discovery: PeerDiscovery::new(Instant::now()), readers }
     }
 
     /// Updates the readers as routers and servers come and go.
@@ -48,19 +49,19 @@
 
     fn assigned_sources(&mut self) -> IndexMap<ServerKey, CacheSource> {
         let own = &self.state.settings.host;
-        // A new process knows no live peers and would assign all sources to itself, saturating its
-        // link with backfills.
-        if !self.peer_discovery.is_over(own, &self.state.fleet.load().members, Instant::now()) {
+        // A new process knows no other routers. It would read all sources itself and saturate its
+        // link.
+        if !self.peer_discovery.is_complete(own, &self.state.fleet.load().members, Instant::now()) {
             return IndexMap::new();
         }
         let table = self.state.table.load();
         let Some(table) = table.as_ref() else { return IndexMap::new() };
-        let book = self.state.book();
-        let peers = book.live_peers(Instant::now());
-        let engines = book.states().filter(|state| table.has_engines(&state.entry().service));
+        let servers = self.state.servers();
+        let peers = servers.live_peers(Instant::now());
+        let engines = servers.states().filter(|state| table.has_engines(&state.entry().service));
         let mut sources: IndexMap<ServerKey, CacheSource> =
             engines.map(|state| (state.key(), cache_source(state.key(), state.entry()))).collect();
-        drop(book);
+        drop(servers);
         if let Some(address) = table.cache_store_address() {
             let store = CacheSource { key: ServerKey::STORE, address, incarnation: None };
             sources.insert(ServerKey::STORE, store);
--- a/crates/entry/src/control/fleet_watcher.rs
+++ b/crates/entry/src/control/fleet_watcher.rs
@@ -10,10 +10,10 @@
 use fulmargate_consortium::ListedRecord;
 use fulmargate_consortium::StoreClient;
 use fulmargate_consortium::StoreError;
-use fulmargate_consortium::join_keyed;
-use fulmargate_consortium::split_keyed;
-use fulmargate_dispatch::FleetFold;
+use fulmargate_consortium::decode_keyed;
+use fulmargate_consortium::encode_keyed;
 use fulmargate_dispatch::FleetRecord;
+use fulmargate_dispatch::FleetState;
 use fulmargate_dispatch::LogPosition;
 use fulmargate_dispatch::LogTopic;
 use fulmargate_names::ConfigVersion;
@@ -48,7 +48,7 @@
 const READ_BATCH_DELAY: Duration = Duration::from_millis(400);
 
 /// The fleet state, shared by the tasks of the control thread.
-pub(crate) type SharedFleetState = Rc<RefCell<FleetFold>>;
+pub(crate) type SharedFleetState = Rc<RefCell<FleetState>>;
 
 type SharedOwnRecords = Rc<RefCell<OwnRecords>>;
 
@@ -112,7 +112,7 @@
         self.publish_restore().await
     }
 
-    /// Adds the membership record of this router. Members share the retry budget.
+    /// Adds the membership record of this router, unless it has been added.
     fn register(&self) {
         let mut own_records = self.reader.own_records.borrow_mut();
         if own_records.has_joined() {
@@ -128,9 +128,10 @@
         });
     }
 
-    /// Records which configuration was in force before a restore from a backup, and later that
-    /// operators have had time to rewrite what was lost. Starting hosts would otherwise take the
-    /// restored configuration for the newest and accept revoked keys.
+    /// After a restore from a backup, appends a record with the version of the active
+    /// configuration, and later one which says that operators have had time to rewrite lost
+    /// records. Hosts that start after the restore learn from them whether the restored
+    /// configuration is the newest.
     async fn publish_restore(&self) -> Result<(), StoreError> {
         let Some(record) = self.pending_restore_record() else { return Ok(()) };
         let record = encode_keyed_record(&record)?;
@@ -140,17 +141,18 @@
 
     fn pending_restore_record(&self) -> Option<FleetRecord> {
         let fleet_state = self.reader.fleet_state.borrow();
-        if !fleet_state.is_restored_lately() || !self.reader.source.is_reader() {
+        if !fleet_state.is_restore_pending() || !self.reader.source.is_reader() {
             return None;
         }
         let proof = *self.reader.state.proof();
-        let is_settled = !proof.is_doubted(boot_now());
-        // A host that has just started knows no more than the store does.
+        let is_settled = !proof.is_untrusted(boot_now());
+        // A host that started after the restore only knows the restored configuration.
         if !is_settled && !self.reader.epoch.borrow().has_advanced() {
             return None;
         }
-        let config = proof.in_force();
-        let is_recorded = fleet_state.restore_note().is_some_and(|note| config <= note.config);
+        let config = proof.active_version();
+        let is_recorded =
+            fleet_state.restore_report().is_some_and(|report| config <= report.config);
         let is_due = config != ConfigVersion(0) && (!is_recorded || is_settled);
         is_due.then(|| FleetRecord::Restored { epoch: fleet_state.end().epoch, config, is_settled })
     }
@@ -180,7 +182,7 @@
         let mut by_key = IndexMap::new();
         for ListedRecord { offset, record } in records {
             self.apply(offset, &record);
-            let bytes = join_keyed(&record.key, record.value.as_deref().unwrap_or_default())?;
+            let bytes = encode_keyed(&record.key, record.value.as_deref().unwrap_or_default())?;
             by_key.insert(record.key, bytes);
         }
         self.fleet_state.borrow_mut().skip_to(end.offset);
@@ -198,8 +200,8 @@
         Ok(page.records.len())
     }
 
-    /// Reads and applies the records that the store has now, as the long poll may hang. Lets a
-    /// router that lost the response to its own append see the record at once.
+    /// Reads and applies the records that the store has now, without waiting for the pending long
+    /// poll, whose connection may be dead.
     pub(crate) async fn catch_up(&self) -> Result<(), StoreError> {
         let from = self.fleet_state.borrow().end();
         let (topic, grace) = (LogTopic::Fleet, RESPONSE_GRACE);
@@ -218,7 +220,7 @@
         }
         for (record, offset) in records.iter().zip(from.offset.0..) {
             let offset = LogOffset(offset);
-            match split_keyed(record) {
+            match decode_keyed(record) {
                 Ok(record) => self.apply(offset, &record),
                 Err(err) => self.skip_unreadable(offset, &err.to_string()),
             }
@@ -228,20 +230,20 @@
 
     fn publish(&self) {
         let fleet_state = self.fleet_state.borrow();
-        self.state.budget().set_hosts(fleet_state.hosts());
+        self.state.retry_budget().set_hosts(fleet_state.host_count());
         let hosts = fleet_state.fleet_hosts(boot_now()).map(|(host, _)| (host.host, host.zone));
         self.state.quotas().set_routers(hosts, Instant::now());
         let members = fleet_state.members().map(|(host, _)| host.clone()).collect();
         let view = FleetView { members, lease: fleet_state.lease().cloned() };
         self.state.fleet.store(Arc::new(view));
         let mut proof = self.state.proof();
-        if let Some(note) = fleet_state.restore_note() {
-            proof.note_known(note.config);
+        if let Some(report) = fleet_state.restore_report() {
+            proof.observe_version(report.config);
         }
-        // Confirms the configuration only if the restore precedes this process. After one seen by
-        // this router, operators first have to write again, or have to have had time to.
-        if !fleet_state.is_restored_lately() && !self.epoch.borrow().has_advanced() {
-            proof.settle(fleet_state.end().epoch);
+        // Not after a restore seen by this process: reads stay untrusted until operators have
+        // written a configuration or the grace period is over.
+        if !fleet_state.is_restore_pending() && !self.epoch.borrow().has_advanced() {
+            proof.mark_trusted(fleet_state.end().epoch);
         }
     }
 
@@ -259,10 +261,10 @@
         self.fleet_state.borrow_mut().apply(offset, &record, boot_now());
         if let FleetRecord::Crash { print, server, start } = &record {
             let mut crashes = self.state.crashes();
-            crashes.note(*print, *start, Instant::now());
-            let (count, is_convicted) = (crashes.count(*print), crashes.is_convicted(*print));
+            crashes.record(*print, *start, Instant::now());
+            let (count, must_reject) = (crashes.count(*print), crashes.must_reject(*print));
             drop(crashes);
-            let kind = match is_convicted {
+            let kind = match must_reject {
                 true => EventKind::RequestConvicted,
                 false => EventKind::RequestSuspected,
             };
@@ -299,8 +301,8 @@
 }
 
 fn crash_record(sighting: CrashSighting) -> FleetRecord {
-    let CrashSighting { print, server } = sighting;
-    FleetRecord::Crash { print, server: server.name.clone(), start: server.key() }
+    let CrashSighting { fingerprint, server } = sighting;
+    FleetRecord::Crash { print: fingerprint, server: server.name.clone(), start: server.key() }
 }
 
 async fn append_missing(
--- a/crates/entry/src/control/gossip_sender.rs
+++ b/crates/entry/src/control/gossip_sender.rs
@@ -10,8 +10,8 @@
 use fulmargate_dispatch::GossipTarget;
 use fulmargate_dispatch::GossipTopology;
 use fulmargate_dispatch::WeightsAge;
-use fulmargate_dispatch::published_parts;
-use fulmargate_dispatch::urgent_pace;
+use fulmargate_dispatch::max_published_parts;
+use fulmargate_dispatch::urgent_interval;
 use fulmargate_names::HostName;
 use indexmap::IndexSet;
 use tokio::time::Instant;
@@ -26,11 +26,11 @@
 use crate::state::SharedState;
 use crate::state::boot_now;
 
-/// Interval between messages without updates. A message is valid for 1.2 s.
-const IDLE_INTERVAL: Duration = Duration::from_millis(400);
-/// The same where relays forward the messages. Shorter, because receivers take 0.5 s to detect a
-/// lost relay and miss the messages of that time.
-const RELAYED_IDLE_INTERVAL: Duration = Duration::from_millis(200);
+/// Interval of keepalives: messages without updates. Receivers drop a report after 1.2 s.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_millis(400);
+/// Interval of keepalives where relays forward them. Shorter, because receivers miss the messages
+/// of the 0.5 s that it takes to detect a failed relay.
+const RELAYED_KEEPALIVE_INTERVAL: Duration = Duration::from_millis(200);
 /// Minimum interval of urgent messages where relays forward them.
 const RELAYED_URGENT_INTERVAL: Duration = Duration::from_millis(50);
 
@@ -54,7 +54,7 @@
     targets: Vec<PeerTarget>,
     interval: Duration,
     urgent_interval: Duration,
-    idle_interval: Duration,
+    keepalive_interval: Duration,
     /// Hosts that receive the message, directly or through relays.
     recipients: usize,
 }
@@ -70,57 +70,59 @@
 
     /// Sends messages at an interval, and earlier when an engine is about to load weights.
     pub(crate) async fn run(self) {
-        let mut was_busy = false;
+        let mut had_to_send = false;
         let mut last_sent = Instant::now();
         let mut last_round = Instant::now();
         let mut message_bytes = 0;
         let link_bytes_per_s = self.state.settings.link_bytes_per_s();
         loop {
             let plan = self.next_plan(message_bytes);
-            self.state.book().set_gossip_interval(plan.interval);
+            self.state.servers().set_gossip_interval(plan.interval);
             tokio::select! {
                 () = sleep(plan.interval) => {}
                 () = self.state.loading.changed() => sleep_until(last_round + plan.urgent_interval).await,
             }
             let since_last_round = last_round.elapsed().min(plan.interval);
             last_round = Instant::now();
-            let gossip = self.next_message(published_parts(
+            let gossip = self.next_message(max_published_parts(
                 link_bytes_per_s,
                 plan.recipients,
                 since_last_round,
             ));
-            let is_busy = has_updates(&gossip) || self.relays.choice.borrow().is_awaiting();
+            let must_send =
+                has_updates(&gossip) || self.relays.choice.borrow().is_waiting_for_relay();
             message_bytes = 0;
-            // The message after the last update is sent at once, to report that nothing is in
-            // progress. Later ones are keepalives.
-            if is_busy || was_busy || plan.idle_interval <= last_sent.elapsed() {
+            // After the last update, one message without updates follows at the regular interval,
+            // to report that nothing is in progress. Later ones are keepalives.
+            if must_send || had_to_send || plan.keepalive_interval <= last_sent.elapsed() {
                 message_bytes = self.send(&plan.targets, gossip);
                 last_sent = Instant::now();
             }
-            was_busy = is_busy;
+            had_to_send = must_send;
         }
     }
 
     fn next_plan(&self, message_bytes: usize) -> GossipPlan {
         let own = self.own_host();
-        let hosts = self.fleet_hosts(&own);
+        let hosts = self.topology_hosts(&own);
         let topology = GossipTopology::new(&hosts, self.state.settings.direct_hosts);
         let mut choice = self.relays.choice.borrow_mut();
         let link_bytes_per_s = self.state.settings.link_bytes_per_s();
         match topology.targets(&own, &mut choice, Instant::now()) {
             Some(targets) => GossipPlan {
                 targets: targets.into_iter().filter_map(|target| self.resolve(target)).collect(),
-                interval: topology.pace,
+                interval: topology.interval,
                 urgent_interval: RELAYED_URGENT_INTERVAL,
-                idle_interval: RELAYED_IDLE_INTERVAL,
+                keepalive_interval: RELAYED_KEEPALIVE_INTERVAL,
                 recipients: hosts.len(),
             },
             None => {
                 let targets = self.all_peers();
-                let urgent_interval = urgent_pace(targets.len(), message_bytes, link_bytes_per_s);
-                let (interval, idle_interval, recipients) =
-                    (topology.pace, IDLE_INTERVAL, targets.len());
-                GossipPlan { targets, interval, urgent_interval, idle_interval, recipients }
+                let urgent_interval =
+                    urgent_interval(targets.len(), message_bytes, link_bytes_per_s);
+                let (interval, keepalive_interval, recipients) =
+                    (topology.interval, KEEPALIVE_INTERVAL, targets.len());
+                GossipPlan { targets, interval, urgent_interval, keepalive_interval, recipients }
             }
         }
     }
@@ -131,13 +133,13 @@
         FleetHost { host, zone, link_kbps: settings.link_kbps() }
     }
 
-    /// The live hosts, recently started ones and this one. Excludes hosts that can't be reached
-    /// from here and silent relays, so that they aren't chosen as relays.
-    fn fleet_hosts(&self, own: &FleetHost) -> Vec<FleetHost> {
+    /// Hosts for the topology: the live ones, recently started ones and this one, without hosts
+    /// that could not be reached and relays that failed recently.
+    fn topology_hosts(&self, own: &FleetHost) -> Vec<FleetHost> {
         let now = Instant::now();
-        let mut hosts = self.state.book().fleet_hosts(now);
+        let mut hosts = self.state.servers().fleet_hosts(now);
         let live_hosts: IndexSet<HostName> = hosts.iter().map(|host| host.host.clone()).collect();
-        // Without any live peer, members are known only from their records, of any age.
+        // Without live peers, members with older records are included.
         let has_no_live_peers = live_hosts.is_empty();
         let fleet_state = self.fleet_state.borrow();
         let members = fleet_state.fleet_hosts(boot_now());
@@ -149,7 +151,7 @@
         hosts.retain(|host| {
             host.host != own.host
                 && !connections.has_failed(&host.host)
-                && !choice.is_silent(&host.host, now)
+                && !choice.failed_recently(&host.host, now)
         });
         hosts.push(own.clone());
         hosts
@@ -180,7 +182,7 @@
     }
 
     fn next_message(&self, max_parts: usize) -> GossipMessage {
-        let mut gossip = self.state.book().take_news(max_parts, Instant::now());
+        let mut gossip = self.state.servers().take_gossip(max_parts, Instant::now());
         gossip.host = Some(self.state.settings.host.clone());
         gossip.zone = Some(self.state.settings.zone.clone());
         gossip.link_kbps = Some(self.state.settings.link_kbps());
@@ -190,14 +192,14 @@
         gossip
     }
 
-    /// Ages of recently named versions. Beyond the bound, the exact age is irrelevant.
+    /// Ages of target versions published recently. Beyond the bound, the exact age is irrelevant.
     fn weights_ages(&self) -> Vec<WeightsAge> {
         let now = boot_now();
         let weights = self.state.weights.load();
         let ages = weights.targets().map(|(model, target)| WeightsAge {
             model: model.clone(),
             version: target.version,
-            age_ms: now.since(target.learned).as_millis() as u64,
+            age_ms: now.since(target.published_at).as_millis() as u64,
         });
         let max_age_ms = self.state.settings.bounds.weights_ms;
         ages.filter(|age| age.age_ms < max_age_ms).collect()
--- a/crates/entry/src/control/log_source.rs
+++ b/crates/entry/src/control/log_source.rs
@@ -1,4 +1,5 @@
-//! Reads records from the store, or from a router that reads it.
+//! Reads log records from the store, or from a zone reader: a router that reads the store for its
+//! availability zone.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -15,12 +16,12 @@
 use fulmargate_consortium::StoreClient;
 use fulmargate_consortium::StoreError;
 use fulmargate_dispatch::BootTime;
-use fulmargate_dispatch::LogAnswer;
 use fulmargate_dispatch::LogPosition;
-use fulmargate_dispatch::LogQuestion;
+use fulmargate_dispatch::LogRequest;
+use fulmargate_dispatch::LogResponse;
 use fulmargate_dispatch::LogTopic;
 use fulmargate_dispatch::RecordSource;
-use fulmargate_dispatch::SubscriberStore;
+use fulmargate_dispatch::StoreAccess;
 use fulmargate_dispatch::ZonePeer;
 use fulmargate_dispatch::record_source;
 use fulmargate_names::HostName;
@@ -40,31 +41,33 @@
 use crate::control::fleet_codec::encode_payload;
 use crate::control::fleet_watcher::SharedFleetState;
 use crate::control::record_cache::RecordCache;
-use crate::sockets::watch_peer;
+use crate::sockets::set_peer_timeout;
 use crate::state::SharedState;
 use crate::state::boot_now;
 
-/// Added to the wait of a request to a router, so that the router's next proof arrives within it.
-const PROOF_GRACE: Duration = Duration::from_millis(250);
+/// Added to the wait of a request to a zone reader, so that the reader's own long poll returns
+/// within it.
+const READER_POLL_GRACE: Duration = Duration::from_millis(250);
 /// Added to the wait for the response timeout of a router in the same zone.
 const REQUEST_GRACE: Duration = Duration::from_millis(300);
 /// Timeout for a page of the newest records, which doesn't wait.
 const PAGE_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Maximum retry delay of hosts that read the store themselves; they are few.
+/// Maximum retry delay of hosts that read the store themselves.
 const READER_MAX_RETRY_DELAY: Duration = Duration::from_millis(250);
-/// Maximum retry delay of hosts that read from others. Keeps a large fleet from overloading the
-/// store in an outage.
-const SUBSCRIBER_MAX_RETRY_DELAY: Duration = Duration::from_millis(1_000);
-/// A reader that failed to answer is skipped for this time in favour of the other one.
+/// Maximum retry delay of hosts that read through a zone reader. Longer, so that they don't
+/// overload the store when no reader answers.
+const READER_CLIENT_MAX_RETRY_DELAY: Duration = Duration::from_millis(1_000);
+/// How long a zone reader that failed to answer is not asked again.
 const FAILED_READER_COOLDOWN: Duration = Duration::from_millis(2_000);
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
 const PEER_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// Records, and the time up to which they are known to be complete.
-pub(crate) struct ProvenPage {
+pub(crate) struct SourcePage {
     pub(crate) records: Vec<Vec<u8>>,
-    /// Send time of the read that proves completeness; `None` if there is more to read.
-    pub(crate) proven: Option<BootTime>,
+    /// Send time of the read from the store that reached the end of the topic; `None` if there is
+    /// more to read.
+    pub(crate) complete_as_of: Option<BootTime>,
 }
 
 /// The newest record of each key of a topic.
@@ -97,9 +100,8 @@
 }
 
 impl RequestError {
-    /// Whether the router is healthy but over its budget. It isn't marked as failed: the other
-    /// reader refuses the same records, and all subscribers of the zone would fall back to the
-    /// store.
+    /// Whether a healthy zone reader refused the request because of its budget. It is not marked as
+    /// failed, as hosts would then stop asking both readers and read the store.
     fn is_refusal(&self) -> bool {
         matches!(self, RequestError::OverBudget)
     }
@@ -119,10 +121,10 @@
     fleet_state: SharedFleetState,
     record_cache: Rc<RecordCache>,
     connection: Rc<RefCell<Option<ReaderConnection>>>,
-    /// Readers that failed to answer, and when.
+    /// Zone readers that failed to answer, and when.
     failed_readers: Rc<RefCell<IndexMap<HostName, Instant>>>,
     /// State of the store at this host's last direct read, which may be long ago.
-    store_state: Rc<Cell<SubscriberStore>>,
+    store_state: Rc<Cell<StoreAccess>>,
 }
 
 impl LogSource {
@@ -139,7 +141,7 @@
             record_cache,
             connection: Rc::default(),
             failed_readers: Rc::default(),
-            store_state: Rc::new(Cell::new(SubscriberStore::InReach)),
+            store_state: Rc::new(Cell::new(StoreAccess::Reachable)),
         }
     }
 
@@ -152,7 +154,7 @@
     pub(crate) fn max_retry_delay(&self) -> Duration {
         match self.record_source() {
             RecordSource::Store => READER_MAX_RETRY_DELAY,
-            RecordSource::Routers(_) => SUBSCRIBER_MAX_RETRY_DELAY,
+            RecordSource::Routers(_) => READER_CLIENT_MAX_RETRY_DELAY,
         }
     }
 
@@ -168,7 +170,7 @@
         let sent = boot_now();
         let first = self.client.newest(topic, None, PAGE_TIMEOUT).await?;
         let (end, mut next, mut records) = (first.end, first.next, first.records);
-        self.state.note_epoch(end.epoch);
+        self.state.record_epoch(end.epoch);
         while let Some(after) = next {
             let page = self.client.newest(topic, Some(&after), PAGE_TIMEOUT).await?;
             if page.end.epoch != end.epoch {
@@ -193,7 +195,7 @@
         from: LogPosition,
         wait: Duration,
         grace: Duration,
-    ) -> Result<ProvenPage, StoreError> {
+    ) -> Result<SourcePage, StoreError> {
         tokio::select! {
             page = self.read_any_source(topic, from, wait, grace) => page,
             epoch = self.state.epoch_after(from.epoch) => Err(StoreError::Restored { epoch }),
@@ -206,7 +208,7 @@
         from: LogPosition,
         wait: Duration,
         grace: Duration,
-    ) -> Result<ProvenPage, StoreError> {
+    ) -> Result<SourcePage, StoreError> {
         if let Some((reader, address)) = self.select_reader() {
             let request = log_request(topic, from, wait);
             let requested_at = boot_now();
@@ -214,8 +216,8 @@
                 Ok(answer) => {
                     metrics::counter!("fulmargate_log_reads_total", "source" => "router")
                         .increment(1);
-                    let proven = Some(answer.proven(requested_at));
-                    return Ok(ProvenPage { records: answer.records, proven });
+                    let complete_as_of = Some(answer.complete_as_of(requested_at));
+                    return Ok(SourcePage { records: answer.records, complete_as_of });
                 }
                 Err(err) => {
                     tracing::debug!(
@@ -237,17 +239,17 @@
         from: LogPosition,
         wait: Duration,
         grace: Duration,
-    ) -> Result<ProvenPage, StoreError> {
+    ) -> Result<SourcePage, StoreError> {
         let sent = boot_now();
         let result = self.client.read(topic, from, wait, wait + grace).await;
         self.store_state.set(match &result {
             Ok(_) | Err(StoreError::Deleted { .. } | StoreError::Restored { .. }) => {
-                SubscriberStore::InReach
+                StoreAccess::Reachable
             }
-            Err(_) => SubscriberStore::OutOfReach,
+            Err(_) => StoreAccess::Unreachable,
         });
         if let Err(StoreError::Restored { epoch }) = &result {
-            self.state.note_epoch(*epoch);
+            self.state.record_epoch(*epoch);
         }
         let page = result?;
         metrics::counter!("fulmargate_log_reads_total", "source" => "store").increment(1);
@@ -255,7 +257,7 @@
         if self.may_serve_peers() {
             self.record_cache.put(topic, from, &page.records, is_complete.then_some(sent));
         }
-        Ok(ProvenPage { records: page.records, proven: is_complete.then_some(sent) })
+        Ok(SourcePage { records: page.records, complete_as_of: is_complete.then_some(sent) })
     }
 
     /// Whether other hosts may request records from this one.
@@ -267,7 +269,7 @@
     /// that has just started find a reader before it has received any gossip.
     fn zone_peers(&self) -> Vec<ZonePeer> {
         let settings = &self.state.settings;
-        let mut peers = self.state.book().zone_peers(&settings.zone, Instant::now());
+        let mut peers = self.state.servers().zone_peers(&settings.zone, Instant::now());
         let live_hosts: IndexSet<HostName> = peers.iter().map(|peer| peer.host.clone()).collect();
         let fleet_state = self.fleet_state.borrow();
         let recent = fleet_state.new_members(&settings.zone, boot_now());
@@ -277,8 +279,8 @@
         peers
     }
 
-    /// The reader to request from; `None` if this host reads the store or no reader has answered
-    /// recently.
+    /// The zone reader to request from; `None` if this host reads the store or all zone readers
+    /// have failed recently.
     fn select_reader(&self) -> Option<(HostName, SocketAddr)> {
         let RecordSource::Routers(readers) = self.record_source() else { return None };
         let mut failed_readers = self.failed_readers.borrow_mut();
@@ -295,8 +297,8 @@
     async fn request_records(
         &self,
         address: SocketAddr,
-        request: LogQuestion,
-    ) -> Result<LogAnswer, RequestError> {
+        request: LogRequest,
+    ) -> Result<LogResponse, RequestError> {
         let response_timeout = Duration::from_millis(request.wait_ms) + REQUEST_GRACE;
         let outcome = timeout(response_timeout, self.request_on_connection(address, request)).await;
         let result = outcome.unwrap_or(Err(RequestError::TimedOut));
@@ -310,8 +312,8 @@
     async fn request_on_connection(
         &self,
         address: SocketAddr,
-        request: LogQuestion,
-    ) -> Result<LogAnswer, RequestError> {
+        request: LogRequest,
+    ) -> Result<LogResponse, RequestError> {
         let open = self
             .connection
             .borrow()
@@ -329,7 +331,7 @@
         };
         let mut client = client.ready().await?;
         let mut http_request = Request::post(format!("http://{address}/log"));
-        if self.store_state.get() == SubscriberStore::OutOfReach {
+        if self.store_state.get() == StoreAccess::Unreachable {
             http_request = http_request.header(STORE_STATE_HEADER, STORE_UNREACHABLE);
         }
         let http_request = http_request.body(());
@@ -352,16 +354,16 @@
     }
 }
 
-/// The reader renews its proof shortly after the wait of its own read.
-fn log_request(topic: LogTopic, from: LogPosition, wait: Duration) -> LogQuestion {
-    let wait = if wait.is_zero() { wait } else { wait + PROOF_GRACE };
-    LogQuestion { topic, from: from.offset, wait_ms: wait.as_millis() as u64, epoch: from.epoch }
+/// Builds the request to a zone reader for a read with this wait.
+fn log_request(topic: LogTopic, from: LogPosition, wait: Duration) -> LogRequest {
+    let wait = if wait.is_zero() { wait } else { wait + READER_POLL_GRACE };
+    LogRequest { topic, from: from.offset, wait_ms: wait.as_millis() as u64, epoch: from.epoch }
 }
 
 async fn connect(address: SocketAddr) -> Result<ReaderConnection, RequestError> {
     let connecting = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
     let stream = connecting.map_err(|_| RequestError::TimedOut)??;
-    watch_peer(&stream, PEER_TIMEOUT)?;
+    set_peer_timeout(&stream, PEER_TIMEOUT)?;
     let (client, connection) = h2::client::handshake(stream).await?;
     let task = actix_rt::spawn(async move {
         if let Err(err) = connection.await {
--- a/crates/entry/src/control/order_scheduler.rs
+++ b/crates/entry/src/control/order_scheduler.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use fulmargate_consortium::AppendAnswer;
+use fulmargate_consortium::AppendResult;
 use fulmargate_consortium::EngineClient;
 use fulmargate_consortium::StoreClient;
 use fulmargate_dispatch::BootTime;
@@ -14,10 +14,10 @@
 use fulmargate_dispatch::LeaseStep;
 use fulmargate_dispatch::LogPosition;
 use fulmargate_dispatch::LogTopic;
-use fulmargate_dispatch::OrderWave;
+use fulmargate_dispatch::RolloutEngine;
+use fulmargate_dispatch::RolloutPlan;
+use fulmargate_dispatch::RolloutTime;
 use fulmargate_dispatch::ServerKey;
-use fulmargate_dispatch::WaveServer;
-use fulmargate_dispatch::WaveTime;
 use fulmargate_dispatch::WeightsTarget;
 use fulmargate_names::EventKind;
 use fulmargate_names::ModelName;
@@ -32,9 +32,9 @@
 use crate::state::SharedState;
 use crate::state::boot_now;
 
-/// Interval at which the scheduler looks for pending rollouts.
-const IDLE_INTERVAL: Duration = Duration::from_millis(100);
-/// Interval while engines load weights.
+/// Interval at which the scheduler looks for pending rollouts, and upper bound of its other delays.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// Interval of scheduling steps while this router holds the lease or is about to take it.
 const BUSY_INTERVAL: Duration = Duration::from_millis(25);
 const APPEND_TIMEOUT: Duration = Duration::from_millis(800);
 
@@ -57,14 +57,14 @@
     fleet_state: SharedFleetState,
     reader: FleetReader,
     shared: Rc<SchedulerState>,
-    wave: OrderWave,
+    rollout_plan: RolloutPlan,
 }
 
 /// A weights target that some engines have not loaded.
 struct PendingRollout {
     model: ModelName,
     target: WeightsTarget,
-    servers: Vec<WaveServer>,
+    servers: Vec<RolloutEngine>,
 }
 
 impl OrderScheduler {
@@ -84,7 +84,7 @@
             fleet_state,
             reader,
             shared: Rc::new(shared),
-            wave: OrderWave::default(),
+            rollout_plan: RolloutPlan::default(),
         }
     }
 
@@ -93,7 +93,7 @@
         loop {
             let delay = match self.next_rollout() {
                 Some(rollout) => self.advance(rollout).await,
-                None => IDLE_INTERVAL,
+                None => POLL_INTERVAL,
             };
             sleep(delay).await;
         }
@@ -109,22 +109,22 @@
 
     fn rollout_for(&self, model: &ModelName, target: WeightsTarget) -> PendingRollout {
         let in_progress = self.shared.in_progress.borrow();
-        let book = self.state.book();
+        let servers = self.state.servers();
         let now = Instant::now();
         let table = self.state.table.load();
         let has_engines = |service| table.as_ref().is_some_and(|table| table.has_engines(service));
-        let servers = book
+        let servers = servers
             .states()
             .filter(|state| has_engines(&state.entry().service))
             .filter_map(|state| {
-                Some(WaveServer {
+                Some(RolloutEngine {
                     key: state.key(),
                     name: state.entry().name.clone(),
                     zone: state.entry().zone.clone(),
                     version: state.confirmed_weights(model)?,
                     load: state.occupancy(now),
                     is_ordered: in_progress.contains(&state.key()),
-                    is_open: state.is_open(now),
+                    is_reachable: state.is_open(now),
                 })
             })
             .collect();
@@ -135,14 +135,19 @@
     /// step.
     async fn advance(&self, rollout: PendingRollout) -> Duration {
         if !self.fleet_state.borrow().is_read() {
-            return IDLE_INTERVAL;
+            return POLL_INTERVAL;
         }
         let now = boot_now();
         let link_kbps = self.state.settings.link_kbps();
-        let link_rank = self.state.book().link_rank(link_kbps, Instant::now());
+        let link_rank = self.state.servers().link_rank(link_kbps, Instant::now());
         let step = {
             let fleet_state = self.fleet_state.borrow();
-            self.shared.lease.borrow().step(&fleet_state, rollout.target.learned, link_rank, now)
+            self.shared.lease.borrow().step(
+                &fleet_state,
+                rollout.target.published_at,
+                link_rank,
+                now,
+            )
         };
         match step {
             LeaseStep::Act => {
@@ -153,7 +158,7 @@
                 self.append_lease(at).await;
                 BUSY_INTERVAL
             }
-            LeaseStep::Wait(wait) => wait.clamp(BUSY_INTERVAL, IDLE_INTERVAL),
+            LeaseStep::Wait(wait) => wait.clamp(BUSY_INTERVAL, POLL_INTERVAL),
         }
     }
 
@@ -175,8 +180,8 @@
         let sent = boot_now();
         let topic = LogTopic::Fleet;
         match self.store.append(topic, Some(at), &[encoded], APPEND_TIMEOUT).await {
-            Ok(AppendAnswer::Written(position)) => self.record_lease(position, &record, sent),
-            Ok(AppendAnswer::Moved) => self.catch_up_beyond(at, "topic end has moved").await,
+            Ok(AppendResult::Written(position)) => self.record_lease(position, &record, sent),
+            Ok(AppendResult::Conflict) => self.catch_up_beyond(at, "topic end has moved").await,
             // The record may have been written.
             Err(err) => self.catch_up_beyond(at, &err.to_string()).await,
         }
@@ -202,7 +207,7 @@
             fleet_state.apply(position.offset, record, sent);
         }
         let fence = position.fence();
-        self.shared.lease.borrow_mut().appended(fence, sent);
+        self.shared.lease.borrow_mut().record_append(fence, sent);
         let kind = EventKind::LeaseTaken;
         tracing::info!(event = kind.number(), name = kind.name(), %fence);
     }
@@ -213,16 +218,16 @@
     }
 
     fn start_orders(&self, rollout: &PendingRollout) {
-        let wave = WaveTime {
-            age: boot_now().since(rollout.target.learned),
+        let time = RolloutTime {
+            age: boot_now().since(rollout.target.published_at),
             bound: self.state.settings.bounds.weights(),
         };
-        for key in self.wave.next(&rollout.servers, rollout.target.version, wave) {
-            let entry = self.state.book().state(key).map(|state| state.entry().clone());
+        for key in self.rollout_plan.next(&rollout.servers, rollout.target.version, time) {
+            let entry = self.state.servers().state(key).map(|state| state.entry().clone());
             let Some(entry) = entry else { continue };
             self.shared.in_progress.borrow_mut().insert(key);
-            self.state.book().order_given(key, Instant::now());
-            self.state.loading.begin(key, &rollout.model, rollout.target.version);
+            self.state.servers().record_weights_order(key, Instant::now());
+            self.state.loading.start(key, &rollout.model, rollout.target.version);
             let task = OrderTask {
                 state: self.state.clone(),
                 engines: self.engines.clone(),
--- a/crates/entry/src/control/order_task/tests.rs
+++ b/crates/entry/src/control/order_task/tests.rs
@@ -4,17 +4,17 @@
 
 use fulmargate_consortium::EngineReport;
 use fulmargate_consortium::StoreError;
-use fulmargate_dispatch::ConnectEnd;
+use fulmargate_dispatch::ConnectOutcome;
 use indexmap::IndexMap;
 
 use super::REPORT_TIMEOUT;
-use super::report_connect_end;
+use super::report_connect_outcome;
 
 struct ReportCase {
     name: &'static str,
     is_answered: bool,
     elapsed: Duration,
-    expected: Option<ConnectEnd>,
+    expected: Option<ConnectOutcome>,
 }
 
 const PROMPT: Duration = Duration::from_millis(5);
@@ -25,20 +25,20 @@
         name: "prompt",
         is_answered: true,
         elapsed: PROMPT,
-        expected: Some(ConnectEnd::Reached),
+        expected: Some(ConnectOutcome::Reached),
     },
     ReportCase { name: "late", is_answered: true, elapsed: LATE, expected: None },
     ReportCase {
         name: "refused",
         is_answered: false,
         elapsed: PROMPT,
-        expected: Some(ConnectEnd::Refused),
+        expected: Some(ConnectOutcome::Refused),
     },
     ReportCase {
         name: "timed out",
         is_answered: false,
         elapsed: REPORT_TIMEOUT,
-        expected: Some(ConnectEnd::Silent),
+        expected: Some(ConnectOutcome::TimedOut),
     },
 ];
 
@@ -60,7 +60,7 @@
 #[test]
 fn late_reports_do_not_mask_a_saturated_link() {
     for case in CASES {
-        let actual = report_connect_end(&answer(case.is_answered), case.elapsed);
+        let actual = report_connect_outcome(&answer(case.is_answered), case.elapsed);
         assert_eq!(actual, case.expected, "{}", case.name);
     }
 }
--- a/crates/entry/src/control/server_watcher.rs
+++ b/crates/entry/src/control/server_watcher.rs
@@ -5,8 +5,8 @@
 
 use fulmargate_consortium::KeyedRecord;
 use fulmargate_consortium::StoreError;
+use fulmargate_consortium::decode_keyed;
 use fulmargate_consortium::decode_server;
-use fulmargate_consortium::split_keyed;
 use fulmargate_dispatch::BootTime;
 use fulmargate_dispatch::LogPosition;
 use fulmargate_dispatch::LogTopic;
@@ -26,9 +26,9 @@
 use crate::state::SharedState;
 use crate::state::boot_now;
 
-/// Delay between reads. Long polls would return some 20 times a second, as each server writes about
-/// once a second. A draining server must receive no new requests within 2 s, which bounds delay,
-/// timeout and retry.
+/// Delay between reads. Servers write often, so that a long poll would return almost at once.
+/// Delay, timeout and retry together must stay below 2 s, within which a draining server must stop
+/// receiving requests.
 const READ_INTERVAL: Duration = Duration::from_millis(700);
 const READ_TIMEOUT: Duration = Duration::from_millis(600);
 
@@ -92,20 +92,20 @@
     async fn read_next(&mut self, from: LogPosition) -> Result<bool, StoreError> {
         let topic = LogTopic::Servers;
         let page = self.source.read(topic, from, Duration::ZERO, READ_TIMEOUT).await?;
-        self.record_contact(page.proven.unwrap_or_else(boot_now));
+        self.record_response(page.complete_as_of.unwrap_or_else(boot_now));
         for record in &page.records {
-            match split_keyed(record) {
+            match decode_keyed(record) {
                 Ok(record) => self.apply(&record),
                 Err(err) => self.log_unusable_entry(&err.to_string()),
             }
         }
         self.next = Some(from.after(page.records.len()));
-        Ok(page.proven.is_some())
+        Ok(page.complete_as_of.is_some())
     }
 
     async fn read_listing(&mut self) -> Result<bool, StoreError> {
         let newest = self.source.read_newest(LogTopic::Servers).await?;
-        self.record_contact(newest.sent);
+        self.record_response(newest.sent);
         if self.epoch.record_listing(newest.end.epoch)? {
             self.table.restored(boot_now());
         }
@@ -119,8 +119,9 @@
         Ok(true)
     }
 
-    fn record_contact(&mut self, sent: BootTime) {
-        if self.table.contact(sent, boot_now()) {
+    /// Records a response of the store or a zone reader, and logs the end of an outage.
+    fn record_response(&mut self, sent: BootTime) {
+        if self.table.record_response(sent, boot_now()) {
             let kind = EventKind::ServersLapsed;
             let servers = self.known.len();
             tracing::warn!(event = kind.number(), name = kind.name(), servers);
@@ -160,17 +161,17 @@
         }
     }
 
-    /// Rate-limited, since other writers can append invalid entries at any rate.
+    /// Rate-limited, since any number of invalid entries may be appended.
     fn log_unusable_entry(&self, reason: &str) {
         let kind = EventKind::ServerEntryUnusable;
-        if self.state.lines.allows(kind, Instant::now()) {
+        if self.state.log_limiter.allows(kind, Instant::now()) {
             tracing::warn!(event = kind.number(), name = kind.name(), reason);
         }
     }
 
     fn publish(&mut self) {
         self.table.expire(boot_now());
-        self.state.book().sync(&self.table.usable(), Instant::now());
+        self.state.servers().sync(&self.table.usable(), Instant::now());
         self.log_changes();
     }
 
--- a/crates/entry/src/state/connect_outcome.rs
+++ b/crates/entry/src/state/connect_outcome.rs
@@ -1,10 +1,10 @@
-//! Records the outcomes of connection attempts, and logs when this host suspects its own network.
+//! Records the outcomes of connection attempts, and logs suspected local network faults.
 
 use std::sync::Arc;
 
-use fulmargate_dispatch::ConnectEnd;
-use fulmargate_dispatch::ReachNews;
+use fulmargate_dispatch::ConnectOutcome;
 use fulmargate_dispatch::ServerKey;
+use fulmargate_dispatch::SuspicionChange;
 use fulmargate_names::EventKind;
 use tokio::task::spawn_local;
 use tokio::time::Instant;
@@ -15,60 +15,64 @@
 use crate::telemetry::count_local_network_suspicion;
 
 /// Records the outcome of a connection attempt to the server. Both threads call this.
-pub(crate) fn note_connect(state: &Arc<SharedState>, server: ServerKey, end: ConnectEnd) {
-    count_connect(end.name());
+pub(crate) fn record_connect_outcome(
+    state: &Arc<SharedState>,
+    server: ServerKey,
+    outcome: ConnectOutcome,
+) {
+    count_connect(outcome.name());
     let now = Instant::now();
-    let mut servers = state.book();
-    servers.tried(server, end, now);
-    let change = servers.reach_news(now);
+    let mut servers = state.servers();
+    servers.record_connect(server, outcome, now);
+    let change = servers.take_suspicion_change(now);
     drop(servers);
     let Some(change) = change else { return };
-    log_reachability(state, change);
-    if matches!(change, ReachNews::Doubted(_)) {
-        spawn_local(wait_for_recovery(state.clone()));
+    log_suspicion_change(state, change);
+    if matches!(change, SuspicionChange::Started(_)) {
+        spawn_local(log_suspicion_end(state.clone()));
     }
 }
 
-/// Logs the end of the suspicion even if no further connection is attempted.
-async fn wait_for_recovery(state: Arc<SharedState>) {
+/// Logs the end of a suspected local network fault even if no further connection is attempted.
+async fn log_suspicion_end(state: Arc<SharedState>) {
     loop {
         let now = Instant::now();
-        let end = state.book().doubt_end(now);
+        let end = state.servers().suspicion_end(now);
         let Some(end) = end else { break };
         sleep_until(end).await;
     }
-    let change = state.book().reach_news(Instant::now());
+    let change = state.servers().take_suspicion_change(Instant::now());
     if let Some(change) = change {
-        log_reachability(&state, change);
+        log_suspicion_change(&state, change);
     }
 }
 
-fn log_reachability(state: &SharedState, change: ReachNews) {
+fn log_suspicion_change(state: &SharedState, change: SuspicionChange) {
     let kind = match change {
-        ReachNews::Doubted(_) => EventKind::OwnReachDoubted,
-        ReachNews::Restored(..) => EventKind::OwnReachRestored,
+        SuspicionChange::Started(_) => EventKind::OwnReachDoubted,
+        SuspicionChange::Ended(..) => EventKind::OwnReachRestored,
     };
     if kind == EventKind::OwnReachDoubted {
         count_local_network_suspicion();
     }
-    if !state.lines.allows(kind, Instant::now()) {
+    if !state.log_limiter.allows(kind, Instant::now()) {
         return;
     }
     match change {
-        ReachNews::Doubted(count) => {
+        SuspicionChange::Started(count) => {
             tracing::warn!(
                 event = kind.number(),
                 name = kind.name(),
-                silent = count.silent,
-                heard = count.heard,
+                silent = count.unresponsive,
+                heard = count.responsive,
             );
         }
-        ReachNews::Restored(count, duration) => {
+        SuspicionChange::Ended(count, duration) => {
             tracing::info!(
                 event = kind.number(),
                 name = kind.name(),
-                silent = count.silent,
-                heard = count.heard,
+                silent = count.unresponsive,
+                heard = count.responsive,
                 for_ms = duration.as_millis() as u64,
             );
         }
--- a/crates/entry/src/state/shared_state.rs
+++ b/crates/entry/src/state/shared_state.rs
@@ -15,11 +15,11 @@
 use fulmargate_dispatch::CrashConf;
 use fulmargate_dispatch::CrashTracker;
 use fulmargate_dispatch::HeldLease;
-use fulmargate_dispatch::RepeatBudget;
-use fulmargate_dispatch::RepeatConf;
+use fulmargate_dispatch::RetryBudget;
+use fulmargate_dispatch::RetryConf;
 use fulmargate_dispatch::RouteTable;
-use fulmargate_dispatch::ServerBook;
 use fulmargate_dispatch::ServerEntry;
+use fulmargate_dispatch::ServerRegistry;
 use fulmargate_dispatch::WeightsTable;
 use fulmargate_names::HostName;
 use fulmargate_names::Incarnation;
@@ -68,13 +68,13 @@
     /// Engines that are loading weights on this router's order.
     pub(crate) loading: LoadingRegistry,
     /// Prompts that are queued for an engine.
-    pub(crate) waiting: PromptQueue,
+    pub(crate) prompt_queue: PromptQueue,
     /// The newest store epoch seen in any response of the store.
     epoch: watch::Sender<StoreEpoch>,
-    pub(crate) lines: LogRateLimiter,
+    pub(crate) log_limiter: LogRateLimiter,
     proof: Mutex<ConfigProof>,
-    book: Mutex<ServerBook>,
-    budget: Mutex<RepeatBudget>,
+    servers: Mutex<ServerRegistry>,
+    retry_budget: Mutex<RetryBudget>,
     quotas: Mutex<QuotaTracker>,
     crashes: Mutex<CrashTracker>,
 }
@@ -92,7 +92,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct CrashSighting {
     /// Fingerprint of the request.
-    pub(crate) print: u128,
+    pub(crate) fingerprint: u128,
     pub(crate) server: Arc<ServerEntry>,
 }
 
@@ -103,7 +103,7 @@
         crash_sender: UnboundedSender<CrashSighting>,
     ) -> SharedState {
         let bounds = settings.bounds;
-        let retry_conf = RepeatConf {
+        let retry_conf = RetryConf {
             ratio: bounds.repeat_ratio,
             slack: bounds.repeat_slack,
             window: bounds.repeat_window(),
@@ -111,8 +111,9 @@
         let before = |bound: Duration| bound.saturating_sub(PROOF_EXPIRY_MARGIN);
         let mut proof =
             ConfigProof::new(before(bounds.key_revoke()), before(bounds.config_apply()));
-        // The store may have been restored from a backup; the fleet topic shows whether it was.
-        proof.doubt(StoreEpoch(0), boot_now());
+        // The store may have been restored from a backup while this process did not run. Reads are untrusted
+        // for a grace period unless the fleet topic shows that nothing was lost.
+        proof.mark_untrusted(StoreEpoch(0), boot_now());
         let incarnation = Incarnation(uuid::Uuid::new_v4().as_u64_pair().0);
         let quotas = QuotaTracker::new(
             settings.host.clone(),
@@ -129,19 +130,19 @@
             open_connections: AtomicUsize::new(0),
             crash_sender,
             loading: LoadingRegistry::default(),
-            waiting: PromptQueue::default(),
+            prompt_queue: PromptQueue::default(),
             epoch: watch::Sender::default(),
-            lines: LogRateLimiter::default(),
+            log_limiter: LogRateLimiter::default(),
             proof: Mutex::new(proof),
-            book: Mutex::default(),
-            budget: Mutex::new(RepeatBudget::new(retry_conf, Instant::now())),
+            servers: Mutex::default(),
+            retry_budget: Mutex::new(RetryBudget::new(retry_conf, Instant::now())),
             quotas: Mutex::new(quotas),
             crashes: Mutex::new(CrashTracker::new(CrashConf::default())),
         }
     }
 
     /// Records a store epoch seen in a response.
-    pub(crate) fn note_epoch(&self, epoch: StoreEpoch) {
+    pub(crate) fn record_epoch(&self, epoch: StoreEpoch) {
         self.epoch.send_if_modified(|newest| {
             let is_newer = *newest < epoch;
             *newest = epoch.max(*newest);
@@ -149,8 +150,8 @@
         });
     }
 
-    /// Waits for an epoch later than `epoch`. Lets a long poll whose connection died with the store reconnect
-    /// as soon as any other call has reached the restarted store.
+    /// Waits until any response of the store carries an epoch later than `epoch`. A long poll that still waits on a
+    /// dead connection to the store can then be abandoned at once.
     pub(crate) async fn epoch_after(&self, epoch: StoreEpoch) -> StoreEpoch {
         let mut newest = self.epoch.subscribe();
         match newest.wait_for(|newest| epoch < *newest).await {
@@ -172,17 +173,17 @@
 
     /// Returns whether a request with an unknown route or key may be rejected now.
     pub(crate) fn may_reject_unknown(&self) -> bool {
-        self.proof().refuses(boot_now())
+        self.proof().may_reject(boot_now())
     }
 
     /// Load, health and weights of the backend servers.
-    pub(crate) fn book(&self) -> MutexGuard<'_, ServerBook> {
-        lock(&self.book)
+    pub(crate) fn servers(&self) -> MutexGuard<'_, ServerRegistry> {
+        lock(&self.servers)
     }
 
     /// The retry budget.
-    pub(crate) fn budget(&self) -> MutexGuard<'_, RepeatBudget> {
-        lock(&self.budget)
+    pub(crate) fn retry_budget(&self) -> MutexGuard<'_, RetryBudget> {
+        lock(&self.retry_budget)
     }
 
     /// The teams' quotas.
--- a/crates/entry/src/state/status.rs
+++ b/crates/entry/src/state/status.rs
@@ -20,14 +20,14 @@
     let now = boot_now();
     let proof_age = state.proof().age(now);
     let admits_keys = state.admits_keys();
-    let live_peers = state.book().live_peers(Instant::now());
+    let live_peers = state.servers().live_peers(Instant::now());
     let servers = server_statuses(state);
     let fleet = state.fleet.load();
     let weights = state.weights.load();
     let targets = weights.targets().map(|(model, target)| WantedWeights {
         model: model.clone(),
         version: target.version,
-        age_ms: now.since(target.learned).as_millis() as u64,
+        age_ms: now.since(target.published_at).as_millis() as u64,
     });
     EntryStatus {
         host: state.settings.host.clone(),
@@ -53,7 +53,7 @@
 
 fn server_statuses(state: &SharedState) -> Vec<ServerStatus> {
     let now = Instant::now();
-    let tracked = state.book();
+    let tracked = state.servers();
     let status = |server: &ServerState| {
         let entry = server.entry();
         let models = entry.models.keys();
--- a/crates/entry/src/traffic/crash_check.rs
+++ b/crates/entry/src/traffic/crash_check.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use fulmargate_dispatch::ConnectEnd;
-use fulmargate_dispatch::ContactStep;
+use fulmargate_dispatch::ConnectOutcome;
+use fulmargate_dispatch::ProbeStep;
 use fulmargate_dispatch::ServerEntry;
 use fulmargate_names::EventKind;
 use fulmargate_names::RequestId;
@@ -15,14 +15,14 @@
 use crate::state::SharedState;
 use crate::traffic::server_connection::ServerConnection;
 
-/// Delay between a failed connection and its evaluation. When this host's own link is saturated, connections
-/// to many servers fail at about the same time; the delay lets most of these failures be recorded first.
+/// Delay between a failed connection and its evaluation. A local network fault makes connections to many servers
+/// fail at about the same time; the delay lets most of these failures be recorded first.
 const EVALUATION_DELAY: Duration = Duration::from_millis(100);
-/// Consecutive failed connections after which a server counts as crashed. Decides the case of a server that
-/// is no longer listed and therefore not tracked.
+/// Connection timeouts after which a server counts as crashed, even if it is no longer listed and therefore not
+/// tracked. Counted anew while a local network fault is suspected.
 const MAX_FAILED_CONNECTIONS: u32 = 2;
-/// If no verdict is reached within this time, such as while this host suspects its own network, the server is
-/// not reported as crashed.
+/// If no verdict is reached within this time, such as during a suspected local network fault, the server is not
+/// reported as crashed.
 const CHECK_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// A request whose connection broke, and the server that was running it.
@@ -30,24 +30,24 @@
     pub(crate) state: Arc<SharedState>,
     pub(crate) id: RequestId,
     /// Fingerprint of the request.
-    pub(crate) print: u128,
+    pub(crate) fingerprint: u128,
     pub(crate) server: Arc<ServerEntry>,
 }
 
 impl CrashCheck {
     /// Checks the server; if it has crashed, records the crash and publishes it to the other routers.
     ///
-    /// A refused connection proves a crash. A timeout does not, because connections also time out on a
-    /// saturated link: it counts only when repeated, and not while this host suspects its own network.
+    /// A single refused connection is taken as a crash. Connections also time out on a saturated link, so timeouts
+    /// count only when repeated, and not while a local network fault is suspected.
     pub(crate) async fn run(self) {
         let Some(reason) = self.detect_crash().await else { return };
-        let CrashCheck { state, id, print, server } = self;
-        state.crashes().note(print, server.key(), Instant::now());
+        let CrashCheck { state, id, fingerprint, server } = self;
+        state.crashes().record(fingerprint, server.key(), Instant::now());
         let kind = EventKind::ServerCrashed;
-        if state.lines.allows(kind, Instant::now()) {
+        if state.log_limiter.allows(kind, Instant::now()) {
             tracing::warn!(event = kind.number(), name = kind.name(), %id, server = %server.name, %reason);
         }
-        let sighting = CrashSighting { print, server };
+        let sighting = CrashSighting { fingerprint, server };
         if state.crash_sender.send(sighting).is_err() {
             tracing::debug!("crash not published to other routers: the process is shutting down");
         }
@@ -57,25 +57,25 @@
     async fn detect_crash(&self) -> Option<String> {
         let key = self.server.key();
         let deadline = Instant::now() + CHECK_TIMEOUT;
-        let mut step = ContactStep::Ask;
+        let mut step = ProbeStep::Probe;
         let mut failed_connections = 0;
         while Instant::now() < deadline {
-            if step == ContactStep::Ask {
+            if step == ProbeStep::Probe {
                 let error =
                     ServerConnection::connect_to_server(&self.state, &self.server).await.err()?;
-                self.state.book().unreachable(key, Instant::now());
-                if error.outcome() == ConnectEnd::Refused {
+                self.state.servers().record_unreachable(key, Instant::now());
+                if error.outcome() == ConnectOutcome::Refused {
                     return Some(error.to_string());
                 }
                 failed_connections += 1;
             }
             sleep(EVALUATION_DELAY).await;
             let now = Instant::now();
-            step = self.state.book().silent(key, now);
-            if self.state.book().doubts_itself(now) {
+            step = self.state.servers().next_probe_step(key, now);
+            if self.state.servers().suspects_local_fault(now) {
                 failed_connections = 0;
             }
-            if step == ContactStep::Unreachable || MAX_FAILED_CONNECTIONS <= failed_connections {
+            if step == ProbeStep::Unreachable || MAX_FAILED_CONNECTIONS <= failed_connections {
                 return Some("no connection lately".to_owned());
             }
         }
--- a/crates/entry/src/traffic/prompt_queue.rs
+++ b/crates/entry/src/traffic/prompt_queue.rs
@@ -7,12 +7,12 @@
 use std::time::Duration;
 
 use fulmargate_dispatch::ChoiceView;
+use fulmargate_dispatch::Placement;
 use fulmargate_dispatch::PlacementRequest;
-use fulmargate_dispatch::Placing;
+use fulmargate_dispatch::QueueOutcome;
+use fulmargate_dispatch::QueueTicket;
 use fulmargate_dispatch::RequestQueue;
-use fulmargate_dispatch::ServerBook;
-use fulmargate_dispatch::WaitEnd;
-use fulmargate_dispatch::WaitNumber;
+use fulmargate_dispatch::ServerRegistry;
 use indexmap::IndexMap;
 use tokio::sync::Notify;
 use tokio::sync::oneshot;
@@ -26,7 +26,7 @@
 use crate::state::boot_now;
 
 /// Engines with outdated weights stop receiving requests this long before requests may no longer start on
-/// these weights, because a request may first wait at the engine.
+/// these weights. The wait that is estimated for each engine is deducted in addition.
 const WEIGHTS_EXPIRY_MARGIN: Duration = Duration::from_millis(1_500);
 /// Maximum time between two passes over a non-empty queue. Engines become available and deadlines approach
 /// without a notification.
@@ -44,14 +44,14 @@
 #[derive(Default)]
 struct QueueState {
     requests: RequestQueue,
-    senders: IndexMap<WaitNumber, Sender<WaitEnd>>,
+    senders: IndexMap<QueueTicket, Sender<QueueOutcome>>,
 }
 
 /// A queued prompt. Dropping it removes the prompt from the queue, such as when the caller disconnects.
 pub(crate) struct QueuedPrompt {
     state: Arc<SharedState>,
-    number: WaitNumber,
-    receiver: Receiver<WaitEnd>,
+    ticket: QueueTicket,
+    receiver: Receiver<QueueOutcome>,
 }
 
 impl PromptQueue {
@@ -67,13 +67,13 @@
     /// Assigns engines to queued prompts. Never returns.
     pub(crate) async fn run(state: Arc<SharedState>) {
         loop {
-            let changed = state.waiting.changed.notified();
-            if state.waiting.len() == 0 {
+            let changed = state.prompt_queue.changed.notified();
+            if state.prompt_queue.len() == 0 {
                 changed.await;
             } else if timeout(MAX_SERVE_INTERVAL, changed).await.is_err() {
                 tracing::trace!("queue served without notification");
             }
-            state.waiting.serve(&state);
+            state.prompt_queue.serve(&state);
             sleep(MIN_SERVE_INTERVAL).await;
         }
     }
@@ -84,11 +84,11 @@
         if requests.is_empty() {
             return;
         }
-        let ends = with_view(state, |servers, view| requests.serve(servers, view));
-        for (number, end) in ends.unwrap_or_default() {
-            let Some(sender) = senders.swap_remove(&number) else { continue };
-            if let Err(WaitEnd::Taken(taken)) = sender.send(end) {
-                state.book().left(&taken.ticket);
+        let outcomes = with_view(state, |servers, view| requests.run(servers, view));
+        for (ticket, outcome) in outcomes.unwrap_or_default() {
+            let Some(sender) = senders.swap_remove(&ticket) else { continue };
+            if let Err(QueueOutcome::Assigned(assigned)) = sender.send(outcome) {
+                state.servers().record_end(&assigned.ticket);
             }
         }
     }
@@ -100,47 +100,47 @@
 
 impl QueuedPrompt {
     /// Waits until an engine is assigned or the prompt is rejected.
-    pub(crate) async fn wait(mut self) -> WaitEnd {
-        (&mut self.receiver).await.unwrap_or(WaitEnd::Nowhere)
+    pub(crate) async fn wait(mut self) -> QueueOutcome {
+        (&mut self.receiver).await.unwrap_or(QueueOutcome::NoEngine)
     }
 }
 
 impl Drop for QueuedPrompt {
     fn drop(&mut self) {
-        let mut queue = self.state.waiting.lock();
-        queue.requests.leave(self.number);
-        queue.senders.swap_remove(&self.number);
+        let mut queue = self.state.prompt_queue.lock();
+        queue.requests.remove(self.ticket);
+        queue.senders.swap_remove(&self.ticket);
         drop(queue);
         // Release an engine that was assigned in the meantime.
-        if let Ok(WaitEnd::Taken(taken)) = self.receiver.try_recv() {
-            self.state.book().left(&taken.ticket);
+        if let Ok(QueueOutcome::Assigned(assigned)) = self.receiver.try_recv() {
+            self.state.servers().record_end(&assigned.ticket);
         }
     }
 }
 
 /// Places the prompt immediately unless queued prompts take precedence.
-pub(crate) fn try_place(state: &SharedState, placement: &PlacementRequest) -> Placing {
-    if !state.waiting.lock().requests.goes_first(&placement.call) {
-        return Placing::Wait(f64::from(placement.call.prompt_tokens()));
+pub(crate) fn try_place(state: &SharedState, placement: &PlacementRequest) -> Placement {
+    if !state.prompt_queue.lock().requests.may_bypass(&placement.call) {
+        return Placement::Queued(f64::from(placement.call.prompt_tokens()));
     }
-    with_view(state, |servers, view| servers.place(placement, view)).unwrap_or(Placing::Nowhere)
+    with_view(state, |servers, view| servers.place(placement, view)).unwrap_or(Placement::NoEngine)
 }
 
 /// Adds the prompt to the queue.
 pub(crate) fn enqueue(state: &Arc<SharedState>, placement: PlacementRequest) -> QueuedPrompt {
     let (sender, receiver) = oneshot::channel();
-    let mut queue = state.waiting.lock();
-    let number = queue.requests.enter(placement);
-    queue.senders.insert(number, sender);
+    let mut queue = state.prompt_queue.lock();
+    let ticket = queue.requests.push(placement);
+    queue.senders.insert(ticket, sender);
     drop(queue);
-    state.waiting.wake();
-    QueuedPrompt { state: state.clone(), number, receiver }
+    state.prompt_queue.wake();
+    QueuedPrompt { state: state.clone(), ticket, receiver }
 }
 
 /// Runs `decide` on the current state. Returns none until a configuration is loaded.
 fn with_view<T>(
     state: &SharedState,
-    decide: impl FnOnce(&mut ServerBook, ChoiceView<'_>) -> T,
+    decide: impl FnOnce(&mut ServerRegistry, ChoiceView<'_>) -> T,
 ) -> Option<T> {
     let table = state.table.load_full()?;
     let weights = state.weights.load_full();
@@ -152,5 +152,5 @@
         now: Instant::now(),
         boot_now: boot_now(),
     };
-    Some(decide(&mut state.book(), view))
+    Some(decide(&mut state.servers(), view))
 }
--- a/crates/entry/src/traffic/request_decoder.rs
+++ b/crates/entry/src/traffic/request_decoder.rs
@@ -1,4 +1,4 @@
-//! Decodes and admits callers' requests.
+//! Decodes callers' requests and admits them: authenticates the key, finds the route and charges the quota.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -60,7 +60,7 @@
 ) -> Result<DecodedRequest, RequestFailure> {
     let admitted = admit(state, &parts)?;
     let route = admitted.route.clone();
-    let request_timeout = admitted.head.patience.unwrap_or(route.timeout).min(route.timeout);
+    let request_timeout = admitted.head.time_left.unwrap_or(route.timeout).min(route.timeout);
     let deadline = arrived + request_timeout;
     let body = read_body(body, admitted.table.limits().body_bytes, deadline).await?;
     let team = admitted.team.as_ref();
@@ -73,7 +73,7 @@
         priority: team.and_then(|team| team.priority).unwrap_or(route.priority),
         arrived,
         deadline,
-        print: fingerprint(&admitted, &parts, &body),
+        fingerprint: fingerprint(&admitted, &parts, &body),
         prompt: admitted.head.prompt,
         route,
     };
@@ -83,12 +83,13 @@
 
 /// Looks up the route and team of a request. Fails with `NotReady` until a configuration is loaded.
 pub(crate) fn admit(state: &SharedState, parts: &Parts) -> Result<AdmittedHead, RequestFailure> {
+    // Stands for the caller's remaining time if the head does not state it. It only bounds `retry-after`.
     let time_left = Duration::from_secs(1);
     let fail = |kind: ErrorKind| RequestFailure::new(kind, time_left);
     let head = CallerHead::decode(parts).map_err(|err| {
         fail(ErrorKind::BadRequest).with_detail(err.to_string()).with_connection_close()
     })?;
-    let fail = |kind: ErrorKind| RequestFailure::new(kind, head.patience.unwrap_or(time_left));
+    let fail = |kind: ErrorKind| RequestFailure::new(kind, head.time_left.unwrap_or(time_left));
     let Some(table) = state.table.load_full() else {
         return Err(fail(ErrorKind::NotReady).with_connection_close());
     };
--- a/crates/entry/src/traffic/request_handler/plan.rs
+++ b/crates/entry/src/traffic/request_handler/plan.rs
@@ -2,14 +2,14 @@
 
 use std::time::Duration;
 
-use fulmargate_consortium::SendHead;
+use fulmargate_consortium::ServerRequestHead;
+use fulmargate_dispatch::AssignedEngine;
 use fulmargate_dispatch::ChoiceReason;
+use fulmargate_dispatch::Placement;
 use fulmargate_dispatch::PlacementRequest;
-use fulmargate_dispatch::Placing;
+use fulmargate_dispatch::QueueOutcome;
 use fulmargate_dispatch::RouteKind;
 use fulmargate_dispatch::ServerEntry;
-use fulmargate_dispatch::TakenEngine;
-use fulmargate_dispatch::WaitEnd;
 use fulmargate_names::ModelName;
 use fulmargate_names::ServiceName;
 use fulmargate_names::WeightsVersion;
@@ -27,9 +27,9 @@
 use crate::traffic::request_handler::ResumePoint;
 use crate::traffic::send_attempt::SendPlan;
 
-/// An idempotent request without a response after this share of its target latency is sent to another server.
-/// A healthy server has nearly always responded by then.
-const HEDGE_DELAY_SHARE: f64 = 0.6;
+/// An attempt of an idempotent request without a response after this share of its target latency is abandoned, and
+/// the request is sent to another server.
+const ATTEMPT_TIMEOUT_SHARE: f64 = 0.6;
 /// Interval at which an unresponsive server is probed, as a share of the target latency.
 const PROBE_INTERVAL_SHARE: f64 = 1.0;
 
@@ -57,12 +57,12 @@
 
     fn plan_plain(&self, service: &ServiceName) -> Option<SendPlan> {
         let now = Instant::now();
-        let mut servers = self.state.book();
+        let mut servers = self.state.servers();
         let zone = &self.state.settings.zone;
         let server = servers.choose_plain(service, zone, &self.excluded_servers, now)?;
-        let ticket = servers.begin(self.facts(), server.key(), now);
+        let ticket = servers.record_send(self.facts(), server.key(), now);
         drop(servers);
-        let head = self.send_head(&server);
+        let head = self.server_request_head(&server);
         let in_flight = InFlightRequest::new(self.state.clone(), ticket);
         let head_deadline = self.attempt_deadline();
         count_send("plain");
@@ -85,8 +85,8 @@
             only_weights: point.weights,
             excluded: self.excluded_servers.clone(),
         };
-        let Some(taken) = self.reserve_engine(placement).await? else { return Ok(None) };
-        let TakenEngine { choice, ticket } = taken;
+        let Some(assigned) = self.reserve_engine(placement).await? else { return Ok(None) };
+        let AssignedEngine { choice, ticket } = assigned;
         // Releases the ticket on every early return below.
         let in_flight = InFlightRequest::new(self.state.clone(), ticket);
         // The configuration may have changed, and the key may have been revoked, while the prompt was queued.
@@ -101,7 +101,7 @@
         count_send(reason);
         self.log_prompt_sent(&choice, reason);
         let start_deadline = self.start_deadline(&model, choice.weights);
-        let mut head = self.send_head(&choice.server);
+        let mut head = self.server_request_head(&choice.server);
         head.weights = Some(choice.weights);
         head.salt = Some(choice.salt);
         head.fetch_from = choice.fetch.map(|fetch| fetch.from);
@@ -122,31 +122,31 @@
     async fn reserve_engine(
         &self,
         placement: PlacementRequest,
-    ) -> Result<Option<TakenEngine>, RequestFailure> {
+    ) -> Result<Option<AssignedEngine>, RequestFailure> {
         match try_place(&self.state, &placement) {
-            Placing::Taken(taken) => return Ok(Some(*taken)),
-            Placing::Nowhere => return Ok(None),
-            Placing::Wait(_) => {}
+            Placement::Assigned(assigned) => return Ok(Some(*assigned)),
+            Placement::NoEngine => return Ok(None),
+            Placement::Queued(_) => {}
         }
         let deadline = placement.call.deadline;
-        let began = Instant::now();
+        let started_at = Instant::now();
         let queued = enqueue(&self.state, placement);
         self.log_queued();
-        let end = timeout_at(deadline, queued.wait()).await;
-        record_engine_wait(wait_outcome_label(end.as_ref().ok()), began.elapsed());
-        match end {
-            Ok(WaitEnd::Taken(taken)) => Ok(Some(*taken)),
-            Ok(WaitEnd::Nowhere) => Ok(None),
-            Ok(WaitEnd::Refused(delay)) => {
+        let outcome = timeout_at(deadline, queued.wait()).await;
+        record_engine_wait(wait_outcome_label(outcome.as_ref().ok()), started_at.elapsed());
+        match outcome {
+            Ok(QueueOutcome::Assigned(assigned)) => Ok(Some(*assigned)),
+            Ok(QueueOutcome::NoEngine) => Ok(None),
+            Ok(QueueOutcome::Refused(delay)) => {
                 Err(self.failure(self.progress.timeout()).with_retry_delay(delay))
             }
             Err(_) => Err(self.failure(self.progress.timeout())),
         }
     }
 
-    fn send_head(&self, server: &ServerEntry) -> SendHead {
+    fn server_request_head(&self, server: &ServerEntry) -> ServerRequestHead {
         let facts = self.facts();
-        SendHead {
+        ServerRequestHead {
             server: server.name.clone(),
             time_left: facts.deadline.saturating_duration_since(Instant::now()),
             team: facts.team.clone(),
@@ -159,8 +159,9 @@
         }
     }
 
-    /// The time at which an attempt is abandoned although its server is reachable. Only idempotent requests are
-    /// hedged: sending prompts a second time would overload busy engines further.
+    /// The time at which an attempt is abandoned although its server is reachable: before the request's deadline only
+    /// if the request is idempotent and may be sent again. Sending prompts a second time would overload busy
+    /// engines further.
     fn attempt_deadline(&self) -> Instant {
         let facts = self.facts();
         let route = &facts.route;
@@ -168,14 +169,14 @@
         if is_last || route.kind != RouteKind::Idempotent {
             return facts.deadline;
         }
-        facts.deadline.min(Instant::now() + route.target_latency.mul_f64(HEDGE_DELAY_SHARE))
+        facts.deadline.min(Instant::now() + route.target_latency.mul_f64(ATTEMPT_TIMEOUT_SHARE))
     }
 
     /// The latest time at which a request may start on this weights version.
     fn start_deadline(&self, model: &ModelName, weights: WeightsVersion) -> Instant {
         let max_age = self.state.settings.bounds.weights();
         let targets = self.state.weights.load();
-        match targets.time_to_begin(model, weights, max_age, boot_now()) {
+        match targets.max_start_delay(model, weights, max_age, boot_now()) {
             Some(time) => Instant::now() + time,
             None => self.facts().deadline,
         }
@@ -185,24 +186,24 @@
     /// route's timeout, so that the server is not abandoned before the deadline.
     pub(crate) fn probe_interval(&self) -> Duration {
         let route = &self.facts().route;
-        match self.progress.may_go_elsewhere(route) {
+        match self.progress.may_fail_over(route) {
             true => route.target_latency.mul_f64(PROBE_INTERVAL_SHARE),
             false => route.timeout,
         }
     }
 }
 
-fn wait_outcome_label(end: Option<&WaitEnd>) -> &'static str {
-    match end {
-        Some(WaitEnd::Taken(_)) => "taken",
-        Some(WaitEnd::Refused(_)) => "refused",
-        Some(WaitEnd::Nowhere) | None => "none",
+fn wait_outcome_label(outcome: Option<&QueueOutcome>) -> &'static str {
+    match outcome {
+        Some(QueueOutcome::Assigned(_)) => "taken",
+        Some(QueueOutcome::Refused(_)) => "refused",
+        Some(QueueOutcome::NoEngine) | None => "none",
     }
 }
 
 fn reason_label(reason: ChoiceReason) -> &'static str {
     match reason {
-        ChoiceReason::Home => "home",
+        ChoiceReason::Owner => "home",
         ChoiceReason::Cheaper => "cheaper",
         ChoiceReason::LastResort => "last_resort",
     }
--- a/crates/entry/src/traffic/send_attempt.rs
+++ b/crates/entry/src/traffic/send_attempt.rs
@@ -4,11 +4,11 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use fulmargate_consortium::AnswerHead;
-use fulmargate_consortium::SendHead;
-use fulmargate_dispatch::ConnectEnd;
-use fulmargate_dispatch::ContactStep;
-use fulmargate_dispatch::SendEnd;
+use fulmargate_consortium::ResponseHead;
+use fulmargate_consortium::ServerRequestHead;
+use fulmargate_dispatch::ConnectOutcome;
+use fulmargate_dispatch::ProbeStep;
+use fulmargate_dispatch::SendOutcome;
 use fulmargate_dispatch::ServerEntry;
 use fulmargate_names::WeightsVersion;
 use http::Request;
@@ -33,14 +33,14 @@
 /// How often a request that waits for a response checks whether its server has failed.
 const SERVER_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Failed probe connections after which an unresponsive server counts as unreachable. A refused connection
-/// counts at once.
+/// Failed probe connections after which an unresponsive server counts as unreachable. A single refused connection
+/// suffices.
 const MAX_FAILED_PROBES: u32 = 2;
 
 /// The chosen server and the parameters of a send.
 pub(crate) struct SendPlan {
     pub(crate) server: Arc<ServerEntry>,
-    pub(crate) head: SendHead,
+    pub(crate) head: ServerRequestHead,
     /// The weights version that the request must run on.
     pub(crate) weights: Option<WeightsVersion>,
     /// Deadline for the response head.
@@ -53,7 +53,7 @@
 /// A response whose head has arrived.
 pub(crate) struct ServerResponse {
     pub(crate) parts: Parts,
-    pub(crate) head: AnswerHead,
+    pub(crate) head: ResponseHead,
     pub(crate) body: Incoming,
     /// Dropping the connection cancels the request at the server.
     pub(crate) _connection: ServerConnection,
@@ -65,13 +65,13 @@
 /// Why a send produced no usable response.
 #[derive(Debug)]
 pub(crate) struct SendError {
-    pub(crate) end: SendEnd,
+    pub(crate) outcome: SendOutcome,
     pub(crate) reason: String,
 }
 
 impl SendError {
-    fn new(end: SendEnd, reason: &dyn ToString) -> SendError {
-        SendError { end, reason: reason.to_string() }
+    fn new(outcome: SendOutcome, reason: &dyn ToString) -> SendError {
+        SendError { outcome, reason: reason.to_string() }
     }
 }
 
@@ -85,7 +85,7 @@
     /// Connects to the planned server.
     pub(crate) async fn connect(plan: SendPlan) -> Result<ConnectedSend, SendError> {
         let result = plan.in_flight.connect(&plan.server).await;
-        let connection = result.map_err(|err| SendError::new(SendEnd::NotSent, &err))?;
+        let connection = result.map_err(|err| SendError::new(SendOutcome::NotSent, &err))?;
         Ok(ConnectedSend { plan, connection })
     }
 
@@ -109,11 +109,11 @@
         let request = encode_request(decoded, &plan)?;
         let response = wait_for_response_head(&mut connection, request, &plan).await?;
         let (parts, body) = response.into_parts();
-        let head = AnswerHead::decode(&parts);
+        let head = ResponseHead::decode(&parts);
         plan.in_flight.record_response_head(head.load);
         let matches_request = head.request.as_deref() == Some(decoded.facts.id.as_str());
         if !matches_request && !head.is_misdirected {
-            return Err(SendError::new(SendEnd::Broken, &"the answer names another request"));
+            return Err(SendError::new(SendOutcome::Broken, &"the answer names another request"));
         }
         let SendPlan { server, weights, in_flight, .. } = plan;
         Ok(ServerResponse {
@@ -141,14 +141,14 @@
         let wake_at =
             plan.head_deadline.min(next_probe).min(Instant::now() + SERVER_CHECK_INTERVAL);
         match timeout_at(wake_at, &mut sending).await {
-            Ok(result) => return result.map_err(|err| SendError::new(SendEnd::Broken, &err)),
+            Ok(result) => return result.map_err(|err| SendError::new(SendOutcome::Broken, &err)),
             Err(_) if plan.head_deadline <= Instant::now() => {
-                return Err(SendError::new(SendEnd::TimedOut, &"no answer in time"));
+                return Err(SendError::new(SendOutcome::TimedOut, &"no answer in time"));
             }
             Err(_) => {}
         }
         if plan.in_flight.is_lost(&plan.server) {
-            return Err(SendError::new(SendEnd::Unreachable, &"the server is lost"));
+            return Err(SendError::new(SendOutcome::Unreachable, &"the server is lost"));
         }
         if next_probe <= Instant::now() {
             next_probe = Instant::now() + plan.probe_interval;
@@ -157,7 +157,7 @@
             tokio::select! {
                 biased;
                 result = &mut sending => {
-                    return result.map_err(|err| SendError::new(SendEnd::Broken, &err));
+                    return result.map_err(|err| SendError::new(SendOutcome::Broken, &err));
                 }
                 probed = probe_server(plan) => probed?,
             }
@@ -167,31 +167,31 @@
 
 /// Probes an unresponsive server, unless another request has just done so.
 async fn probe_server(plan: &SendPlan) -> Result<(), SendError> {
-    let unreachable = |reason: String| Err(SendError::new(SendEnd::Unreachable, &reason));
-    match plan.in_flight.next_contact_step() {
-        ContactStep::Wait => Ok(()),
-        ContactStep::Unreachable => unreachable("silent, and no connection lately".to_owned()),
-        ContactStep::Ask => match probe_connection(plan).await {
+    let unreachable = |reason: String| Err(SendError::new(SendOutcome::Unreachable, &reason));
+    match plan.in_flight.next_probe_step() {
+        ProbeStep::Wait => Ok(()),
+        ProbeStep::Unreachable => unreachable("silent, and no connection lately".to_owned()),
+        ProbeStep::Probe => match probe_connection(plan).await {
             Some(err) => unreachable(format!("silent, and {err}")),
             None => Ok(()),
         },
     }
 }
 
-/// Returns why the server is unreachable; none if a connection succeeds, or if the failures are most likely
-/// caused by this host's own network.
+/// Returns why the server is unreachable; none if a connection succeeds, or if one times out while a local network
+/// fault is suspected.
 ///
-/// A single timeout is not enough: when this host's link becomes saturated, the first connections time out
-/// before the failures of others show that the server is not the cause.
+/// A single timeout is not enough: at the start of a local network fault, the first connections time out before
+/// the fault is suspected.
 async fn probe_connection(plan: &SendPlan) -> Option<ConnectError> {
     let mut failed_probes = 0;
     loop {
         let err = plan.in_flight.connect(&plan.server).await.err()?;
         failed_probes += 1;
-        if err.outcome() == ConnectEnd::Refused {
+        if err.outcome() == ConnectOutcome::Refused {
             return Some(err);
         }
-        if plan.in_flight.suspects_local_network() {
+        if plan.in_flight.suspects_local_fault() {
             return None;
         }
         if MAX_FAILED_PROBES <= failed_probes {
@@ -208,8 +208,8 @@
             timeout_at(deadline, Limited::new(self.body, MAX_BUFFERED_RESPONSE_BYTES).collect())
                 .await;
         let body = result
-            .map_err(|_| SendError::new(SendEnd::TimedOut, &"the answer did not end in time"))?
-            .map_err(|err| SendError::new(SendEnd::Broken, &err))?;
+            .map_err(|_| SendError::new(SendOutcome::TimedOut, &"the answer did not end in time"))?
+            .map_err(|err| SendError::new(SendOutcome::Broken, &err))?;
         if self.parts.status.is_success() {
             self.in_flight.record_success();
         }
@@ -223,7 +223,7 @@
     plan: &SendPlan,
 ) -> Result<Request<Full<Bytes>>, SendError> {
     let path = decoded.parts.uri.path_and_query().map_or("/", |path| path.as_str());
-    let uri: Uri = path.parse().map_err(|err| SendError::new(SendEnd::NotSent, &err))?;
+    let uri: Uri = path.parse().map_err(|err| SendError::new(SendOutcome::NotSent, &err))?;
     let mut request = Request::new(Full::new(decoded.body.clone()));
     *request.method_mut() = decoded.parts.method.clone();
     *request.uri_mut() = uri;
--- a/crates/entry/src/traffic/server_connection.rs
+++ b/crates/entry/src/traffic/server_connection.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use derive_more::Display;
 use derive_more::Error;
-use fulmargate_dispatch::ConnectEnd;
+use fulmargate_dispatch::ConnectOutcome;
 use fulmargate_dispatch::ServerEntry;
 use http::Request;
 use http_body_util::Full;
@@ -19,11 +19,12 @@
 use tokio::time::timeout;
 use tokio_util::task::AbortOnDropHandle;
 
-use crate::sockets::watch_peer;
+use crate::sockets::set_peer_timeout;
 use crate::state::SharedState;
-use crate::state::note_connect;
+use crate::state::record_connect_outcome;
 
-/// Shorter than the one second after which TCP retransmits a lost SYN: trying another server is faster.
+/// Shorter than the one second after which TCP retransmits a lost SYN: trying another server is faster. Must agree
+/// with the constant of the same name in the local fault detector of `fulmargate-dispatch`.
 pub(crate) const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
 /// How long data sent to a server may stay unacknowledged before the connection is dropped.
 const SERVER_TCP_TIMEOUT: Duration = Duration::from_millis(1_500);
@@ -38,7 +39,7 @@
 /// Why a connection could not be opened. No byte of the request was sent.
 #[derive(Debug, Display, Error)]
 pub(crate) enum ConnectError {
-    /// The connection was refused or reset by the server's host.
+    /// The connection was refused or reset by the server's machine.
     #[display("no connection: {reason}")]
     Refused { reason: String },
     /// Any other error, such as no route, or no free port or file descriptor on this host.
@@ -59,11 +60,12 @@
         }
     }
 
-    /// The outcome to record for the server.
-    pub(crate) fn outcome(&self) -> ConnectEnd {
+    /// The outcome to record for the server. Errors other than a refusal, including those of this host, are
+    /// recorded as timeouts.
+    pub(crate) fn outcome(&self) -> ConnectOutcome {
         match self {
-            ConnectError::Refused { .. } => ConnectEnd::Refused,
-            ConnectError::Failed { .. } | ConnectError::TimedOut => ConnectEnd::Silent,
+            ConnectError::Refused { .. } => ConnectOutcome::Refused,
+            ConnectError::Failed { .. } | ConnectError::TimedOut => ConnectOutcome::TimedOut,
         }
     }
 }
@@ -75,8 +77,9 @@
         server: &ServerEntry,
     ) -> Result<ServerConnection, ConnectError> {
         let result = ServerConnection::connect(server.address).await;
-        let outcome = result.as_ref().map_or_else(ConnectError::outcome, |_| ConnectEnd::Reached);
-        note_connect(state, server.key(), outcome);
+        let outcome =
+            result.as_ref().map_or_else(ConnectError::outcome, |_| ConnectOutcome::Reached);
+        record_connect_outcome(state, server.key(), outcome);
         result
     }
 
@@ -86,7 +89,7 @@
         let result = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
         let stream =
             result.map_err(|_| ConnectError::TimedOut)?.map_err(|err| ConnectError::new(&err))?;
-        watch_peer(&stream, SERVER_TCP_TIMEOUT).map_err(|err| ConnectError::new(&err))?;
+        set_peer_timeout(&stream, SERVER_TCP_TIMEOUT).map_err(|err| ConnectError::new(&err))?;
         let handshake = http1::handshake(TokioIo::new(stream)).await;
         let (sender, connection) = handshake.map_err(|err| failed(err.to_string()))?;
         let task = tokio::task::spawn_local(async move {
--- a/crates/entry/tests/daemon/main.rs
+++ b/crates/entry/tests/daemon/main.rs
@@ -1,16 +1,16 @@
-//! The daemon as a process before stand-ins of the platform.
+//! Runs the daemon's binary against simulated platform services.
 
 mod configuration;
 mod fleet_topic;
-mod handing_on;
+mod host_connectivity;
+mod process_lifecycle;
+mod queued_prompts;
 mod quotas;
-mod reach;
+mod record_forwarding;
 mod relays;
 mod requests;
-mod restores;
-mod stops;
-mod store_way;
+mod store_proxy;
+mod store_restore;
 mod streams;
 mod support;
-mod waiting;
-mod weights;
+mod weight_updates;
--- a/crates/peers/src/peer_counters.rs
+++ b/crates/peers/src/peer_counters.rs
@@ -1,37 +1,37 @@
-//! Bytes and links counted, to be read from any thread.
+//! Traffic and link counters, readable from any thread.
 
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
 
-use crate::RECORD_KINDS;
+use crate::RECORD_KIND_COUNT;
 use crate::RecordKind;
 use crate::wire::PeerFrame;
 use crate::wire::PeerMessage;
 use crate::wire::PeerRecord;
 use crate::wire::encoded_len;
 
-/// What bytes are spent on.
+/// Category of traffic.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TrafficKind {
-    /// Records of a kind.
+    /// Records of one kind.
     Record(RecordKind),
-    /// Frame heads around records, and frames that carry only the version in force.
+    /// Frame headers around records, and frames that only carry the configuration version.
     Framing,
-    /// Finding out who lives.
+    /// Failure detection.
     Probe,
-    /// Comparing.
+    /// Anti-entropy digests, summaries and requests.
     Digest,
-    /// First frames of links, and calls to join.
+    /// Initial frames of links, and join requests.
     Hello,
-    /// Questions and their answers.
+    /// Requests to a peer and their responses.
     Ask,
 }
 
-/// How many kinds of traffic there are.
-pub const TRAFFIC_KINDS: usize = RECORD_KINDS + 5;
+/// Number of traffic categories.
+pub const TRAFFIC_KIND_COUNT: usize = RECORD_KIND_COUNT + 5;
 
 impl TrafficKind {
-    /// All kinds.
+    /// All categories.
     pub fn all() -> impl Iterator<Item = TrafficKind> {
         let records = RecordKind::rows().iter().map(|row| TrafficKind::Record(row.kind));
         let others = [
@@ -44,7 +44,7 @@
         records.chain(others)
     }
 
-    /// The label in metrics.
+    /// Metric label.
     pub fn name(self) -> &'static str {
         match self {
             TrafficKind::Record(kind) => kind.row().name,
@@ -59,28 +59,28 @@
     fn index(self) -> usize {
         match self {
             TrafficKind::Record(kind) => kind as usize,
-            TrafficKind::Framing => RECORD_KINDS,
-            TrafficKind::Probe => RECORD_KINDS + 1,
-            TrafficKind::Digest => RECORD_KINDS + 2,
-            TrafficKind::Hello => RECORD_KINDS + 3,
-            TrafficKind::Ask => RECORD_KINDS + 4,
+            TrafficKind::Framing => RECORD_KIND_COUNT,
+            TrafficKind::Probe => RECORD_KIND_COUNT + 1,
+            TrafficKind::Digest => RECORD_KIND_COUNT + 2,
+            TrafficKind::Hello => RECORD_KIND_COUNT + 3,
+            TrafficKind::Ask => RECORD_KIND_COUNT + 4,
         }
     }
 }
 
-/// Which way bytes went.
+/// Direction of traffic.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Direction {
-    /// From this host.
+    /// Sent by this host.
     Sent,
-    /// To this host.
+    /// Received by this host.
     Received,
 }
 
-/// Bytes of one kind.
+/// Bytes of one traffic category.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TrafficRow {
-    /// The kind.
+    /// The category.
     pub kind: TrafficKind,
     /// Bytes sent.
     pub sent: u64,
@@ -91,30 +91,30 @@
 /// Counters of one host.
 #[derive(Debug, Default)]
 pub struct PeerCounters {
-    sent: [AtomicU64; TRAFFIC_KINDS],
-    received: [AtomicU64; TRAFFIC_KINDS],
+    sent: [AtomicU64; TRAFFIC_KIND_COUNT],
+    received: [AtomicU64; TRAFFIC_KIND_COUNT],
     /// Frames sent.
     pub frames_sent: AtomicU64,
     /// Frames received.
     pub frames_received: AtomicU64,
-    /// Bytes written to sockets, all layers above TCP.
+    /// Bytes written to sockets, including HTTP/2 framing.
     pub wire_sent: AtomicU64,
-    /// Bytes read from sockets, all layers above TCP.
+    /// Bytes read from sockets, including HTTP/2 framing.
     pub wire_received: AtomicU64,
-    /// Links made to others.
+    /// Links opened by this host.
     pub links_opened: AtomicU64,
-    /// Links that others made.
+    /// Links accepted from peers.
     pub links_accepted: AtomicU64,
-    /// Links dropped because the peer did not read fast enough.
+    /// Links dropped because the peer read too slowly.
     pub links_overrun: AtomicU64,
-    /// Links turned away: another fleet, another protocol, too many.
+    /// Links rejected: wrong fleet, unsupported protocol version, or too many links.
     pub links_refused: AtomicU64,
-    /// Frames that could not be read; each closed its link.
+    /// Frames that failed to decode; each closes its link.
     pub frames_unreadable: AtomicU64,
 }
 
 impl PeerCounters {
-    /// Counts a frame of `length` bytes, each record under its kind.
+    /// Counts a frame of `length` bytes, attributing each record to its kind.
     pub fn count_frame(&self, direction: Direction, frame: &PeerFrame, length: usize) {
         let frames = match direction {
             Direction::Sent => &self.frames_sent,
@@ -122,14 +122,14 @@
         };
         frames.fetch_add(1, Ordering::Relaxed);
         match &frame.message {
-            PeerMessage::Update { records } | PeerMessage::Welcome { records, .. } => {
+            PeerMessage::Update { records } | PeerMessage::JoinResponse { records, .. } => {
                 self.count_records(direction, records, length);
             }
             message => self.count(direction, traffic_kind(message), length),
         }
     }
 
-    /// Counts bytes.
+    /// Counts bytes of one category.
     pub fn count(&self, direction: Direction, kind: TrafficKind, length: usize) {
         let bytes = match direction {
             Direction::Sent => &self.sent,
@@ -138,7 +138,7 @@
         bytes[kind.index()].fetch_add(length as u64, Ordering::Relaxed);
     }
 
-    /// Bytes so far, kind by kind.
+    /// Bytes counted so far, by category.
     pub fn rows(&self) -> Vec<TrafficRow> {
         TrafficKind::all()
             .map(|kind| TrafficRow {
@@ -150,25 +150,25 @@
     }
 
     fn count_records(&self, direction: Direction, records: &[PeerRecord], length: usize) {
-        let mut rest = length;
+        let mut remaining = length;
         for record in records {
             let bytes = encoded_len(record);
             self.count(direction, TrafficKind::Record(record.kind()), bytes);
-            rest = rest.saturating_sub(bytes);
+            remaining = remaining.saturating_sub(bytes);
         }
-        self.count(direction, TrafficKind::Framing, rest);
+        self.count(direction, TrafficKind::Framing, remaining);
     }
 }
 
 fn traffic_kind(message: &PeerMessage) -> TrafficKind {
     match message {
-        PeerMessage::Hello { .. } | PeerMessage::Join => TrafficKind::Hello,
-        PeerMessage::Probe { .. } | PeerMessage::ProbeAck { .. } | PeerMessage::ProbeVia { .. } => {
-            TrafficKind::Probe
-        }
-        PeerMessage::Digest { .. } | PeerMessage::Summary { .. } | PeerMessage::Want { .. } => {
-            TrafficKind::Digest
-        }
-        PeerMessage::Welcome { .. } | PeerMessage::Update { .. } => TrafficKind::Framing,
+        PeerMessage::Hello { .. } | PeerMessage::JoinRequest => TrafficKind::Hello,
+        PeerMessage::Probe { .. }
+        | PeerMessage::ProbeAck { .. }
+        | PeerMessage::IndirectProbeRequest { .. } => TrafficKind::Probe,
+        PeerMessage::Digest { .. }
+        | PeerMessage::Summary { .. }
+        | PeerMessage::RecordRequest { .. } => TrafficKind::Digest,
+        PeerMessage::JoinResponse { .. } | PeerMessage::Update { .. } => TrafficKind::Framing,
     }
 }
--- a/crates/peers/src/peer_pace.rs
+++ b/crates/peers/src/peer_pace.rs
@@ -1,63 +1,63 @@
-//! How often and how much the exchange sends.
+//! Timing and rate limits of the protocol.
 
-/// Times and sizes of the exchange. All hosts of a fleet should use the same.
+/// Protocol intervals and limits. All hosts of a fleet should use the same values.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerPace {
-    /// Between two rounds of handing on news.
-    pub tick_ms: u64,
-    /// Between two probes.
-    pub period_ms: u64,
-    /// Before others are asked to probe too.
+    /// Gossip interval.
+    pub gossip_interval_ms: u64,
+    /// Probe interval.
+    pub probe_interval_ms: u64,
+    /// Time without an answer after which indirect probes are requested.
     pub probe_timeout_ms: u64,
-    /// Between two digests.
-    pub digest_ms: u64,
-    /// How many neighbours get news in a round.
+    /// Anti-entropy interval.
+    pub anti_entropy_interval_ms: u64,
+    /// Number of neighbors that receive gossip per round.
     pub fanout: usize,
-    /// Most bytes of records in one frame of news.
-    pub frame_bytes: usize,
-    /// What may be spent on news and answers, on average.
+    /// Maximum bytes of records in one gossip frame.
+    pub max_gossip_bytes: usize,
+    /// Sustained limit for bytes sent, not counting probes.
     pub bytes_per_s: u64,
-    /// What may be spent at once after a quiet time.
+    /// Burst limit for bytes sent, not counting probes.
     pub burst_bytes: u64,
-    /// A host that was not run for so long has been paused.
-    pub pause_ms: u64,
-    /// A link that was not used for so long is closed by who opened it; the other side waits three
+    /// Time between calls after which the process is considered to have been paused.
+    pub pause_threshold_ms: u64,
+    /// Idle time after which the side that opened a link closes it. The accepting side waits three
     /// times as long.
-    pub idle_ms: u64,
-    /// Between two calls on a seed that is not known as a member, and on a member that is gone.
-    pub seed_ms: u64,
+    pub idle_timeout_ms: u64,
+    /// Interval of attempts to contact seeds that are not members, and members that are gone.
+    pub reconnect_interval_ms: u64,
 }
 
 impl Default for PeerPace {
     fn default() -> PeerPace {
         PeerPace {
-            tick_ms: 200,
-            period_ms: 1_000,
+            gossip_interval_ms: 200,
+            probe_interval_ms: 1_000,
             probe_timeout_ms: 400,
-            digest_ms: 5_000,
+            anti_entropy_interval_ms: 5_000,
             fanout: 2,
-            frame_bytes: 4_096,
+            max_gossip_bytes: 4_096,
             bytes_per_s: 7_000,
             burst_bytes: 48 * 1_024,
-            pause_ms: 3_000,
-            idle_ms: 60_000,
-            seed_ms: 2_000,
+            pause_threshold_ms: 3_000,
+            idle_timeout_ms: 60_000,
+            reconnect_interval_ms: 2_000,
         }
     }
 }
 
 impl PeerPace {
-    /// How long a suspected host has to refute: time for the suspicion to reach it and for its
-    /// answer to come back, both growing with the logarithm of the fleet.
+    /// Time that a suspected host has to refute. Both the suspicion and its refutation take a time
+    /// logarithmic in the fleet size to spread.
     pub fn suspicion_ms(&self, hosts: usize) -> u64 {
-        self.period_ms * (3 + log2_ceil(hosts))
+        self.probe_interval_ms * (3 + log2_ceil(hosts))
     }
 }
 
-/// How often a host hands on an urgent record: once to each neighbour, with two to spare for those
-/// that change meanwhile.
+/// Number of times a host sends an urgent record: once per neighbor, and two more for neighbors
+/// that are replaced meanwhile.
 pub(crate) const URGENT_SENDS: u32 = 10;
-/// How often a host hands on a lazy record.
+/// Number of times a host sends a lazy record.
 pub(crate) const LAZY_SENDS: u32 = 3;
 
 fn log2_ceil(hosts: usize) -> u64 {
--- a/crates/peers/src/wire/message_codec.rs
+++ b/crates/peers/src/wire/message_codec.rs
@@ -1,4 +1,4 @@
-//! Hand-written encoding of frames and messages.
+//! Binary encoding of frames and messages.
 
 use bincode::BorrowDecode;
 use bincode::Encode;
@@ -10,15 +10,15 @@
 
 use crate::RecordKind;
 use crate::record_key::RecordKey;
-use crate::wire::name_codec::put_name;
-use crate::wire::name_codec::take_name;
-use crate::wire::name_codec::take_number;
-use crate::wire::name_codec::take_tag;
-use crate::wire::name_codec::unknown_tag;
+use crate::wire::peer_message::JoinResponsePart;
 use crate::wire::peer_message::PeerFrame;
 use crate::wire::peer_message::PeerMessage;
 use crate::wire::peer_message::SummaryEntry;
-use crate::wire::peer_message::WelcomePart;
+use crate::wire::primitive_codec::decode_name;
+use crate::wire::primitive_codec::decode_tag;
+use crate::wire::primitive_codec::decode_u64;
+use crate::wire::primitive_codec::encode_name;
+use crate::wire::primitive_codec::unknown_tag;
 use crate::wire::record_codec::decode_member;
 use crate::wire::record_codec::decode_records;
 use crate::wire::record_codec::encode_records;
@@ -26,17 +26,17 @@
 const HELLO: u8 = 0;
 const PROBE: u8 = 1;
 const PROBE_ACK: u8 = 2;
-const PROBE_VIA: u8 = 3;
-const JOIN: u8 = 4;
-const WELCOME: u8 = 5;
+const INDIRECT_PROBE_REQUEST: u8 = 3;
+const JOIN_REQUEST: u8 = 4;
+const JOIN_RESPONSE: u8 = 5;
 const DIGEST: u8 = 6;
 const SUMMARY: u8 = 7;
-const WANT: u8 = 8;
+const RECORD_REQUEST: u8 = 8;
 const UPDATE: u8 = 9;
 
 impl Encode for PeerFrame {
     fn encode<E: Encoder>(&self, encoder: &mut E) -> Result<(), EncodeError> {
-        self.in_force.0.encode(encoder)?;
+        self.config_version.0.encode(encoder)?;
         self.message.encode(encoder)
     }
 }
@@ -46,7 +46,7 @@
         decoder: &mut D,
     ) -> Result<Self, DecodeError> {
         Ok(PeerFrame {
-            in_force: ConfigVersion(take_number(decoder)?),
+            config_version: ConfigVersion(decode_u64(decoder)?),
             message: decode_message(decoder)?,
         })
     }
@@ -57,21 +57,21 @@
         match self {
             PeerMessage::Hello { fleet, member } => {
                 HELLO.encode(encoder)?;
-                put_name(encoder, fleet)?;
+                encode_name(encoder, fleet)?;
                 member.encode(encoder)
             }
             PeerMessage::Probe { number, digest } => {
                 (PROBE, *number, digest.to_le_bytes()).encode(encoder)
             }
             PeerMessage::ProbeAck { number } => (PROBE_ACK, *number).encode(encoder),
-            PeerMessage::ProbeVia { number, host, address } => {
-                (PROBE_VIA, *number).encode(encoder)?;
-                put_name(encoder, host.as_str())?;
+            PeerMessage::IndirectProbeRequest { number, host, address } => {
+                (INDIRECT_PROBE_REQUEST, *number).encode(encoder)?;
+                encode_name(encoder, host.as_str())?;
                 address.encode(encoder)
             }
-            PeerMessage::Join => JOIN.encode(encoder),
-            PeerMessage::Welcome { part, records } => {
-                (WELCOME, *part as u8).encode(encoder)?;
+            PeerMessage::JoinRequest => JOIN_REQUEST.encode(encoder),
+            PeerMessage::JoinResponse { part, records } => {
+                (JOIN_RESPONSE, *part as u8).encode(encoder)?;
                 encode_records(records, encoder)
             }
             PeerMessage::Digest { buckets } => {
@@ -83,8 +83,8 @@
                 buckets.encode(encoder)?;
                 entries.encode(encoder)
             }
-            PeerMessage::Want { keys } => {
-                WANT.encode(encoder)?;
+            PeerMessage::RecordRequest { keys } => {
+                RECORD_REQUEST.encode(encoder)?;
                 keys.encode(encoder)
             }
             PeerMessage::Update { records } => {
@@ -96,53 +96,58 @@
 }
 
 fn decode_message<'de, D: BorrowDecoder<'de>>(decoder: &mut D) -> Result<PeerMessage, DecodeError> {
-    let message = match take_tag(decoder)? {
-        HELLO => PeerMessage::Hello { fleet: take_name(decoder)?, member: decode_member(decoder)? },
-        PROBE => PeerMessage::Probe { number: take_number(decoder)?, digest: take_hash(decoder)? },
-        PROBE_ACK => PeerMessage::ProbeAck { number: take_number(decoder)? },
-        PROBE_VIA => PeerMessage::ProbeVia {
-            number: take_number(decoder)?,
-            host: take_name(decoder)?,
+    let message = match decode_tag(decoder)? {
+        HELLO => {
+            PeerMessage::Hello { fleet: decode_name(decoder)?, member: decode_member(decoder)? }
+        }
+        PROBE => PeerMessage::Probe { number: decode_u64(decoder)?, digest: decode_hash(decoder)? },
+        PROBE_ACK => PeerMessage::ProbeAck { number: decode_u64(decoder)? },
+        INDIRECT_PROBE_REQUEST => PeerMessage::IndirectProbeRequest {
+            number: decode_u64(decoder)?,
+            host: decode_name(decoder)?,
             address: BorrowDecode::borrow_decode(decoder)?,
         },
-        JOIN => PeerMessage::Join,
-        WELCOME => {
-            PeerMessage::Welcome { part: decode_part(decoder)?, records: decode_records(decoder)? }
-        }
+        JOIN_REQUEST => PeerMessage::JoinRequest,
+        JOIN_RESPONSE => PeerMessage::JoinResponse {
+            part: decode_join_response_part(decoder)?,
+            records: decode_records(decoder)?,
+        },
         DIGEST => PeerMessage::Digest { buckets: decode_buckets(decoder)? },
         SUMMARY => PeerMessage::Summary {
             buckets: BorrowDecode::borrow_decode(decoder)?,
             entries: decode_entries(decoder)?,
         },
-        WANT => PeerMessage::Want { keys: decode_keys(decoder)? },
+        RECORD_REQUEST => PeerMessage::RecordRequest { keys: decode_keys(decoder)? },
         UPDATE => PeerMessage::Update { records: decode_records(decoder)? },
         tag => return unknown_tag(tag, UPDATE),
     };
     Ok(message)
 }
 
-fn decode_part<'de, D: BorrowDecoder<'de>>(decoder: &mut D) -> Result<WelcomePart, DecodeError> {
-    match take_tag(decoder)? {
-        0 => Ok(WelcomePart::More),
-        1 => Ok(WelcomePart::Last),
-        2 => Ok(WelcomePart::Sample),
+fn decode_join_response_part<'de, D: BorrowDecoder<'de>>(
+    decoder: &mut D,
+) -> Result<JoinResponsePart, DecodeError> {
+    match decode_tag(decoder)? {
+        0 => Ok(JoinResponsePart::More),
+        1 => Ok(JoinResponsePart::Last),
+        2 => Ok(JoinResponsePart::Sample),
         tag => unknown_tag(tag, 2),
     }
 }
 
-/// Hashes use all their bits: a fixed length is the shorter one.
+/// Hashes have a fixed length, because a varint would be longer for most of them.
 fn encode_buckets<E: Encoder>(buckets: &[u32], encoder: &mut E) -> Result<(), EncodeError> {
     (buckets.len() as u64).encode(encoder)?;
     buckets.iter().try_for_each(|hash| hash.to_le_bytes().encode(encoder))
 }
 
-fn take_hash<'de, D: BorrowDecoder<'de>>(decoder: &mut D) -> Result<u32, DecodeError> {
+fn decode_hash<'de, D: BorrowDecoder<'de>>(decoder: &mut D) -> Result<u32, DecodeError> {
     Ok(u32::from_le_bytes(BorrowDecode::borrow_decode(decoder)?))
 }
 
 fn decode_buckets<'de, D: BorrowDecoder<'de>>(decoder: &mut D) -> Result<Vec<u32>, DecodeError> {
-    let count = take_number(decoder)?;
-    (0..count).map(|_| take_hash(decoder)).collect()
+    let count = decode_u64(decoder)?;
+    (0..count).map(|_| decode_hash(decoder)).collect()
 }
 
 impl Encode for RecordKey {
@@ -159,9 +164,9 @@
     }
 }
 
-/// Keys of kinds that a newer release has added are skipped.
+/// Skips keys of unknown kinds, which a newer release may send.
 fn decode_keys<'de, D: BorrowDecoder<'de>>(decoder: &mut D) -> Result<Vec<RecordKey>, DecodeError> {
-    let count = take_number(decoder)?;
+    let count = decode_u64(decoder)?;
     let mut keys = Vec::new();
     for _ in 0..count {
         keys.extend(decode_key(decoder)?);
@@ -172,7 +177,7 @@
 fn decode_key<'de, D: BorrowDecoder<'de>>(
     decoder: &mut D,
 ) -> Result<Option<RecordKey>, DecodeError> {
-    let tag = take_tag(decoder)?;
+    let tag = decode_tag(decoder)?;
     let id = u64::from_le_bytes(BorrowDecode::borrow_decode(decoder)?);
     Ok(RecordKind::from_tag(tag).map(|kind| RecordKey { kind, id }))
 }
@@ -180,11 +185,11 @@
 fn decode_entries<'de, D: BorrowDecoder<'de>>(
     decoder: &mut D,
 ) -> Result<Vec<SummaryEntry>, DecodeError> {
-    let count = take_number(decoder)?;
+    let count = decode_u64(decoder)?;
     let mut entries = Vec::new();
     for _ in 0..count {
         let key = decode_key(decoder)?;
-        let stamp = take_hash(decoder)?;
+        let stamp = decode_hash(decoder)?;
         entries.extend(key.map(|key| SummaryEntry { key, stamp }));
     }
     Ok(entries)
