--- a/crates/placement/src/cache_events.rs
+++ b/crates/placement/src/cache_events.rs
@@ -1,66 +1,67 @@
-//! Following the cache events that a server publishes.
+//! Reader for a server's stream of cache events.
 
 use fulmargate_names::Incarnation;
 use fulmargate_names::PromptHash;
 
-/// What happened to a block.
+/// The kind of a cache event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CacheEventKind {
-    /// It was stored.
+    /// A block was stored.
     Stored,
-    /// It was evicted.
+    /// A block was evicted.
     Evicted,
     /// All blocks were dropped.
     Cleared,
 }
 
-/// One event of a server's cache.
+/// A cache event published by a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CacheEvent {
-    /// Its place in the server's stream.
+    /// Sequence number in the server's event stream.
     pub seq: u64,
-    /// What happened.
+    /// The kind of event.
     pub kind: CacheEventKind,
-    /// The block.
+    /// Hash of the block.
     pub hash: PromptHash,
 }
 
-/// An answer of `GET /control/events`.
+/// A response to `GET /control/events`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EventPage {
-    /// The life of the server that the events belong to.
+    /// The server incarnation that published the events.
     pub incarnation: Incarnation,
-    /// Where to read on.
+    /// Sequence number of the next event to read.
     pub next: u64,
-    /// The events, which may have gaps.
+    /// The events; sequence numbers may have gaps.
     pub events: Vec<CacheEvent>,
 }
 
-/// Whether a page continues what was read before.
+/// Whether a page continues the stream read so far.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum EventBreak {
-    /// It does.
-    None,
-    /// Events are missing: an eviction may be among them, so what was believed is void.
+pub enum StreamContinuity {
+    /// The page continues the stream without a gap.
+    Continuous,
+    /// Events are missing. They may include evictions, so existing hints must be discarded.
     Gap,
-    /// The server has started anew and is empty.
-    NewLife,
-    /// The page comes late, from a life that is over, and says nothing of the present one.
-    LateLife,
+    /// The server has restarted with an empty cache.
+    NewIncarnation,
+    /// The page is from an earlier incarnation and must be ignored.
+    StaleIncarnation,
 }
 
-/// What a page tells.
+/// The new events of a page.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct EventNews {
-    /// The life it tells of.
+pub struct NewEvents {
+    /// The newest incarnation read so far.
     pub incarnation: Incarnation,
-    /// Whether the page continues what was read before.
-    pub broken: EventBreak,
-    /// Events that were not told before; those before a break in the page's middle left out.
+    /// Whether the page continues the stream read so far.
+    pub continuity: StreamContinuity,
+    /// Events that have not been returned before. Events preceding a gap within the page are
+    /// omitted.
     pub events: Vec<CacheEvent>,
 }
 
-/// Where the reader of one server's events stands: a fold over the pages, without I/O.
+/// Read position in one server's event stream. Pages are passed in by the caller.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CacheEvents {
     incarnation: Incarnation,
@@ -68,26 +69,30 @@
 }
 
 impl CacheEvents {
-    /// Reads from the server's first event.
+    /// Starts at the first event of the incarnation.
     pub fn new(incarnation: Incarnation) -> CacheEvents {
         CacheEvents { incarnation, next: 0 }
     }
 
-    /// Where to read on.
+    /// Sequence number of the next event to read.
     pub fn next(&self) -> u64 {
         self.next
     }
 
-    /// Takes the next page in.
-    pub fn apply(&mut self, page: &EventPage) -> EventNews {
+    /// Advances the position and returns the events that are new.
+    pub fn apply(&mut self, page: &EventPage) -> NewEvents {
         let incarnation = self.incarnation.max(page.incarnation);
         if page.incarnation < self.incarnation {
-            return EventNews { incarnation, broken: EventBreak::LateLife, events: Vec::new() };
+            return NewEvents {
+                incarnation,
+                continuity: StreamContinuity::StaleIncarnation,
+                events: Vec::new(),
+            };
         }
-        let mut broken = EventBreak::None;
+        let mut continuity = StreamContinuity::Continuous;
         if self.incarnation < page.incarnation {
             *self = CacheEvents::new(page.incarnation);
-            broken = EventBreak::NewLife;
+            continuity = StreamContinuity::NewIncarnation;
         }
         let mut events = Vec::new();
         for event in &page.events {
@@ -96,24 +101,24 @@
             }
             if self.next < event.seq {
                 events.clear();
-                broken = broken.or_gap();
+                continuity = continuity.or_gap();
             }
             events.push(*event);
             self.next = event.seq + 1;
         }
         if self.next < page.next {
             events.clear();
-            broken = broken.or_gap();
+            continuity = continuity.or_gap();
             self.next = page.next;
         }
-        EventNews { incarnation, broken, events }
+        NewEvents { incarnation, continuity, events }
     }
 }
 
-impl EventBreak {
-    fn or_gap(self) -> EventBreak {
+impl StreamContinuity {
+    fn or_gap(self) -> StreamContinuity {
         match self {
-            EventBreak::None => EventBreak::Gap,
+            StreamContinuity::Continuous => StreamContinuity::Gap,
             other => other,
         }
     }
--- a/crates/placement/src/placer.rs
+++ b/crates/placement/src/placer.rs
@@ -1,4 +1,4 @@
-//! Chooses servers and learns from what became of it.
+//! Server selection and feedback for one model.
 
 use std::sync::atomic::AtomicUsize;
 use std::sync::atomic::Ordering;
@@ -8,78 +8,77 @@
 use crate::CacheEventKind;
 use crate::Choice;
 use crate::ClassWeights;
-use crate::EventBreak;
-use crate::EventNews;
 use crate::FleetView;
+use crate::NewEvents;
 use crate::OpenRequest;
-use crate::PlaceRequest;
 use crate::PlacementConf;
+use crate::PlacementRequest;
 use crate::PolicyKind;
 use crate::PrefixDemand;
 use crate::PromptChain;
 use crate::ReasonCounts;
-use crate::ReplyFacts;
+use crate::ReplyStats;
 use crate::ServerMeter;
+use crate::StreamContinuity;
 use crate::chooser::Chooser;
 use crate::demand_sketch::DemandSketch;
 use crate::detour_budget::DetourBudget;
 use crate::hint_table::HintTable;
-use crate::open_request::ReplyVerdict;
+use crate::open_request::ReplySource;
 
-/// Groups that the demand is kept of.
+/// Capacity of the group demand sketch.
 const GROUP_SLOTS: usize = 4_096;
-/// Anchors that the demand is kept of.
+/// Capacity of the anchor demand sketch.
 const ANCHOR_SLOTS: usize = 8_192;
-/// An anchor with fewer recent requests is not hot, and its cache events are passed over.
-const HOT_REQUESTS: f64 = 2.0;
+/// Minimum recent requests of an anchor for which stored events are recorded as hints.
+const MIN_RECORDED_REQUESTS: f64 = 2.0;
 
-/// The placement of one model's requests, shared by all traffic threads of a router. Nothing in it
-/// takes a lock, and all of it may be lost: a new one chooses as the old one did, but for the
-/// copies of hot prefixes and for detours.
+/// Placement state of one model, shared lock-free by all traffic threads of a router. It is soft
+/// state: after a restart, only choices that depend on measured demand, load or hints can differ.
 #[derive(Debug)]
 pub struct Placer {
     conf: PlacementConf,
     hints: HintTable,
-    groups: DemandSketch,
-    anchors: DemandSketch,
+    group_demand: DemandSketch,
+    anchor_demand: DemandSketch,
     budget: DetourBudget,
-    turns: AtomicUsize,
+    round_robin: AtomicUsize,
     reasons: ReasonCounts,
 }
 
-/// What one router sees asked for; all routers' reports together make the plan.
+/// Request rates observed by one router. The plan is computed from the reports of all routers.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct DemandReport {
-    /// Requests in a second, whatever their prefix.
+    /// Requests per second over all prefixes.
     pub requests_per_s: f64,
-    /// The most wanted groups, most wanted first.
+    /// The most requested groups, in descending order of rate.
     pub groups: Vec<PrefixDemand>,
 }
 
 impl Placer {
-    /// Knows nothing yet.
+    /// Creates a placer without hints or demand history.
     pub fn new(conf: PlacementConf) -> Placer {
         Placer {
             hints: HintTable::new(conf.hint_slots),
-            groups: DemandSketch::new(GROUP_SLOTS, conf.demand_window_ms),
-            anchors: DemandSketch::new(ANCHOR_SLOTS, conf.demand_window_ms),
+            group_demand: DemandSketch::new(GROUP_SLOTS, conf.demand_window_ms),
+            anchor_demand: DemandSketch::new(ANCHOR_SLOTS, conf.demand_window_ms),
             budget: DetourBudget::new(conf.detour_share),
-            turns: AtomicUsize::new(0),
+            round_robin: AtomicUsize::new(0),
             reasons: ReasonCounts::default(),
             conf,
         }
     }
 
-    /// The server for a request; none if no server can be used.
+    /// Selects a server for a request, or `None` if no server is usable.
     pub fn choose(
         &self,
         view: &FleetView,
         chain: &PromptChain,
-        request: &PlaceRequest<'_>,
+        request: &PlacementRequest<'_>,
     ) -> Option<Choice> {
         let chooser = Chooser { placer: self, view, chain, request };
         let choice = match request.policy {
-            PolicyKind::Cost => chooser.by_cost(),
+            PolicyKind::Cost => chooser.lowest_cost(),
             PolicyKind::RoundRobin => chooser.round_robin(),
             PolicyKind::LeastLoad => chooser.least_load(),
             PolicyKind::PrefixHash => chooser.prefix_hash(),
@@ -88,7 +87,8 @@
         Some(choice)
     }
 
-    /// The request goes to the chosen server. The load counts until the value is dropped.
+    /// Records that the request is sent to the chosen server. It counts towards the server's load
+    /// until the returned value is dropped.
     pub fn begin(
         &self,
         choice: &Choice,
@@ -97,92 +97,97 @@
         now_ms: u64,
     ) -> OpenRequest {
         if let (Some(group), Some(anchor)) = (chain.group(), chain.anchor()) {
-            self.groups.add(group.hash, now_ms);
-            self.anchors.add(anchor.hash, now_ms);
+            self.group_demand.record_request(group.hash, now_ms);
+            self.anchor_demand.record_request(anchor.hash, now_ms);
         }
         let uncached = chain.tokens().saturating_sub(choice.predicted_cached);
-        self.budget.earn(f64::from(uncached));
+        self.budget.deposit(f64::from(uncached));
         OpenRequest::new(choice, chain, weights.band(), uncached, now_ms)
     }
 
-    /// The first token came. An answer by another life of the server teaches nothing.
+    /// Records the first token. Replies from another incarnation of the server are not used to
+    /// update estimates.
     pub fn first_token(
         &self,
         open: &mut OpenRequest,
-        reply: &ReplyFacts,
+        reply: &ReplyStats,
         now_ms: u64,
-    ) -> ReplyVerdict {
-        let verdict = open.first_token(reply, now_ms);
-        if verdict == ReplyVerdict::Expected {
+    ) -> ReplySource {
+        let source = open.first_token(reply, now_ms);
+        if source == ReplySource::SelectedIncarnation {
             let chain = open.chain();
             let uncached = reply.prompt_tokens.saturating_sub(reply.cached_tokens);
             if let Some(group) = chain.group() {
-                self.groups.note_uncached(group.hash, f64::from(uncached), now_ms);
+                self.group_demand.record_uncached(group.hash, f64::from(uncached), now_ms);
             }
-            for level in chain.belief_levels() {
-                self.hints.touch(level.hash, open.meter().id(), now_ms);
+            for level in chain.hint_levels() {
+                self.hints.record(level.hash, open.meter().id(), now_ms);
             }
         }
-        verdict
+        source
     }
 
-    /// Takes in what a server's cache events say of prefixes that are hot here.
-    pub fn learn_events(&self, meter: &ServerMeter, news: &EventNews, now_ms: u64) {
-        if news.incarnation != meter.incarnation() || news.broken == EventBreak::LateLife {
+    /// Applies a server's cache events to the hints. Stored events are applied only for anchors
+    /// that this router requests often.
+    pub fn apply_events(&self, meter: &ServerMeter, new_events: &NewEvents, now_ms: u64) {
+        if new_events.incarnation != meter.incarnation()
+            || new_events.continuity == StreamContinuity::StaleIncarnation
+        {
             return;
         }
-        if news.broken != EventBreak::None {
-            meter.drop_beliefs(now_ms);
+        if new_events.continuity != StreamContinuity::Continuous {
+            meter.invalidate_hints(now_ms);
         }
-        for event in &news.events {
+        for event in &new_events.events {
             match event.kind {
-                CacheEventKind::Stored if self.is_hot(event.hash, now_ms) => {
-                    self.hints.touch(event.hash, meter.id(), now_ms);
+                CacheEventKind::Stored if self.is_often_requested(event.hash, now_ms) => {
+                    self.hints.record(event.hash, meter.id(), now_ms);
                 }
                 CacheEventKind::Stored => {}
-                CacheEventKind::Evicted => self.hints.forget(event.hash, meter.id()),
-                CacheEventKind::Cleared => meter.drop_beliefs(now_ms),
+                CacheEventKind::Evicted => self.hints.invalidate(event.hash, meter.id()),
+                CacheEventKind::Cleared => meter.invalidate_hints(now_ms),
             }
         }
     }
 
-    /// Takes in what another router knows of a prefix.
-    pub fn learn_hint(&self, prefix: PromptHash, meter: &ServerMeter, now_ms: u64) {
-        self.hints.touch(prefix, meter.id(), now_ms);
+    /// Records a hint received from another router.
+    pub fn record_hint(&self, prefix: PromptHash, meter: &ServerMeter, now_ms: u64) {
+        self.hints.record(prefix, meter.id(), now_ms);
     }
 
-    /// The hottest anchors and where they were last seen cached, to be told to other routers.
+    /// The most requested anchors, each with the server that most recently had it cached, for sharing with
+    /// other routers.
     pub fn hot_hints<'a>(
         &self,
         view: &'a FleetView,
-        wanted: usize,
+        limit: usize,
         now_ms: u64,
     ) -> Vec<(PromptHash, &'a ServerMeter)> {
-        let hottest = self.anchors.top(wanted, now_ms);
+        let hottest = self.anchor_demand.top(limit, now_ms);
         hottest
             .iter()
             .filter_map(|demand| {
                 let hints = self.hints.lookup(demand.prefix, now_ms);
                 let newest = hints.min_by_key(|hint| hint.age_ms)?;
-                Some((demand.prefix, &*view.at(view.index_of(newest.server)?).meter))
+                Some((demand.prefix, &*view.server_at(view.index_of(newest.server)?).meter))
             })
             .collect()
     }
 
-    /// What is asked for here, for the maker of the plan.
+    /// The demand observed by this router, as input to the plan.
     pub fn demand(&self, groups: usize, now_ms: u64) -> DemandReport {
         DemandReport {
-            requests_per_s: self.groups.requests_per_s(now_ms),
-            groups: self.groups.top(groups, now_ms),
+            requests_per_s: self.group_demand.requests_per_s(now_ms),
+            groups: self.group_demand.top(groups, now_ms),
         }
     }
 
-    /// How often each reason was given.
+    /// Number of choices by reason.
     pub fn reasons(&self) -> &ReasonCounts {
         &self.reasons
     }
 
-    /// The constants in force.
+    /// The placement configuration.
     pub fn conf(&self) -> &PlacementConf {
         &self.conf
     }
@@ -191,23 +196,23 @@
         &self.hints
     }
 
-    pub(crate) fn groups(&self) -> &DemandSketch {
-        &self.groups
+    pub(crate) fn group_demand(&self) -> &DemandSketch {
+        &self.group_demand
     }
 
-    pub(crate) fn anchors(&self) -> &DemandSketch {
-        &self.anchors
+    pub(crate) fn anchor_demand(&self) -> &DemandSketch {
+        &self.anchor_demand
     }
 
     pub(crate) fn budget(&self) -> &DetourBudget {
         &self.budget
     }
 
-    pub(crate) fn next_turn(&self) -> usize {
-        self.turns.fetch_add(1, Ordering::Relaxed)
+    pub(crate) fn next_round_robin(&self) -> usize {
+        self.round_robin.fetch_add(1, Ordering::Relaxed)
     }
 
-    fn is_hot(&self, prefix: PromptHash, now_ms: u64) -> bool {
-        HOT_REQUESTS <= self.anchors.count(prefix, now_ms)
+    fn is_often_requested(&self, prefix: PromptHash, now_ms: u64) -> bool {
+        MIN_RECORDED_REQUESTS <= self.anchor_demand.count(prefix, now_ms)
     }
 }
--- a/crates/placement/tests/support/mod.rs
+++ b/crates/placement/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A small fleet and one router's view of it.
+//! Test fixture: a small fleet and one router.
 
 #![allow(dead_code)]
 
@@ -10,24 +10,24 @@
 use fulmargate_placement::ClassWeights;
 use fulmargate_placement::FleetServer;
 use fulmargate_placement::FleetView;
-use fulmargate_placement::MeterBook;
+use fulmargate_placement::MeterRegistry;
 use fulmargate_placement::OpenRequest;
-use fulmargate_placement::PlaceRequest;
 use fulmargate_placement::PlacementConf;
+use fulmargate_placement::PlacementRequest;
 use fulmargate_placement::Placer;
 use fulmargate_placement::PolicyKind;
 use fulmargate_placement::PromptChain;
 use fulmargate_placement::PromptScope;
-use fulmargate_placement::ReplyFacts;
+use fulmargate_placement::ReplyStats;
 use fulmargate_placement::ServerId;
 
 pub(crate) const URGENT: ClassWeights = ClassWeights { priority: 0, ttft: 1.0, recompute: 0.1 };
 pub(crate) const BATCH: ClassWeights = ClassWeights { priority: 2, ttft: 0.1, recompute: 1.0 };
 
-/// One router over servers `server0`, `server1` and so on.
+/// A router with servers named `server0`, `server1` and so on.
 pub(crate) struct TestRouter {
     pub(crate) placer: Placer,
-    pub(crate) meters: MeterBook,
+    pub(crate) meters: MeterRegistry,
     pub(crate) view: FleetView,
     pub(crate) conf: PlacementConf,
     pub(crate) policy: PolicyKind,
@@ -41,29 +41,29 @@
     }
 
     pub(crate) fn with_conf(servers: usize, conf: PlacementConf) -> TestRouter {
-        let mut meters = MeterBook::new(&conf);
+        let mut meters = MeterRegistry::new(&conf);
         let view = view(&conf, &mut meters, &vec![1; servers]);
         let placer = Placer::new(conf.clone());
         let (policy, weights, excluded) = (PolicyKind::Cost, URGENT, Vec::new());
         TestRouter { placer, meters, view, conf, policy, weights, excluded }
     }
 
-    /// The servers' lives change; 0 takes a server out of the view.
-    pub(crate) fn renew(&mut self, lives: &[u64]) {
-        self.view = view(&self.conf, &mut self.meters, lives);
+    /// Sets the server incarnations; 0 removes a server from the view.
+    pub(crate) fn set_incarnations(&mut self, incarnations: &[u64]) {
+        self.view = view(&self.conf, &mut self.meters, incarnations);
     }
 
     pub(crate) fn choose(&self, chain: &PromptChain, now_ms: u64) -> Choice {
         let (policy, weights, excluded) = (self.policy, self.weights, &self.excluded[..]);
-        let request = PlaceRequest { policy, weights, excluded, now_ms };
-        self.placer.choose(&self.view, chain, &request).expect("a server can be used")
+        let request = PlacementRequest { policy, weights, excluded, now_ms };
+        self.placer.choose(&self.view, chain, &request).expect("a usable server")
     }
 
     pub(crate) fn begin(&self, choice: &Choice, chain: &PromptChain, now_ms: u64) -> OpenRequest {
         self.placer.begin(choice, chain, self.weights, now_ms)
     }
 
-    /// Sends a request to its server, which answers at once.
+    /// Sends a request to the selected server, which replies at once.
     pub(crate) fn serve(&self, chain: &PromptChain, now_ms: u64) -> Choice {
         let choice = self.choose(chain, now_ms);
         let mut open = self.begin(&choice, chain, now_ms);
@@ -72,9 +72,9 @@
     }
 }
 
-/// The answer of a server that had the whole prompt but its last block.
-pub(crate) fn reply(choice: &Choice, chain: &PromptChain) -> ReplyFacts {
-    ReplyFacts {
+/// A reply with the whole prompt cached except its last block.
+pub(crate) fn reply(choice: &Choice, chain: &PromptChain) -> ReplyStats {
+    ReplyStats {
         incarnation: choice.server.meter.incarnation(),
         prompt_tokens: chain.tokens(),
         cached_tokens: chain.tokens().saturating_sub(16),
@@ -84,20 +84,20 @@
     }
 }
 
-fn view(conf: &PlacementConf, meters: &mut MeterBook, lives: &[u64]) -> FleetView {
-    let lives = lives.iter().enumerate().filter(|(_, life)| 0 < **life);
-    let server = |(number, life): (usize, &u64)| {
-        let meter = meters.meter(&server_name(number), Incarnation(*life));
+fn view(conf: &PlacementConf, meters: &mut MeterRegistry, incarnations: &[u64]) -> FleetView {
+    let incarnations = incarnations.iter().enumerate().filter(|(_, incarnation)| 0 < **incarnation);
+    let server = |(number, incarnation): (usize, &u64)| {
+        let meter = meters.meter(&server_name(number), Incarnation(*incarnation));
         FleetServer { zone: ZoneName::new("north"), zone_ms: 1.0, meter }
     };
-    FleetView::new(conf, lives.map(server).collect())
+    FleetView::new(conf, incarnations.map(server).collect())
 }
 
 pub(crate) fn server_name(number: usize) -> ServerName {
     ServerName::new(&format!("server{number}"))
 }
 
-/// A prompt of three levels and a question.
+/// A prompt of three shared levels and a question.
 pub(crate) fn prompt(team: usize, service: usize, record: usize, question: usize) -> PromptChain {
     let scope = PromptScope::from_text(format!("team{team}/m/"), WeightsVersion(1));
     let level = |name: String, tokens: usize| {
--- a/crates/router/src/attempt/engine_placing.rs
+++ b/crates/router/src/attempt/engine_placing.rs
@@ -16,7 +16,7 @@
 use fulmargate_names::WeightsVersion;
 use fulmargate_placement::Choice;
 use fulmargate_placement::OpenRequest;
-use fulmargate_placement::PlaceRequest;
+use fulmargate_placement::PlacementRequest;
 use fulmargate_placement::ServerId;
 use fulmargate_relay::EqualServers;
 use tokio::time::Instant;
@@ -146,7 +146,7 @@
             },
         };
         let now_ms = self.state.now_ms();
-        let request = PlaceRequest {
+        let request = PlacementRequest {
             policy: table.policy,
             weights: self.call.weights,
             excluded: &excluded,
@@ -230,7 +230,7 @@
         passed: &[ServerName],
     ) -> Option<Vec<ServerId>> {
         let now = Instant::now();
-        let fit = |name: &ServerName| self.state.suspects.may_run_on(self.call.print, name, now);
+        let fit = |name: &ServerName| self.state.suspects.run_fit(self.call.print, name, now);
         let mut excluded = self.excluded(route, passed);
         let open: Vec<_> =
             route.view.servers().filter(|server| !excluded.contains(&server.meter.id())).collect();
--- a/crates/router/src/attempt/engine_runner.rs
+++ b/crates/router/src/attempt/engine_runner.rs
@@ -274,7 +274,7 @@
                 return Err(AttemptFailure::Late);
             }
             if patience <= sent.elapsed() + WHOLE_LOOK {
-                hold.load.assume_first_token(self.state.now_ms());
+                hold.load.mark_first_token(self.state.now_ms());
             }
         }
     }
@@ -295,7 +295,7 @@
         }
         match self.state.budget.try_retry(self.call.weights.priority, now) {
             RetryGrant::Allowed => Ok(()),
-            RetryGrant::Spent { retry_after } => {
+            RetryGrant::Exhausted { retry_after } => {
                 Err(self.all_failed(failure, server).retry_after_ms(retry_after.as_millis() as u64))
             }
         }
--- a/crates/router/src/control/peer_desk.rs
+++ b/crates/router/src/control/peer_desk.rs
@@ -21,7 +21,7 @@
 use fulmargate_peers::PeerNews;
 use fulmargate_peers::PeerQuestion;
 use fulmargate_peers::WordTopic;
-use fulmargate_placement::PlanMaker;
+use fulmargate_placement::Planner;
 use indexmap::IndexMap;
 use tokio::time::Instant;
 use xxhash_rust::xxh3::xxh3_64;
@@ -51,7 +51,7 @@
 /// What the control actor keeps for the exchange.
 pub(crate) struct PeerDesk {
     pub(crate) handle: PeerHandle,
-    makers: IndexMap<ModelName, PlanMaker>,
+    makers: IndexMap<ModelName, Planner>,
     plans_told: Instant,
 }
 
@@ -135,10 +135,10 @@
         }
     }
 
-    fn maker(&mut self, model: &ModelName) -> &mut PlanMaker {
+    fn maker(&mut self, model: &ModelName) -> &mut Planner {
         let conf = self.routes.placement_conf();
         let makers = &mut self.peers.makers;
-        makers.entry(model.clone()).or_insert_with(|| PlanMaker::new(conf))
+        makers.entry(model.clone()).or_insert_with(|| Planner::new(conf))
     }
 
     /// Hosts that have not left, in reach or not: a router that is cut off from the others must not
@@ -228,7 +228,7 @@
             }
             PeerItem::HostWord { topic: WordTopic::Suspect, bytes, .. } => {
                 if let Some(verdict) = decode_verdict(&bytes) {
-                    self.state.suspects.learn(&verdict, origin, now);
+                    self.state.suspects.merge_verdict(&verdict, origin, now);
                 }
             }
             PeerItem::HostWord { topic: WordTopic::PrefixDemand, part, bytes, .. } => {
@@ -305,7 +305,7 @@
     type Result = ();
 
     fn handle(&mut self, _message: SuspectsChanged, _ctx: &mut Context<ControlActor>) {
-        for verdict in self.state.suspects.news(Instant::now()) {
+        for verdict in self.state.suspects.take_changed_verdicts(Instant::now()) {
             log_verdict(&verdict);
             self.put_word(WordTopic::Suspect, verdict_part(&verdict), encode_verdict(&verdict));
         }
@@ -319,7 +319,7 @@
         VerdictStanding::Convicted => EventKind::RequestConvicted,
     };
     let (event, name) = (kind.number(), kind.name());
-    let fingerprint = format!("{:032x}", verdict.print.0);
+    let fingerprint = format!("{:032x}", verdict.fingerprint.0);
     let servers: Vec<&str> =
         verdict.crashes.iter().map(|sighting| sighting.crash.server.as_str()).collect();
     tracing::warn!(event, name, fingerprint, ?servers);
