--- a/crates/admission/src/crash_evidence.rs
+++ b/crates/admission/src/crash_evidence.rs
@@ -34,7 +34,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Assessment {
     /// No unexplained crash counts against it, servers seem to fail by themselves, it may be
-    /// innocent after `trial_limit`, or it precedes the other suspects.
+    /// innocent after `max_trial_time`, or it precedes the other suspects.
     MayRun,
     /// The crash is unconfirmed or too recent, or other suspects have to run first.
     Wait,
